--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -274,7 +274,7 @@
         await curio.spawn(self.members.join(), daemon=True)
         self._subscribe()
         await curio.spawn(self.timers.run(), daemon=True)
-        self.decisions.belief("start", pid=os.getpid(), callers=settings.listen.callers)
+        self.decisions.event("start", pid=os.getpid(), callers=settings.listen.callers)
         # What was made at the start stays; the collector need not go through it again and again.
         gc.collect()
         gc.freeze()
@@ -291,7 +291,7 @@
     async def _stop(self) -> None:
         """Leave the balancer, serve on for its lag, finish all calls, then end."""
         began = self.clock.now()
-        self.decisions.belief("stop", in_flight=self.callers.in_flight)
+        self.decisions.event("stop", in_flight=self.callers.in_flight)
         self.callers.announce_stop()
         await curio.sleep(BALANCER_LAG)
         await self.callers.stop_accepting()
@@ -299,7 +299,7 @@
         while self.callers.open and self.clock.now() < end:
             await curio.sleep(STOP_LOOK)
         await self.connector.close()
-        self.decisions.belief("stopped", cut_off=self.callers.in_flight)
+        self.decisions.event("stopped", cut_off=self.callers.in_flight)
         self.lines.flush()
 
     def catch_signals(self) -> None:
--- a/sequoiabridge/relay/complaints.py
+++ b/sequoiabridge/relay/complaints.py
@@ -39,4 +39,4 @@
         self.told.move_to_end(key)
         if len(self.told) > MOST_REMEMBERED:
             self.told.popitem(last=False)
-        self.decisions.belief("entry-unusable", feed=feed, key=problem.key, why=why)
+        self.decisions.event("entry-unusable", feed=feed, key=problem.key, why=why)
--- a/sequoiabridge/relay/configuration.py
+++ b/sequoiabridge/relay/configuration.py
@@ -48,7 +48,7 @@
         if table.version <= self.version:
             return False
         was, self.table = self.version, table
-        self.decisions.belief("configuration", version=table.version, was=was)
+        self.decisions.event("configuration", version=table.version, was=was)
         self.on_change(table)
         return True
 
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -92,7 +92,7 @@
         news = self.ledger.seen(crashed.fingerprint, crashed.upstream, "", now, now)
         if news:
             stopped = crashed.fingerprint in self.ledger.stopped
-            self.decisions.belief(
+            self.decisions.event(
                 "request-crashed",
                 fingerprint=crashed.fingerprint,
                 upstream=crashed.upstream,
--- a/sequoiabridge/relay/decisions.py
+++ b/sequoiabridge/relay/decisions.py
@@ -22,7 +22,7 @@
 BAD_CALLS = (40.0, 200.0)
 """The same for all other calls: they are what people ask about."""
 
-BELIEFS = (100.0, 500.0)
+EVENT_LIMITS = (100.0, 500.0)
 """The same for everything else: a list of all upstreams may change at once."""
 
 PENDING = 64 * 1024
@@ -109,17 +109,21 @@
         self.vm = vm
         self.clock = clock
         self.write = write
-        self.good, self.bad, self.beliefs = Bucket(GOOD_CALLS), Bucket(BAD_CALLS), Bucket(BELIEFS)
+        self.good, self.bad, self.events = (
+            Bucket(GOOD_CALLS),
+            Bucket(BAD_CALLS),
+            Bucket(EVENT_LIMITS),
+        )
         self.written: dict[str, int] = {}
 
     @property
     def omitted(self) -> int:
         """Return how many lines the buckets left out."""
-        return self.good.omitted + self.bad.omitted + self.beliefs.omitted
+        return self.good.omitted + self.bad.omitted + self.events.omitted
 
-    def belief(self, event: str, **inputs: object) -> None:
+    def event(self, event: str, **inputs: object) -> None:
         """Write that the daemon believes something else now, or an event of its life."""
-        self._line(self.beliefs, event, inputs)
+        self._line(self.events, event, inputs)
 
     def call(self, good: bool, inputs: dict[str, object]) -> None:
         """Write what was decided about one call."""
@@ -150,4 +154,4 @@
         text = record.getMessage()
         if record.exc_info:
             text += "\n" + logging.Formatter().formatException(record.exc_info)
-        self.decisions.belief("log", level=record.levelname.lower(), text=text)
+        self.decisions.event("log", level=record.levelname.lower(), text=text)
--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -307,7 +307,7 @@
 
     def _history_lost(self) -> float:
         """Read everything next; return the seconds until then: 0, unless it happens in a row."""
-        self.decisions.belief("history-lost", feed=self.feed.name, version=self.version)
+        self.decisions.event("history-lost", feed=self.feed.name, version=self.version)
         self.version = None
         pause = 0.0 if not self.failures else FIRST_PAUSE * 2**self.failures
         self.failures += 1
@@ -319,7 +319,7 @@
         self.failures += 1
         if not self.lost:
             self.lost = True
-            self.decisions.belief("store-lost", feed=self.feed.name, why=str(error))
+            self.decisions.event("store-lost", feed=self.feed.name, why=str(error))
             self.on_lost()
         if self.patient:
             pause *= PATIENT_FACTOR
@@ -329,7 +329,7 @@
         self.failures = failures
         if self.lost:
             self.lost = False
-            self.decisions.belief("store-regained", feed=self.feed.name, version=self.version)
+            self.decisions.event("store-regained", feed=self.feed.name, version=self.version)
             self.on_regained()
 
     def dump(self) -> dict:
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -90,7 +90,7 @@
                 return
             except StoreUnavailable as error:
                 self.failed = True
-                self.decisions.belief("join-failed", why=str(error))
+                self.decisions.event("join-failed", why=str(error))
             await curio.sleep(pause * self.random.uniform(0.5, 1.0))
             pause = min(LONGEST_PAUSE, 2 * pause)
 
@@ -106,7 +106,7 @@
         for address in self.all:
             self.greet(self.me, address)
         self.joined = True
-        self.decisions.belief("joined", members=self.count, near=len(self.near))
+        self.decisions.event("joined", members=self.count, near=len(self.near))
 
     def _row(self) -> Write:
         me = self.me
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -121,7 +121,7 @@
     def _no_answer(self, upstream: Upstream, why: str) -> None:
         evidence = upstream.evidence
         if not evidence.silent:
-            self.decisions.belief("upstream-silent", upstream=upstream.id, why=why)
+            self.decisions.event("upstream-silent", upstream=upstream.id, why=why)
         evidence.ignored_probe(self.clock.now())
         self.tally.probes_unanswered += 1
 
@@ -132,9 +132,9 @@
             return
         evidence = upstream.evidence
         if evidence.silent:
-            self.decisions.belief("upstream-answers", upstream=upstream.id, after=evidence.silent)
+            self.decisions.event("upstream-answers", upstream=upstream.id, after=evidence.silent)
         if signals.healthy != evidence.healthy:
-            self.decisions.belief("upstream-health", upstream=upstream.id, healthy=signals.healthy)
+            self.decisions.event("upstream-health", upstream=upstream.id, healthy=signals.healthy)
         evidence.answered_probe(signals.healthy)
         if not signals.healthy:
             self.upstreams.said_unwell(upstream)
--- a/sequoiabridge/relay/reloading.py
+++ b/sequoiabridge/relay/reloading.py
@@ -41,12 +41,12 @@
         try:
             fresh = GatewaySettings.load(self.settings.source)
         except Invalid as error:
-            self.decisions.belief("reload-refused", why=str(error))
+            self.decisions.event("reload-refused", why=str(error))
             return
         self.settings.bounds = fresh.bounds
         self.costs.far_megabyte = fresh.choice.far_megabyte
         self.store.address = fresh.store.address
-        self.decisions.belief("reload", store=fresh.store.address)
+        self.decisions.event("reload", store=fresh.store.address)
 
 
 def modified(path: str) -> int:
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -154,7 +154,7 @@
         if upstream.replaced:
             return
         upstream.replaced = True
-        self.decisions.belief("upstream-replaced", upstream=upstream.id, address=upstream.address)
+        self.decisions.event("upstream-replaced", upstream=upstream.id, address=upstream.address)
         self.on_leave(upstream)
         self._arrange()
 
@@ -170,7 +170,7 @@
         known = self.by_id.get(record.id)
         latest = known.record.born if known is not None else self.departed.get(record.id)
         if is_older(record.born, latest):
-            self.decisions.belief("upstream-entry-old", upstream=record.id, born=record.born)
+            self.decisions.event("upstream-entry-old", upstream=record.id, born=record.born)
             return
         if known is not None and known.record.born != record.born:
             self._ends(known)
@@ -183,20 +183,20 @@
             self.on_leave(known)
         known.listed(record, now)
         if began:
-            self.decisions.belief("upstream-drains", upstream=record.id, version=self.version)
+            self.decisions.event("upstream-drains", upstream=record.id, version=self.version)
             self.on_leave(known)
 
     def _joins(self, record: UpstreamRecord, now: float) -> None:
         near = record.data_centre == self.data_centre
         self.by_id[record.id] = Upstream(record, near, now)
-        self.decisions.belief(
+        self.decisions.event(
             "upstream-joined", upstream=record.id, service=record.service, born=record.born
         )
 
     def _ends(self, upstream: Upstream) -> None:
         """An upstream has started again: what was known of it, and is open there, is over."""
         upstream.is_over = True
-        self.decisions.belief("upstream-restarted", upstream=upstream.id, version=self.version)
+        self.decisions.event("upstream-restarted", upstream=upstream.id, version=self.version)
         self.on_leave(upstream)
 
     def _missing(self, ids: list[str], now: float) -> None:
@@ -213,13 +213,13 @@
                 self._forget(upstream, "its entry is gone")
                 continue
             upstream.leaves_at = self.unsettled_until
-            self.decisions.belief("upstream-lapsed", upstream=id, kept_until=upstream.leaves_at)
+            self.decisions.event("upstream-lapsed", upstream=id, kept_until=upstream.leaves_at)
 
     def _forget(self, upstream: Upstream, why: str) -> None:
         del self.by_id[upstream.id]
         if upstream.record.born is not None:
             self._remember(upstream.id, upstream.record.born)
-        self.decisions.belief("upstream-gone", upstream=upstream.id, why=why, version=self.version)
+        self.decisions.event("upstream-gone", upstream=upstream.id, why=why, version=self.version)
         self.on_leave(upstream)
 
     def _counts(self, upstream: Upstream) -> bool:
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -249,7 +249,7 @@
         if needed == self.watching:
             return
         self.watching = needed
-        self.decisions.belief("watches-store" if needed else "leaves-store-to-others")
+        self.decisions.event("watches-store" if needed else "leaves-store-to-others")
         for follower in self.followers.values():
             await follower.set_active(needed)
 
@@ -325,7 +325,7 @@
                     follower.take_snapshot(found)
         except StoreUnavailable as error:
             self.heard.pop(source.vm, None)
-            self.decisions.belief("peer-unread", peer=source.vm, why=str(error))
+            self.decisions.event("peer-unread", peer=source.vm, why=str(error))
 
 
 def answered(beacons: list[Beacon]) -> list[Beacon]:
