--- a/sequoiabridge/relay/complaints.py
+++ b/sequoiabridge/relay/entry_errors.py
@@ -8,12 +8,12 @@
 from ..exceptions import BadEntry
 from .decisions import DecisionLog
 
-MOST_REMEMBERED = 200
+MAX_REMEMBERED = 200
 """Entries whose latest complaint is remembered; with more, an old one may be told of again. A
 foreign writer may leave hundreds, and each is read anew after lost history."""
 
 
-class Complaints:
+class EntryErrorLog:
     """What is wrong with entries, logged once for each entry and reason.
 
     Attributes:
@@ -22,21 +22,21 @@
 
     def __init__(self, decisions: DecisionLog):
         self.decisions = decisions
-        self.told: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self.logged: OrderedDict[tuple[str, str], str] = OrderedDict()
         self.count = 0
 
-    def heard(self, feed: str, problems: Iterable[BadEntry]) -> None:
+    def record(self, feed: str, problems: Iterable[BadEntry]) -> None:
         """Take in what was wrong with the entries of a reading."""
         for problem in problems:
-            self._heard(feed, problem)
+            self._record(feed, problem)
 
-    def _heard(self, feed: str, problem: BadEntry) -> None:
+    def _record(self, feed: str, problem: BadEntry) -> None:
         self.count += 1
         key, why = (feed, problem.key), str(problem)
-        if self.told.get(key) == why:
+        if self.logged.get(key) == why:
             return
-        self.told[key] = why
-        self.told.move_to_end(key)
-        if len(self.told) > MOST_REMEMBERED:
-            self.told.popitem(last=False)
+        self.logged[key] = why
+        self.logged.move_to_end(key)
+        if len(self.logged) > MAX_REMEMBERED:
+            self.logged.popitem(last=False)
         self.decisions.event("entry-unusable", feed=feed, key=problem.key, why=why)
--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -14,8 +14,8 @@
 from ..parts import Part
 from ..store.rows import Changes, Rows, StoredRow
 from ..timers import Clock
-from .complaints import Complaints
 from .decisions import DecisionLog
+from .entry_errors import EntryErrorLog
 
 LONGEST_WAIT = 25.0
 """Seconds that a question for changes waits in the store; it allows 30. Each question costs, a
@@ -205,7 +205,7 @@
         self.asked_at: float | None = None
         self.pending: curio.Task | None = None
         self.in_doubt = False
-        self.complaints = Complaints(decisions)
+        self.entry_errors = EntryErrorLog(decisions)
 
     async def set_active(self, active: bool) -> None:
         """Begin or end following; a question that waits in the store is not taken back."""
@@ -303,7 +303,7 @@
 
     def _took_in(self, update: Update[Entry]) -> None:
         self.version = update.version
-        self.complaints.heard(self.feed.name, update.problems)
+        self.entry_errors.record(self.feed.name, update.problems)
 
     def _history_lost(self) -> float:
         """Read everything next; return the seconds until then: 0, unless it happens in a row."""
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -18,8 +18,8 @@
 from ..parts import Part
 from ..store.rows import Write
 from ..store.tables import Tables
-from .complaints import Complaints
 from .decisions import DecisionLog
+from .entry_errors import EntryErrorLog
 from .messages import MOST_LINK, Hello
 
 TABLE = "daemons"
@@ -66,7 +66,7 @@
         self.decisions = decisions
         self.random = random
         self.greet = greet
-        self.complaints = Complaints(decisions)
+        self.entry_errors = EntryErrorLog(decisions)
         self.first_start = first_start
         self.joined = False
         self.failed = False
@@ -117,7 +117,7 @@
         try:
             hello = hello_of(vm, value or b"")
         except BadEntry as error:
-            self.complaints.heard(TABLE, [BadEntry(str(error), vm)])
+            self.entry_errors.record(TABLE, [BadEntry(str(error), vm)])
             return
         self.heard(hello)
 
--- a/sequoiabridge/relay/metrics.py
+++ b/sequoiabridge/relay/metrics.py
@@ -92,8 +92,8 @@
     yield "sequoia_store_calls", "Calls to the platform's store.", tally.store_calls
     yield "sequoia_store_failures", "Such calls without a good answer.", tally.store_failures
     yield "sequoia_connections_opened", "Connections to upstreams.", gateway.connector.opened
-    complaints = [follower.complaints.count for follower in gateway.followers.values()]
-    unusable = sum(complaints) + gateway.members.complaints.count
+    entry_errors = [follower.entry_errors.count for follower in gateway.followers.values()]
+    unusable = sum(entry_errors) + gateway.members.entry_errors.count
     yield "sequoia_entries_unusable", "Entries of the store that could not be used.", unusable
     yield "sequoia_log_omitted", "Lines left out of the log.", gateway.decisions.omitted
 
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -11,7 +11,7 @@
 from ...platform import client
 from ...platform.entries import upstream_record
 from ...platform.feeds import UpstreamFeed
-from ...relay.complaints import Complaints
+from ...relay.entry_errors import EntryErrorLog
 from ...relay.messages import LARGEST, decoded
 from ...relay.peers import decoded as decoded_rows
 from ...relay.upstreams import UpstreamList
@@ -223,11 +223,11 @@
 
 def test_hundreds_of_foreign_entries_are_told_of_once_each_and_counted():
     log, lines = decision_log()
-    complaints = Complaints(log)
+    entry_errors = EntryErrorLog(log)
     problems = [BadEntry("it is no JSON", f"x{n}") for n in range(150)]
     for _ in range(3):
-        complaints.heard("upstreams", problems)
+        entry_errors.record("upstreams", problems)
     assert [json.loads(line)["key"] for line in lines] == [f"x{n}" for n in range(150)]
-    assert complaints.count == 450
-    complaints.heard("upstreams", [BadEntry("its state is none", "x0")])
+    assert entry_errors.count == 450
+    entry_errors.record("upstreams", [BadEntry("its state is none", "x0")])
     assert json.loads(lines[-1])["why"] == "its state is none", "another reason is news"
