--- a/sequoiabridge/platform/dialect.py
+++ b/sequoiabridge/platform/dialect.py
@@ -8,7 +8,7 @@
 from ..exceptions import Refusal
 from ..pipeline.exchange import Answer, BytesBody, RawHeaders, Request, first_value
 from ..relay.dialect import Dialect
-from ..relay.signals import AnswerSignals, CallTerms, HealthSignals
+from ..relay.metadata import AnswerMetadata, CallMetadata, HealthMetadata
 from .names import (
     CALL_ID,
     ENCODING,
@@ -35,12 +35,12 @@
 class PlatformDialect(Dialect):
     """Reads and writes the platform's headers."""
 
-    def call_terms(self, request: Request) -> CallTerms:
-        patience = None
+    def call_metadata(self, request: Request) -> CallMetadata:
+        timeout = None
         text = request.header(TIME_LEFT)
         if text is not None and text.strip().isdigit():
-            patience = int(text) / MILLISECONDS
-        return CallTerms(request.header(CALL_ID) or b"", patience)
+            timeout = int(text) / MILLISECONDS
+        return CallMetadata(request.header(CALL_ID) or b"", timeout)
 
     def upstream_headers(
         self, request: Request, upstream: str, time_left: float
@@ -51,14 +51,14 @@
         headers.append((MEANT_FOR, upstream.encode()))
         return headers
 
-    def belongs(self, call_id: bytes, headers: RawHeaders) -> bool:
+    def is_answer_to(self, call_id: bytes, headers: RawHeaders) -> bool:
         named = first_value(headers, CALL_ID)
         return named is None or named == call_id
 
-    def answer_signals(self, answer: Answer) -> AnswerSignals:
+    def answer_metadata(self, answer: Answer) -> AnswerMetadata:
         headers = answer.headers
         other = answer.status == OTHER_UPSTREAM
-        return AnswerSignals(
+        return AnswerMetadata(
             not_run=other or first_value(headers, NOT_RUN) is not None,
             other_upstream=other,
             genuine=first_value(headers, SIGNATURE) is not None
@@ -66,9 +66,9 @@
             load=load_of(headers),
         )
 
-    def health_signals(self, answer: Answer) -> HealthSignals:
+    def health_metadata(self, answer: Answer) -> HealthMetadata:
         upstream = (first_value(answer.headers, UPSTREAM_ID) or b"").decode("latin-1")
-        return HealthSignals(answer.status == OK, upstream, load_of(answer.headers))
+        return HealthMetadata(answer.status == OK, upstream, load_of(answer.headers))
 
     def refusal(self, refusal: Refusal, call_id: str) -> Answer:
         said = {"error": str(refusal), "reason": refusal.reason.value, "id": call_id}
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -14,8 +14,8 @@
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
 from .call import RelayedCall
 from .dialect import Dialect
+from .metadata import AnswerMetadata
 from .sharing import Sharing
-from .signals import AnswerSignals
 
 MOST_BUFFERED = 256 * 1024
 """Bytes of an answer that are taken in before any of it goes to the caller, so that a broken one
@@ -47,7 +47,7 @@
         "open_call",
         "connection",
         "answer",
-        "signals",
+        "metadata",
     )
 
     def __init__(
@@ -68,7 +68,7 @@
         self.open_call = OpenCall(self.started, weighed.expected)
         self.connection: UpstreamConnection | None = None
         self.answer: Answer | None = None
-        self.signals: AnswerSignals | None = None
+        self.metadata: AnswerMetadata | None = None
 
     @property
     def seconds(self) -> float:
@@ -105,8 +105,8 @@
         self.sent = True
         await self.connection.send(request)
         answer = await self.connection.read_head()
-        self.signals = self.dialect.answer_signals(answer)
-        self.load = self.signals.load
+        self.metadata = self.dialect.answer_metadata(answer)
+        self.load = self.metadata.load
         if answer.body is not None:
             await take_in(answer)
         return answer
@@ -130,20 +130,20 @@
             raise UpstreamFailed("The deadline passed before anything was sent.", sent=False)
         headers = self.dialect.upstream_headers(request, self.upstream.id, left)
         return UpstreamRequest(
-            request.method, request.target, headers, request.length, request.body, self._belongs
+            request.method, request.target, headers, request.length, request.body, self._is_answer
         )
 
-    def _belongs(self, headers) -> bool:
-        return self.dialect.belongs(self.call.terms.id, headers)
+    def _is_answer(self, headers) -> bool:
+        return self.dialect.is_answer_to(self.call.metadata.id, headers)
 
     async def _judge(self, answer: Answer) -> None:
-        signals = self.signals
-        if signals.other_upstream:
+        metadata = self.metadata
+        if metadata.other_upstream:
             self.other_upstream = True
             self._end(Ending.NOT_RUN, "another upstream has its address")
-        elif signals.not_run:
+        elif metadata.not_run:
             self._end(Ending.NOT_RUN, f"refused with {answer.status}")
-        elif 200 <= answer.status < 300 and not signals.genuine:
+        elif 200 <= answer.status < 300 and not metadata.genuine:
             self._end(Ending.BROKEN, "a success that is not the upstream's own")
         else:
             self._takes(answer)
--- a/sequoiabridge/relay/call.py
+++ b/sequoiabridge/relay/call.py
@@ -7,7 +7,7 @@
 from ..exceptions import Refusal
 from ..pipeline.buffering import ReplayableBody
 from ..pipeline.exchange import Answer, Request
-from .signals import CallTerms
+from .metadata import CallMetadata
 
 
 class RelayedCall(Call):
@@ -21,13 +21,13 @@
         refusal: The answer that the daemon made itself, or None.
     """
 
-    __slots__ = ("id", "request", "terms", "version", "answer", "refusal")
+    __slots__ = ("id", "request", "metadata", "version", "answer", "refusal")
 
-    def __init__(self, call_id: str, request: Request, terms: CallTerms, arrived: float):
+    def __init__(self, call_id: str, request: Request, metadata: CallMetadata, arrived: float):
         super().__init__(arrived)
         self.id = call_id
         self.request = request
-        self.terms = terms
+        self.metadata = metadata
         self.length = request.length or 0
         self.version = 0
         self.answer: Answer | None = None
@@ -36,7 +36,7 @@
     def fall_under_version(self, route: Route, version: int) -> None:
         """Take in the terms of its route in a version of the configuration."""
         self.version = version
-        self.fall_under(route, self.terms.patience)
+        self.fall_under(route, self.metadata.timeout)
 
     def body_came(self, now: float) -> None:
         """Its body is in memory, or as much of it as is taken in before it is sent."""
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -68,7 +68,7 @@
         """Look whether an upstream died with a call, or answered one that was suspected."""
         if attempt.ending is Ending.ANSWERED:
             self._answered(call)
-        elif attempt.ending is Ending.BROKEN and attempt.signals is None:
+        elif attempt.ending is Ending.BROKEN and attempt.metadata is None:
             await curio.spawn(self._look(call, attempt), daemon=True)
 
     async def _look(self, call: RelayedCall, attempt: Attempt) -> None:
--- a/sequoiabridge/relay/dialect.py
+++ b/sequoiabridge/relay/dialect.py
@@ -6,14 +6,14 @@
 
 from ..exceptions import Refusal
 from ..pipeline.exchange import Answer, RawHeaders, Request
-from .signals import AnswerSignals, CallTerms, HealthSignals
+from .metadata import AnswerMetadata, CallMetadata, HealthMetadata
 
 
 class Dialect(ABC):
     """Reads and writes the headers that mean something to the balancer; decides nothing."""
 
     @abstractmethod
-    def call_terms(self, request: Request) -> CallTerms:
+    def call_metadata(self, request: Request) -> CallMetadata:
         """Return what a caller says of its call."""
 
     @abstractmethod
@@ -28,18 +28,18 @@
         """
 
     @abstractmethod
-    def belongs(self, call_id: bytes, headers: RawHeaders) -> bool:
+    def is_answer_to(self, call_id: bytes, headers: RawHeaders) -> bool:
         """Return False if an answer says that it belongs to another call than `call_id`.
 
         `call_id` is b"" for a health check, whose answer names no call.
         """
 
     @abstractmethod
-    def answer_signals(self, answer: Answer) -> AnswerSignals:
+    def answer_metadata(self, answer: Answer) -> AnswerMetadata:
         """Return what an upstream's answer says about itself."""
 
     @abstractmethod
-    def health_signals(self, answer: Answer) -> HealthSignals:
+    def health_metadata(self, answer: Answer) -> HealthMetadata:
         """Return what the answer to a health check says."""
 
     @abstractmethod
--- a/sequoiabridge/relay/signals.py
+++ b/sequoiabridge/relay/metadata.py
@@ -5,7 +5,7 @@
 from ..balancing.load import UpstreamLoad
 
 
-class CallTerms:
+class CallMetadata:
     """What a caller says of its call.
 
     Attributes:
@@ -13,14 +13,14 @@
         patience: Seconds from now that the caller waits for the answer; None if it did not say.
     """
 
-    __slots__ = ("id", "patience")
+    __slots__ = ("id", "timeout")
 
-    def __init__(self, id: bytes, patience: float | None):
+    def __init__(self, id: bytes, timeout: float | None):
         self.id = id
-        self.patience = patience
+        self.timeout = timeout
 
 
-class AnswerSignals:
+class AnswerMetadata:
     """What an upstream's answer says about itself.
 
     Attributes:
@@ -42,7 +42,7 @@
         self.load = load
 
 
-class HealthSignals:
+class HealthMetadata:
     """What an upstream's health answer says.
 
     Attributes:
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -108,15 +108,15 @@
     async def _exchange(self, connection: UpstreamConnection, upstream: Upstream) -> Answer:
         path = self.configuration.health_path(upstream.record.service)
         headers = [(b"host", upstream.address.encode()), *HEALTH_HEADERS]
-        request = UpstreamRequest(b"GET", path, headers, is_answer=self._belongs)
+        request = UpstreamRequest(b"GET", path, headers, is_answer=self._is_answer)
         await connection.send(request)
         answer = await connection.read_head()
         if answer.body is not None:
             await read_short(answer.body)
         return answer
 
-    def _belongs(self, headers) -> bool:
-        return self.dialect.belongs(NO_CALL, headers)
+    def _is_answer(self, headers) -> bool:
+        return self.dialect.is_answer_to(NO_CALL, headers)
 
     def _no_answer(self, upstream: Upstream, why: str) -> None:
         evidence = upstream.evidence
@@ -126,20 +126,20 @@
         self.tally.probes_unanswered += 1
 
     def _take_in(self, upstream: Upstream, answer: Answer) -> None:
-        signals = self.dialect.health_signals(answer)
-        if signals.upstream and signals.upstream != upstream.id:
+        metadata = self.dialect.health_metadata(answer)
+        if metadata.upstream and metadata.upstream != upstream.id:
             self.upstreams.was_replaced(upstream)
             return
         evidence = upstream.evidence
         if evidence.silent:
             self.decisions.event("upstream-answers", upstream=upstream.id, after=evidence.silent)
-        if signals.healthy != evidence.healthy:
-            self.decisions.event("upstream-health", upstream=upstream.id, healthy=signals.healthy)
-        evidence.answered_probe(signals.healthy)
-        if not signals.healthy:
+        if metadata.healthy != evidence.healthy:
+            self.decisions.event("upstream-health", upstream=upstream.id, healthy=metadata.healthy)
+        evidence.answered_probe(metadata.healthy)
+        if not metadata.healthy:
             self.upstreams.said_unwell(upstream)
-        if signals.load is not None:
-            self.sharing.reported(upstream, signals.load)
+        if metadata.load is not None:
+            self.sharing.reported(upstream, metadata.load)
 
 
 class ProbeRound:
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -68,9 +68,9 @@
 
     async def answer(self, request: Request) -> Answer:
         """Return the answer to a call: an upstream's, or the daemon's own refusal."""
-        terms = self.dialect.call_terms(request)
-        call_id = terms.id.decode("latin-1") or self.next_id()
-        call = RelayedCall(call_id, request, terms, self.clock.now())
+        metadata = self.dialect.call_metadata(request)
+        call_id = metadata.id.decode("latin-1") or self.next_id()
+        call = RelayedCall(call_id, request, metadata, self.clock.now())
         request.exchange = call
         try:
             call.answer = await self._relay(call)
@@ -99,7 +99,7 @@
 
     async def _relay(self, call: RelayedCall) -> Answer:
         call.fall_under_version(self._route(call), self.configuration.version)
-        call.has_waited(self.patience.waited(call.route.name, call.terms.patience))
+        call.has_waited(self.patience.waited(call.route.name, call.metadata.timeout))
         call.service = self.splitter.service_for(call.route)
         limit = self.configuration.table.limits.max_body
         await take_body(call.request, limit, call.deadline - self.clock.now())
