--- a/sequoiabridge/commands/experiment.py
+++ b/sequoiabridge/commands/experiment.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 
 from ..exceptions import SequoiaError
-from ..experiment.mechanisms import BadChange, changes_of
-from ..experiment.players import OWN, PLAYERS
+from ..experiment.mechanisms import ExperimentError, parse_overrides
+from ..experiment.players import OWN, STRATEGIES
 from ..experiment.plots import draw
 from ..experiment.scene import load_scene
-from ..experiment.trial import SHOWN, Trial, run
+from ..experiment.trial import REPORTED_FIELDS, Trial, run_trials
 from .tables import table
 
-MOST_JOBS = 64
+MAX_JOBS = 64
 ORACLE = "oracle"
 
 
@@ -39,50 +39,50 @@
         csv_file: File for the figures of each play.
         jobs: Processes at a time.
     """
-    trials = trials_of(set or [], without or [], players or [])
-    if not 1 <= jobs <= MOST_JOBS or seeds < 1:
-        raise BadChange(f"jobs are 1 to {MOST_JOBS}, seeds 1 at least: change the number")
-    played = load_scene(scene)
-    run(played, trials, seeds, jobs, show_progress)
-    columns = ["", *SHOWN, "to oracle"]
-    print("\n".join(table(columns, rows_of(trials))))
+    trials = build_trials(set or [], without or [], players or [])
+    if not 1 <= jobs <= MAX_JOBS or seeds < 1:
+        raise ExperimentError(f"jobs are 1 to {MAX_JOBS}, seeds 1 at least: change the number")
+    loaded_scene = load_scene(scene)
+    run_trials(loaded_scene, trials, seeds, jobs, show_progress)
+    columns = ["", *REPORTED_FIELDS, "to oracle"]
+    print("\n".join(table(columns, build_rows(trials))))
     if csv_file is not None:
         write_csv(csv_file, trials)
     if plot is not None:
-        draw(plot, played, trials)
+        draw(plot, loaded_scene, trials)
     return 0
 
 
-def trials_of(sets: list[str], without: list[str], players: list[str]) -> list[Trial]:
+def build_trials(sets: list[str], without: list[str], players: list[str]) -> list[Trial]:
     """Return the trials that the arguments ask for; the decisions as they are come first.
 
     Raises:
-        BadChange: Some name is not known; all such names are in the message.
+        ExperimentError: Some name is not known; all such names are in the message.
     """
-    unknown = [name for name in players if name not in PLAYERS]
-    problems = [f"no player {name!r}: name one of {', '.join(PLAYERS)}" for name in unknown]
+    unknown = [name for name in players if name not in STRATEGIES]
+    problems = [f"no player {name!r}: name one of {', '.join(STRATEGIES)}" for name in unknown]
     trials = [Trial(OWN)]
     for name, arguments in [
         *((" ".join(sets), (sets, [])) for _ in range(bool(sets))),
         *((f"without {mechanism}", ([], [mechanism])) for mechanism in without),
     ]:
         try:
-            trials.append(Trial(name, OWN, changes_of(*arguments)))
-        except BadChange as error:
+            trials.append(Trial(name, OWN, parse_overrides(*arguments)))
+        except ExperimentError as error:
             problems.append(str(error))
     if problems:
-        raise BadChange("; ".join(problems))
+        raise ExperimentError("; ".join(problems))
     trials += [Trial(name, name) for name in players]
     trials.append(Trial(ORACLE, ORACLE))
     return trials
 
 
-def rows_of(trials: list[Trial]) -> list[list[str]]:
+def build_rows(trials: list[Trial]) -> list[list[str]]:
     """Return a row for each trial: its means, and how far its worth is from the oracle's."""
-    bound = trials[-1].mean("worth").value
+    oracle_worth = trials[-1].mean("worth").value
     return [
-        [trial.name, *(str(trial.mean(name)) for name in SHOWN)]
-        + [f"{bound - trial.mean('worth').value:+.3f}"]
+        [trial.name, *(str(trial.mean(name)) for name in REPORTED_FIELDS)]
+        + [f"{oracle_worth - trial.mean('worth').value:+.3f}"]
         for trial in trials
     ]
 
@@ -96,10 +96,12 @@
     try:
         with path.open("w", newline="") as file:
             writer = csv.writer(file)
-            writer.writerow(["trial", "seed", *SHOWN])
+            writer.writerow(["trial", "seed", *REPORTED_FIELDS])
             for trial in trials:
-                for seed, figures in enumerate(trial.figures, 1):
-                    writer.writerow([trial.name, seed, *(getattr(figures, n) for n in SHOWN)])
+                for seed, result in enumerate(trial.results, 1):
+                    writer.writerow(
+                        [trial.name, seed, *(getattr(result, n) for n in REPORTED_FIELDS)]
+                    )
     except OSError as error:
         raise SequoiaError(f"{path} cannot be written ({error}): name another file.") from error
 
--- a/sequoiabridge/experiment/callers.py
+++ b/sequoiabridge/experiment/callers.py
@@ -5,22 +5,22 @@
 from random import Random
 
 from ..balancing.routes import Route, Target
-from .agenda import Agenda
-from .figures import Outcome, Record
-from .scene import Kind
+from .figures import RequestOutcome, RequestRecord
+from .scene import CallKind
+from .scheduler import Scheduler
 from .vm import ModelCall, ModelVm
 
-LONGEST_PAUSE_SHARE = 1 / 3
+MAX_RETRY_AFTER_SHARE = 1 / 3
 """Part of the time that a caller has left up to which it keeps to the pause that it is told."""
 
-LEAST_PATIENCE = 0.85
+MIN_TIMEOUT_SHARE = 0.85
 """Part of its kind's deadline that a caller waits at least; the users' differ by that much."""
 
-OWN_PAUSE = 0.1
+DEFAULT_RETRY_DELAY_SECONDS = 0.1
 """Seconds after which a caller comes back that was told no pause, or does not keep to it."""
 
 
-def route_of(kind: Kind) -> Route:
+def build_route(kind: CallKind) -> Route:
     """Return the terms that calls of a kind fall under."""
     target = (Target(kind.service, 1.0),)
     attempts = 2 if kind.idempotent else 1
@@ -36,86 +36,103 @@
     )
 
 
-class Errand:
+class CallerRequest:
     """What one caller wants, however often it must come for it.
 
     Attributes:
-        patience: Seconds that the caller waits in all.
-        abusive: How many times more it comes back, and at once; 0 for most.
+        caller_timeout: Seconds that the caller waits in all.
+        abuse_factor: How many times more it comes back, and at once; 0 for most.
     """
 
-    __slots__ = ("kind", "route", "work", "patience", "began", "left", "abusive", "record")
+    __slots__ = (
+        "kind",
+        "route",
+        "work",
+        "caller_timeout",
+        "started_at",
+        "retries_left",
+        "abuse_factor",
+        "record",
+    )
 
     def __init__(
         self,
-        kind: Kind,
+        kind: CallKind,
         route: Route,
         work: float,
-        patience: float,
-        began: float,
-        abusive: int,
+        caller_timeout: float,
+        started_at: float,
+        abuse_factor: int,
     ):
         self.kind = kind
         self.route = route
         self.work = work
-        self.patience = patience
-        self.began = began
-        self.left = int(kind.tries) * (1 + abusive)
-        self.abusive = abusive
-        self.record = Record(kind.name, began, kind.worth, kind.target)
+        self.caller_timeout = caller_timeout
+        self.started_at = started_at
+        self.retries_left = int(kind.tries) * (1 + abuse_factor)
+        self.abuse_factor = abuse_factor
+        self.record = RequestRecord(kind.name, started_at, kind.worth, kind.target)
 
 
 class Callers:
     """All callers of a scene; each call comes to a VM by chance, a later one to another."""
 
-    def __init__(self, vms: list[ModelVm], agenda: Agenda, random: Random):
+    def __init__(self, vms: list[ModelVm], scheduler: Scheduler, random: Random):
         self.vms = vms
-        self.agenda = agenda
+        self.scheduler = scheduler
         self.random = random
-        self.records: list[Record] = []
+        self.records: list[RequestRecord] = []
         self.abusive_share = 0.0
-        self.abuse = 0
-        self.factor = 1.0
+        self.abuse_factor = 0
+        self.rate_factor = 1.0
 
-    def begin(self, kind: Kind, until: float) -> None:
+    def start(self, kind: CallKind, until: float) -> None:
         """Let calls of a kind come until a time."""
-        self._next(kind, route_of(kind), until)
+        self._schedule_next(kind, build_route(kind), until)
 
-    def _next(self, kind: Kind, route: Route, until: float) -> None:
-        pause = self.random.expovariate(kind.per_second * self.factor)
-        if self.agenda.now() + pause < until:
-            self.agenda.after(pause, self._come, kind, route, until)
+    def _schedule_next(self, kind: CallKind, route: Route, until: float) -> None:
+        interval = self.random.expovariate(kind.per_second * self.rate_factor)
+        if self.scheduler.now() + interval < until:
+            self.scheduler.call_later(interval, self._arrive, kind, route, until)
 
-    def _come(self, kind: Kind, route: Route, until: float) -> None:
+    def _arrive(self, kind: CallKind, route: Route, until: float) -> None:
         work = kind.work * self.random.lognormvariate(0.0, kind.spread)
-        abusive = self.abuse if self.random.random() < self.abusive_share else 0
-        patience = kind.deadline * self.random.uniform(LEAST_PATIENCE, 1.0)
-        errand = Errand(kind, route, work, patience, self.agenda.now(), abusive)
-        self.records.append(errand.record)
-        self._call(errand)
-        self._next(kind, route, until)
-
-    def _call(self, errand: Errand) -> None:
-        now = self.agenda.now()
-        patience = errand.began + errand.patience - now
-        if patience <= 0.01:
+        abuse_factor = self.abuse_factor if self.random.random() < self.abusive_share else 0
+        caller_timeout = kind.deadline * self.random.uniform(MIN_TIMEOUT_SHARE, 1.0)
+        request = CallerRequest(
+            kind, route, work, caller_timeout, self.scheduler.now(), abuse_factor
+        )
+        self.records.append(request.record)
+        self._send(request)
+        self._schedule_next(kind, route, until)
+
+    def _send(self, request: CallerRequest) -> None:
+        now = self.scheduler.now()
+        caller_timeout = request.started_at + request.caller_timeout - now
+        if caller_timeout <= 0.01:
             return
         vm = self.random.choice(self.vms)
-        call = ModelCall(now, errand.work, lambda *answer: self._answered(errand, *answer))
-        call.route, call.service = errand.route, errand.kind.service
-        self.agenda.after(patience, vm.leave, call)
-        vm.take(call, patience)
+        call = ModelCall(now, request.work, lambda *answer: self._answered(request, *answer))
+        call.route, call.service = request.route, request.kind.service
+        self.scheduler.call_later(caller_timeout, vm.abandon, call)
+        vm.accept(call, caller_timeout)
 
-    def _answered(self, errand: Errand, status: int, pause: float | None) -> None:
-        now = self.agenda.now()
+    def _answered(self, request: CallerRequest, status: int, retry_after: float | None) -> None:
+        now = self.scheduler.now()
         if 200 <= status < 300:
-            errand.record.served(now, errand.kind.late_worth)
+            request.record.mark_served(now, request.kind.late_worth)
             return
-        errand.record.outcome = Outcome.REFUSED if status == 503 else Outcome.FAILED
-        may_repeat = errand.kind.idempotent or status == 503
-        left = errand.began + errand.patience - now
-        if not may_repeat or errand.left <= 0:
+        request.record.outcome = RequestOutcome.REFUSED if status == 503 else RequestOutcome.FAILED
+        may_retry = request.kind.idempotent or status == 503
+        time_left = request.started_at + request.caller_timeout - now
+        if not may_retry or request.retries_left <= 0:
             return
-        errand.left -= 1
-        kept = pause is not None and pause <= LONGEST_PAUSE_SHARE * left and not errand.abusive
-        self.agenda.after(pause if kept else OWN_PAUSE, self._call, errand)
+        request.retries_left -= 1
+        obeys = (
+            retry_after is not None
+            and retry_after <= MAX_RETRY_AFTER_SHARE * time_left
+            and not request.abuse_factor
+        )
+        self.scheduler.call_later(
+            retry_after if obeys else DEFAULT_RETRY_DELAY_SECONDS, self._send, request
+        )
--- a/sequoiabridge/experiment/figures.py
+++ b/sequoiabridge/experiment/figures.py
@@ -5,60 +5,60 @@
 from enum import Enum
 from math import sqrt
 
-WINDOW = 2.0
+WINDOW_SECONDS = 2.0
 """Seconds of one window; the worst two of a play count."""
 
-WORST_WINDOWS = 2
+WORST_WINDOW_COUNT = 2
 
-DAY, WORST, CLASS, SERVED = 0.28, 0.40, 0.12, 0.20
+WHOLE_RUN_WEIGHT, WORST_WINDOWS_WEIGHT, WORST_KIND_WEIGHT, SERVED_WEIGHT = 0.28, 0.40, 0.12, 0.20
 """Weights of the whole play, its worst windows, its worst kind of call, and the share served at
 all: the users' own."""
 
-PROBE_PRICE = 0.004
+PROBE_COST = 0.004
 """What a health check costs, in answers in time: the users' figure where they are dear."""
 
-NORMAL_95 = 1.96
+Z_95 = 1.96
 """Standard errors on either side of a mean that hold 95 of 100."""
 
 
-class Outcome(Enum):
+class RequestOutcome(Enum):
     """How a caller's errand ended."""
 
     IN_TIME = "in time"
     LATE = "late"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"
+    ABANDONED = "abandoned"
 
 
-class Record:
+class RequestRecord:
     """One caller's errand, from its first call on."""
 
-    __slots__ = ("kind", "began", "worth", "target", "outcome", "earned", "seconds")
+    __slots__ = ("kind", "started_at", "worth", "target", "outcome", "earned", "latency")
 
-    def __init__(self, kind: str, began: float, worth: float, target: float):
+    def __init__(self, kind: str, started_at: float, worth: float, target: float):
         self.kind = kind
-        self.began = began
+        self.started_at = started_at
         self.worth = worth
         self.target = target
-        self.outcome = Outcome.LEFT
+        self.outcome = RequestOutcome.ABANDONED
         self.earned = 0.0
-        self.seconds = 0.0
+        self.latency = 0.0
 
-    def served(self, now: float, late_worth: float) -> None:
+    def mark_served(self, now: float, late_worth: float) -> None:
         """It was answered well."""
-        self.seconds = now - self.began
-        in_time = self.seconds <= self.target
-        self.outcome = Outcome.IN_TIME if in_time else Outcome.LATE
+        self.latency = now - self.started_at
+        in_time = self.latency <= self.target
+        self.outcome = RequestOutcome.IN_TIME if in_time else RequestOutcome.LATE
         self.earned = self.worth if in_time else late_worth
 
 
-class Figures:
+class RunResult:
     """The figures of one play; shares are 0 to 1.
 
     Attributes:
         worth: Earned of what was owed, weighed as the users do, less health checks.
-        windows: Share in time of the calls that began in each window, by its start in seconds.
+        in_time_by_window: Share in time of the calls of each window, by its start in seconds.
         p99: Seconds within which 99 of 100 served calls were answered.
     """
 
@@ -71,68 +71,71 @@
         "p99",
         "probes_per_call",
         "hedges_per_call",
-        "windows",
-        "by_kind",
+        "in_time_by_window",
+        "earned_by_kind",
     )
 
-    def __init__(self, records: list[Record], probes: int, hedges: int):
+    def __init__(self, records: list[RequestRecord], probes: int, hedges: int):
         total = max(1, len(records))
-        owed = sum(record.worth for record in records) or 1.0
-        self.in_time = share_of(records, Outcome.IN_TIME)
-        self.late = share_of(records, Outcome.LATE)
-        self.refused = share_of(records, Outcome.REFUSED)
-        self.windows = by_window(records)
-        earned = {start: earned_share(some) for start, some in grouped(records).items()}
-        lowest = sorted(earned.values())[:WORST_WINDOWS] or [0.0]
+        total_worth = sum(record.worth for record in records) or 1.0
+        self.in_time = outcome_share(records, RequestOutcome.IN_TIME)
+        self.late = outcome_share(records, RequestOutcome.LATE)
+        self.refused = outcome_share(records, RequestOutcome.REFUSED)
+        self.in_time_by_window = in_time_share_by_window(records)
+        earned_by_window = {
+            start: earned_share(group) for start, group in group_by_window(records).items()
+        }
+        lowest = sorted(earned_by_window.values())[:WORST_WINDOW_COUNT] or [0.0]
         self.worst = sum(lowest) / len(lowest)
         kinds = {record.kind for record in records}
-        self.by_kind = {
+        self.earned_by_kind = {
             kind: earned_share([r for r in records if r.kind == kind]) for kind in kinds
         }
-        served = sorted(record.seconds for record in records if record.earned)
-        self.p99 = served[int(0.99 * len(served))] if served else 0.0
+        latencies = sorted(record.latency for record in records if record.earned)
+        self.p99 = latencies[int(0.99 * len(latencies))] if latencies else 0.0
         self.probes_per_call = probes / total
         self.hedges_per_call = hedges / total
-        self.worth = DAY * earned_share(records) + WORST * self.worst
-        self.worth += CLASS * min(self.by_kind.values(), default=0.0)
-        self.worth += SERVED * (self.in_time + self.late) - PROBE_PRICE * probes / owed
+        self.worth = WHOLE_RUN_WEIGHT * earned_share(records) + WORST_WINDOWS_WEIGHT * self.worst
+        self.worth += WORST_KIND_WEIGHT * min(self.earned_by_kind.values(), default=0.0)
+        self.worth += SERVED_WEIGHT * (self.in_time + self.late) - PROBE_COST * probes / total_worth
 
 
-def share_of(records: list[Record], outcome: Outcome) -> float:
+def outcome_share(records: list[RequestRecord], outcome: RequestOutcome) -> float:
     """Return the share of errands that ended in a way."""
     return sum(record.outcome is outcome for record in records) / max(1, len(records))
 
 
-def earned_share(records: list[Record]) -> float:
+def earned_share(records: list[RequestRecord]) -> float:
     """Return what was earned of what was owed."""
     return sum(r.earned for r in records) / (sum(r.worth for r in records) or 1.0)
 
 
-def grouped(records: list[Record]) -> dict[float, list[Record]]:
+def group_by_window(records: list[RequestRecord]) -> dict[float, list[RequestRecord]]:
     """Return the errands by the start of the window that they began in."""
-    found: dict[float, list[Record]] = {}
+    found: dict[float, list[RequestRecord]] = {}
     for record in records:
-        found.setdefault(record.began // WINDOW * WINDOW, []).append(record)
+        found.setdefault(record.started_at // WINDOW_SECONDS * WINDOW_SECONDS, []).append(record)
     return found
 
 
-def by_window(records: list[Record]) -> dict[float, float]:
+def in_time_share_by_window(records: list[RequestRecord]) -> dict[float, float]:
     """Return the share in time of each window, by its start."""
     return {
-        start: share_of(some, Outcome.IN_TIME) for start, some in sorted(grouped(records).items())
+        start: outcome_share(group, RequestOutcome.IN_TIME)
+        for start, group in sorted(group_by_window(records).items())
     }
 
 
 class Mean:
     """A mean over plays, and half the width of its 95% confidence interval."""
 
-    __slots__ = ("value", "half")
+    __slots__ = ("value", "half_width")
 
     def __init__(self, values: list[float]):
         count = len(values)
         self.value = sum(values) / count
-        spread = sum((value - self.value) ** 2 for value in values) / max(1, count - 1)
-        self.half = NORMAL_95 * sqrt(spread / count) if count > 1 else 0.0
+        variance = sum((value - self.value) ** 2 for value in values) / max(1, count - 1)
+        self.half_width = Z_95 * sqrt(variance / count) if count > 1 else 0.0
 
     def __str__(self) -> str:
-        return f"{self.value:.3f} ±{self.half:.3f}"
+        return f"{self.value:.3f} ±{self.half_width:.3f}"
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -44,58 +44,58 @@
 """What switches each mechanism off. Sharing of words is a scene's `words_lost`."""
 
 
-class BadChange(SequoiaError):
+class ExperimentError(SequoiaError):
     """An experiment names something that cannot be changed; the message says what can."""
 
     exit_code = 2
 
 
-def changes_of(sets: list[str], without: list[str]) -> dict[str, float]:
+def parse_overrides(sets: list[str], without: list[str]) -> dict[str, float]:
     """Return the limits to set, by name, from `NAME=VALUE` texts and names of mechanisms.
 
     Raises:
-        BadChange: Some cannot be; all of them are named.
+        ExperimentError: Some cannot be; all of them are named.
     """
-    found: dict[str, float] = {}
+    overrides: dict[str, float] = {}
     problems: list[str] = []
     for text in sets:
         name, _, value = text.partition("=")
-        problem = _problem(name, value)
+        problem = _check_override(name, value)
         if problem:
             problems.append(problem)
         else:
-            found[name] = float(value)
+            overrides[name] = float(value)
     for mechanism in without:
         if mechanism in WITHOUT:
-            found.update(WITHOUT[mechanism])
+            overrides.update(WITHOUT[mechanism])
         else:
             problems.append(f"no mechanism {mechanism!r}: name one of {', '.join(WITHOUT)}")
     if problems:
-        raise BadChange("; ".join(problems))
-    return found
+        raise ExperimentError("; ".join(problems))
+    return overrides
 
 
-def limits() -> dict[str, float]:
+def tunable_constants() -> dict[str, float]:
     """Return all limits that can be set, by name."""
-    found: dict[str, float] = {}
+    constants: dict[str, float] = {}
     for module in MODULES:
-        for name, value in vars(_module(module)).items():
+        for name, value in vars(_import_balancing_module(module)).items():
             if name.isupper() and type(value) in (int, float):
-                found[f"{module}.{name}"] = value
-    return found
+                constants[f"{module}.{name}"] = value
+    return constants
 
 
-def apply(changes: dict[str, float]) -> None:
+def apply_overrides(overrides: dict[str, float]) -> None:
     """Set limits in this process; a whole number stays one."""
-    known = limits()
-    for name, value in changes.items():
-        module, _, limit = name.partition(".")
-        whole = type(known[name]) is int and value == int(value)
-        setattr(_module(module), limit, int(value) if whole else value)
+    known = tunable_constants()
+    for name, value in overrides.items():
+        module, _, constant = name.partition(".")
+        is_integer = type(known[name]) is int and value == int(value)
+        setattr(_import_balancing_module(module), constant, int(value) if is_integer else value)
 
 
-def _problem(name: str, value: str) -> str:
-    if name not in limits():
+def _check_override(name: str, value: str) -> str:
+    if name not in tunable_constants():
         return f"no limit {name!r}: name one as module.NAME, such as chooser.HOLD_SHARE"
     try:
         float(value)
@@ -104,5 +104,5 @@
     return ""
 
 
-def _module(name: str):
+def _import_balancing_module(name: str):
     return import_module(f"..balancing.{name}", __package__)
--- a/sequoiabridge/experiment/play.py
+++ b/sequoiabridge/experiment/play.py
@@ -4,94 +4,98 @@
 
 from random import Random
 
-from .agenda import Agenda
 from .callers import Callers
-from .figures import Figures
-from .players import maker
+from .figures import RunResult
+from .players import chooser_factory
 from .scene import Fault, Scene
+from .scheduler import Scheduler
 from .upstream import ModelUpstream
 from .vm import ModelVm
 
-AFTER = 12.0
+DRAIN_SECONDS = 12.0
 """Seconds beyond the last call in which neighbours still change; callers have left by then."""
 
 
-class Play:
+class Simulation:
     """One play of a scene with one seed and one way to choose upstreams."""
 
-    def __init__(self, scene: Scene, seed: int, player: str):
+    def __init__(self, scene: Scene, seed: int, strategy: str):
         self.scene = scene
-        self.agenda = Agenda()
+        self.scheduler = Scheduler()
         self.random = Random(seed)
-        self.upstreams = self._upstreams(seed)
-        make = maker(player, {upstream.id: upstream for upstream in self.upstreams})
+        self.upstreams = self._build_upstreams(seed)
+        make_chooser = chooser_factory(
+            strategy, {upstream.id: upstream for upstream in self.upstreams}
+        )
         self.vms = [
-            ModelVm(n, scene, self.upstreams, self.agenda, Random(f"{seed}/{n}"), make)
+            ModelVm(n, scene, self.upstreams, self.scheduler, Random(f"{seed}/{n}"), make_chooser)
             for n in range(scene.vms)
         ]
         for vm in self.vms:
-            vm.peers = [peer for peer in self.vms if peer.place == vm.place and peer is not vm]
-        self.callers = Callers(self.vms, self.agenda, Random(f"{seed}/callers"))
+            vm.peers = [
+                peer for peer in self.vms if peer.data_centre == vm.data_centre and peer is not vm
+            ]
+        self.callers = Callers(self.vms, self.scheduler, Random(f"{seed}/callers"))
 
-    def run(self) -> Figures:
-        """Play to the end."""
+    def run(self) -> RunResult:
+        """Run to the end."""
         scene = self.scene
         for upstream in self.upstreams:
-            upstream.neighbours_change(scene.seconds + AFTER)
+            upstream.redraw_neighbours(scene.seconds + DRAIN_SECONDS)
         for fault in scene.faults:
-            self.agenda.after(fault.at, self._begin, fault)
+            self.scheduler.call_later(fault.at, self._start_fault, fault)
         for kind in scene.kinds:
-            self.callers.begin(kind, scene.seconds)
-        self.agenda.run()
-        dispatches = [dispatch for vm in self.vms for dispatch in vm.retired]
+            self.callers.start(kind, scene.seconds)
+        self.scheduler.run()
+        dispatches = [dispatch for vm in self.vms for dispatch in vm.dispatches]
         hedges = sum(dispatch.hedges for dispatch in dispatches)
-        return Figures(self.callers.records, sum(vm.asked for vm in self.vms), hedges)
+        return RunResult(self.callers.records, sum(vm.probes_sent for vm in self.vms), hedges)
 
-    def _upstreams(self, seed: int) -> list[ModelUpstream]:
-        made = []
+    def _build_upstreams(self, seed: int) -> list[ModelUpstream]:
+        built = []
         for service in self.scene.services:
             for number in range(service.upstreams):
                 id = f"{service.name}-{number}"
                 random = Random(f"{seed}/{id}")
-                place = number % self.scene.data_centres
-                made.append(ModelUpstream(id, place, service, self.agenda, random))
-        return made
+                data_centre = number % self.scene.data_centres
+                built.append(ModelUpstream(id, data_centre, service, self.scheduler, random))
+        return built
 
-    def _some(self, things: list, share: float) -> list:
-        return self.random.sample(things, round(share * len(things)))
+    def _sample(self, items: list, share: float) -> list:
+        return self.random.sample(items, round(share * len(items)))
 
-    def _begin(self, fault: Fault) -> None:
+    def _start_fault(self, fault: Fault) -> None:
         if fault.kind == "burst":
-            self.callers.factor *= fault.factor
-            self.agenda.after(fault.seconds, self._end_burst, fault.factor)
+            self.callers.rate_factor *= fault.factor
+            self.scheduler.call_later(fault.seconds, self._end_burst, fault.factor)
         elif fault.kind == "abuse":
-            self.callers.abusive_share, self.callers.abuse = fault.share, round(fault.factor)
-            self.agenda.after(fault.seconds, setattr, self.callers, "abusive_share", 0.0)
+            self.callers.abusive_share, self.callers.abuse_factor = fault.share, round(fault.factor)
+            self.scheduler.call_later(fault.seconds, setattr, self.callers, "abusive_share", 0.0)
         elif fault.kind == "restart":
-            for vm in self._some(self.vms, fault.share):
+            for vm in self._sample(self.vms, fault.share):
                 vm.restart()
         elif fault.kind == "deaf":
-            for vm in self._some(self.vms, fault.share):
-                vm.deaf = True
-                self.agenda.after(fault.seconds, setattr, vm, "deaf", False)
+            for vm in self._sample(self.vms, fault.share):
+                vm.isolated = True
+                self.scheduler.call_later(fault.seconds, setattr, vm, "isolated", False)
         else:
-            self._harm(fault)
+            self._start_upstream_fault(fault)
 
     def _end_burst(self, factor: float) -> None:
-        self.callers.factor /= factor
+        self.callers.rate_factor /= factor
 
-    def _harm(self, fault: Fault) -> None:
+    def _start_upstream_fault(self, fault: Fault) -> None:
         """Let a fault of upstreams begin, and end in its time."""
-        name, value, usual = {
-            "slow": ("slow", fault.factor, 1.0),
-            "shed": ("shed", fault.factor, 0.0),
-            "dark": ("dark", True, False),
+        name, value, normal = {
+            "slow": ("fault_slowdown", fault.factor, 1.0),
+            "shed": ("shed_share", fault.factor, 0.0),
+            "dark": ("unresponsive", True, False),
         }[fault.kind]
-        for upstream in self._some(self.upstreams, fault.share):
+        for upstream in self._sample(self.upstreams, fault.share):
             upstream.set_fault(name, value)
-            self.agenda.after(fault.seconds, upstream.set_fault, name, usual)
+            self.scheduler.call_later(fault.seconds, upstream.set_fault, name, normal)
 
 
-def play(scene: Scene, seed: int, player: str) -> Figures:
+def simulate(scene: Scene, seed: int, strategy: str) -> RunResult:
     """Return the figures of one play."""
-    return Play(scene, seed, player).run()
+    return Simulation(scene, seed, strategy).run()
--- a/sequoiabridge/experiment/plots.py
+++ b/sequoiabridge/experiment/plots.py
@@ -8,10 +8,10 @@
 from .scene import Scene
 from .trial import Trial
 
-SIZE = (9.0, 4.5)
+FIGURE_SIZE_INCHES = (9.0, 4.5)
 """Inches."""
 
-SHADE = "0.9"
+FAULT_COLOUR = "0.9"
 
 
 def draw(path: Path, scene: Scene, trials: list[Trial]) -> None:
@@ -27,12 +27,12 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(figsize=SIZE)
+    figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
     for fault in scene.faults:
-        axes.axvspan(fault.at, fault.at + fault.seconds, color=SHADE, zorder=0)
+        axes.axvspan(fault.at, fault.at + fault.seconds, color=FAULT_COLOUR, zorder=0)
     for trial in trials:
-        starts = sorted({start for figures in trial.figures for start in figures.windows})
-        means = [mean_at(trial, start) for start in starts]
+        starts = sorted({start for result in trial.results for start in result.in_time_by_window})
+        means = [mean_in_time_share(trial, start) for start in starts]
         axes.plot(starts, means, label=trial.name)
     axes.set(xlabel="seconds", ylabel="share in time", ylim=(0.0, 1.02), title=scene.name)
     axes.legend(fontsize="small")
@@ -42,7 +42,11 @@
         raise SequoiaError(f"{path} cannot be written ({error}): name another file.") from error
 
 
-def mean_at(trial: Trial, start: float) -> float:
+def mean_in_time_share(trial: Trial, start: float) -> float:
     """Return the mean share in time of one window over the seeds that have it."""
-    found = [figures.windows[start] for figures in trial.figures if start in figures.windows]
-    return sum(found) / len(found)
+    shares = [
+        result.in_time_by_window[start]
+        for result in trial.results
+        if start in result.in_time_by_window
+    ]
+    return sum(shares) / len(shares)
--- a/sequoiabridge/experiment/scene.py
+++ b/sequoiabridge/experiment/scene.py
@@ -7,13 +7,13 @@
 
 from ..exceptions import SequoiaError
 
-SECONDS = (0.1, 3600.0)
-COUNT = (1, 1000)
-SHARE = (0.0, 1.0)
-FACTOR = (0.0, 1000.0)
+SECONDS_RANGE = (0.1, 3600.0)
+COUNT_RANGE = (1, 1000)
+SHARE_RANGE = (0.0, 1.0)
+FACTOR_RANGE = (0.0, 1000.0)
 
 
-class BadScene(SequoiaError):
+class SceneError(SequoiaError):
     """A scene cannot be played; the message names each fault and its remedy."""
 
     exit_code = 2
@@ -44,7 +44,7 @@
     )
 
 
-class Kind:
+class CallKind:
     """Calls of one kind; times in seconds.
 
     Attributes:
@@ -122,44 +122,44 @@
     )
 
 
-NUMBERS = {
+NUMBER_FIELDS = {
     Scene: {
-        "seconds": (30.0, SECONDS),
-        "vms": (14, COUNT),
-        "data_centres": (4, COUNT),
-        "near": (0.0003, SHARE),
-        "far": (0.0014, SHARE),
-        "words_lost": (0.0, SHARE),
-        "probes_per_second": (60.0, FACTOR),
-        "far_megabyte": (20.0, FACTOR),
+        "seconds": (30.0, SECONDS_RANGE),
+        "vms": (14, COUNT_RANGE),
+        "data_centres": (4, COUNT_RANGE),
+        "near": (0.0003, SHARE_RANGE),
+        "far": (0.0014, SHARE_RANGE),
+        "words_lost": (0.0, SHARE_RANGE),
+        "probes_per_second": (60.0, FACTOR_RANGE),
+        "far_megabyte": (20.0, FACTOR_RANGE),
     },
     Service: {
-        "upstreams": (None, COUNT),
-        "slots": (4, COUNT),
+        "upstreams": (None, COUNT_RANGE),
+        "slots": (4, COUNT_RANGE),
         "queue": (8, (0, 1000)),
-        "full_from": (0.8, FACTOR),
-        "full_factor": (1.7, FACTOR),
-        "noisy_share": (0.25, SHARE),
-        "noisy_factor": (4.0, FACTOR),
-        "noisy_every": (0.3, SECONDS),
+        "full_from": (0.8, FACTOR_RANGE),
+        "full_factor": (1.7, FACTOR_RANGE),
+        "noisy_share": (0.25, SHARE_RANGE),
+        "noisy_factor": (4.0, FACTOR_RANGE),
+        "noisy_every": (0.3, SECONDS_RANGE),
     },
-    Kind: {
+    CallKind: {
         "per_second": (None, (0.01, 100_000.0)),
         "work": (None, (0.0001, 60.0)),
-        "spread": (0.3, SHARE),
-        "target": (None, SECONDS),
-        "deadline": (None, SECONDS),
-        "timeout": (None, SECONDS),
-        "worth": (1.0, FACTOR),
-        "late_worth": (0.1, FACTOR),
+        "spread": (0.3, SHARE_RANGE),
+        "target": (None, SECONDS_RANGE),
+        "deadline": (None, SECONDS_RANGE),
+        "timeout": (None, SECONDS_RANGE),
+        "worth": (1.0, FACTOR_RANGE),
+        "late_worth": (0.1, FACTOR_RANGE),
         "priority": (1, (0, 100)),
         "tries": (2, (0, 20)),
     },
     Fault: {
         "at": (None, (0.0, 3600.0)),
         "seconds": (1.0, (0.0, 3600.0)),
-        "share": (1.0, SHARE),
-        "factor": (1.0, FACTOR),
+        "share": (1.0, SHARE_RANGE),
+        "factor": (1.0, FACTOR_RANGE),
     },
 }
 """Default (None where a number must be given) and bounds of each number."""
@@ -169,12 +169,12 @@
     """Return the scene of a file.
 
     Raises:
-        BadScene: It cannot be played; all faults are named.
+        SceneError: It cannot be played; all faults are named.
     """
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadScene(f"{path}: cannot be read ({error}). Name a scene's file.") from error
+        raise SceneError(f"{path}: cannot be read ({error}). Name a scene's file.") from error
     return parse_scene(text, path.stem)
 
 
@@ -182,53 +182,59 @@
     """Return the scene that a TOML text describes.
 
     Raises:
-        BadScene: It cannot be played; all faults are named.
+        SceneError: It cannot be played; all faults are named.
     """
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise BadScene(f"{name}: no TOML: {error}. Mend that line.") from error
+        raise SceneError(f"{name}: no TOML: {error}. Mend that line.") from error
     problems: list[str] = []
-    scene = _filled(Scene, document, name, problems, {"service", "kind", "fault"})
+    scene = _parse_table(Scene, document, name, problems, {"service", "kind", "fault"})
     scene.name = name
-    scene.services = _each(Service, document, "service", problems, {"name"})
-    scene.kinds = _each(Kind, document, "kind", problems, {"name", "service", "idempotent"})
-    scene.faults = _each(Fault, document, "fault", problems, {"kind"})
-    _check(scene, problems)
+    scene.services = _parse_tables(Service, document, "service", problems, {"name"})
+    scene.kinds = _parse_tables(
+        CallKind, document, "kind", problems, {"name", "service", "idempotent"}
+    )
+    scene.faults = _parse_tables(Fault, document, "fault", problems, {"kind"})
+    _validate(scene, problems)
     if problems:
-        raise BadScene(f"{name}: " + "; ".join(problems))
+        raise SceneError(f"{name}: " + "; ".join(problems))
     return scene
 
 
-def _each(kind: type, document: dict, key: str, problems: list[str], more: set[str]) -> list:
+def _parse_tables(
+    scene_type: type, document: dict, key: str, problems: list[str], other_keys: set[str]
+) -> list:
     tables = document.get(key, [])
     if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
         problems.append(f"{key} is no list of tables: write [[{key}]]")
         return []
     return [
-        _filled(kind, table, f"{key} {place}", problems, more)
-        for place, table in enumerate(tables, 1)
+        _parse_table(scene_type, table, f"{key} {index}", problems, other_keys)
+        for index, table in enumerate(tables, 1)
     ]
 
 
-def _filled(kind: type, table: dict, where: str, problems: list[str], more: set[str]):
+def _parse_table(
+    scene_type: type, table: dict, where: str, problems: list[str], other_keys: set[str]
+):
     """Return an object of a kind with its numbers from a table."""
-    made, numbers = kind(), NUMBERS[kind]
-    for unknown in sorted(set(table) - set(numbers) - more):
+    parsed, numbers = scene_type(), NUMBER_FIELDS[scene_type]
+    for unknown in sorted(set(table) - set(numbers) - other_keys):
         problems.append(f"{where}: {unknown} is not known: leave it out")
-    for name, (default, (least, most)) in numbers.items():
+    for name, (default, (low, high)) in numbers.items():
         value = table.get(name, default)
         if value is None:
-            problems.append(f"{where}: {name} is missing: give a number from {least} to {most}")
-        elif type(value) not in (int, float) or not least <= value <= most:
-            problems.append(f"{where}: {name} is {value!r}: give a number from {least} to {most}")
-        setattr(made, name, value)
-    for name in more & set(kind.__slots__):
-        setattr(made, name, table.get(name, False if name == "idempotent" else ""))
-    return made
+            problems.append(f"{where}: {name} is missing: give a number from {low} to {high}")
+        elif type(value) not in (int, float) or not low <= value <= high:
+            problems.append(f"{where}: {name} is {value!r}: give a number from {low} to {high}")
+        setattr(parsed, name, value)
+    for name in other_keys & set(scene_type.__slots__):
+        setattr(parsed, name, table.get(name, False if name == "idempotent" else ""))
+    return parsed
 
 
-def _check(scene: Scene, problems: list[str]) -> None:
+def _validate(scene: Scene, problems: list[str]) -> None:
     names = [service.name for service in scene.services]
     if not scene.services or not scene.kinds:
         problems.append("a scene needs a [[service]] and a [[kind]] at least: add them")
--- a/sequoiabridge/experiment/agenda.py
+++ b/sequoiabridge/experiment/scheduler.py
@@ -8,13 +8,13 @@
 from ..timers import Clock
 
 
-class Agenda(Clock):
+class Scheduler(Clock):
     """Events by time, and the clock that they run on; starts at zero."""
 
     def __init__(self) -> None:
         self.time = 0.0
         self.events: list[tuple[float, int, Callable, tuple]] = []
-        self.entered = 0
+        self.sequence = 0
 
     def now(self) -> float:
         """Return the simulated seconds since the start."""
@@ -24,13 +24,13 @@
         """Return the same: nothing here asks for the time of day."""
         return self.time
 
-    def after(self, seconds: float, action: Callable, *arguments: object) -> None:
-        """Call `action(*arguments)` in so many seconds."""
-        self.entered += 1
-        heappush(self.events, (self.time + seconds, self.entered, action, arguments))
+    def call_later(self, seconds: float, callback: Callable, *arguments: object) -> None:
+        """Call `callback(*arguments)` in so many seconds."""
+        self.sequence += 1
+        heappush(self.events, (self.time + seconds, self.sequence, callback, arguments))
 
     def run(self) -> None:
         """Run until nothing is left to happen."""
         while self.events:
-            self.time, _, action, arguments = heappop(self.events)
-            action(*arguments)
+            self.time, _, callback, arguments = heappop(self.events)
+            callback(*arguments)
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -20,11 +20,11 @@
 from ..balancing.steps import Ask, GiveUp, Pause, Remind, Send, Step
 from ..balancing.upstream import Upstream, UpstreamRecord
 from ..exceptions import Refusal
-from .agenda import Agenda
 from .scene import Scene
+from .scheduler import Scheduler
 from .upstream import Job, ModelUpstream
 
-RETRY_RATIO, RETRY_WINDOW, RETRY_SLACK = 0.2, 10.0, 60.0
+RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_FLOOR = 0.2, 10.0, 60.0
 """Repeats for each call, seconds that they are counted over, and those allowed beside them."""
 
 
@@ -33,34 +33,41 @@
 
     Attributes:
         work: Seconds of work that it needs.
-        answered: Called with the status of the answer and the pause that a refusal tells.
+        on_answer: Called with the status of the answer and the pause that a refusal tells.
     """
 
-    __slots__ = ("work", "answered", "way", "jobs", "turn")
+    __slots__ = ("work", "on_answer", "steps", "jobs", "generation")
 
-    def __init__(self, arrived: float, work: float, answered: Callable[[int, float | None], None]):
+    def __init__(self, arrived: float, work: float, on_answer: Callable[[int, float | None], None]):
         super().__init__(arrived)
         self.work = work
-        self.answered = answered
-        self.way = None
+        self.on_answer = on_answer
+        self.steps = None
         self.jobs: dict[Try, Job] = {}
-        self.turn = 0
+        self.generation = 0
 
 
-class Listed(UpstreamSource):
+class StaticUpstreams(UpstreamSource):
     """The upstreams that a VM knows of: all, from the start."""
 
-    def __init__(self, models: list[ModelUpstream], place: int):
+    def __init__(self, models: list[ModelUpstream], data_centre: int):
         self.models = {model.id: model for model in models}
         self.by_id: dict[str, Upstream] = {}
         self.by_service: dict[str, list[Upstream]] = {}
         for model in models:
             record = UpstreamRecord(
-                model.id, model.terms.name, "", str(model.place), model.terms.slots, False, 0.0, ""
+                model.id,
+                model.service.name,
+                "",
+                str(model.data_centre),
+                model.service.slots,
+                False,
+                0.0,
+                "",
             )
-            upstream = Upstream(record, model.place == place, 0.0)
+            upstream = Upstream(record, model.data_centre == data_centre, 0.0)
             self.by_id[model.id] = upstream
-            self.by_service.setdefault(model.terms.name, []).append(upstream)
+            self.by_service.setdefault(model.service.name, []).append(upstream)
 
     def of_service(self, service: str) -> list[Upstream]:
         return self.by_service.get(service, [])
@@ -74,8 +81,8 @@
 
     Attributes:
         peers: The other VMs of its data centre, which hear of its calls.
-        deaf: It neither hears nor tells anything.
-        asked: Health checks that it sent.
+        isolated: It neither hears nor tells anything.
+        probes_sent: Health checks that it sent.
     """
 
     def __init__(
@@ -83,204 +90,216 @@
         number: int,
         scene: Scene,
         models: list[ModelUpstream],
-        agenda: Agenda,
+        scheduler: Scheduler,
         random: Random,
         make_chooser: Callable[..., Chooser],
     ):
         self.name = f"vm-{number}"
-        self.place = number % scene.data_centres
+        self.data_centre = number % scene.data_centres
         self.scene = scene
         self.models = models
-        self.agenda = agenda
+        self.scheduler = scheduler
         self.random = random
         self.make_chooser = make_chooser
         self.peers: list[ModelVm] = []
-        self.deaf = False
-        self.asked = 0
-        self.retired: list[Dispatch] = []
+        self.isolated = False
+        self.probes_sent = 0
+        self.dispatches: list[Dispatch] = []
         self.restart()
 
     def restart(self) -> None:
         """Begin with nothing known."""
-        self.known = Listed(self.models, self.place)
+        self.upstreams = StaticUpstreams(self.models, self.data_centre)
         self.allowance = ProbeAllowance(self.scene.probes_per_second)
         self.allowance.vms = self.scene.vms
         self.patience = Patience()
         costs = Costs(self.scene.far_megabyte)
-        chooser = self.make_chooser(Candidates(self.name, self.known), costs, self)
+        chooser = self.make_chooser(Candidates(self.name, self.upstreams), costs, self)
         self.dispatch = Dispatch(
             chooser,
-            Hedging(chooser, costs, self.agenda),
+            Hedging(chooser, costs, self.scheduler),
             Learning(costs, self),
-            self.agenda,
-            lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW, RETRY_SLACK),
+            self.scheduler,
+            lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_FLOOR),
         )
-        self.retired.append(self.dispatch)
+        self.dispatches.append(self.dispatch)
 
-    def take(self, call: ModelCall, patience: float) -> None:
+    def accept(self, call: ModelCall, caller_timeout: float) -> None:
         """A call has come whose route is known already."""
-        call.fall_under(call.route, patience)
-        call.has_waited(self.patience.waited(call.route.name, patience))
-        call.way = self.dispatch.way(call)
-        self._go_on(call, None)
+        call.fall_under(call.route, caller_timeout)
+        call.has_waited(self.patience.waited(call.route.name, caller_timeout))
+        call.steps = self.dispatch.way(call)
+        self._advance(call, None)
 
-    def leave(self, call: ModelCall) -> None:
+    def abandon(self, call: ModelCall) -> None:
         """The caller has left."""
-        if call.way is not None:
-            self._over(call)
+        if call.steps is not None:
+            self._close(call)
 
-    def _go_on(self, call: ModelCall, found: Try | None) -> None:
+    def _advance(self, call: ModelCall, result: Try | None) -> None:
         """Take the next step of a call."""
-        call.turn += 1
+        call.generation += 1
         try:
-            step = call.way.send(found)
+            step = call.steps.send(result)
         except StopIteration as end:
             self._answer(call, end.value.status, None)
         except Refusal as refusal:
             self._answer(call, refusal.status, refusal.retry_after)
         else:
-            self._take(call, step)
+            self._execute(call, step)
 
-    def _answer(self, call: ModelCall, status: int, pause: float | None) -> None:
-        self._over(call)
-        call.answered(status, pause)
+    def _answer(self, call: ModelCall, status: int, retry_after: float | None) -> None:
+        self._close(call)
+        call.on_answer(status, retry_after)
 
-    def _over(self, call: ModelCall) -> None:
-        call.way = None
-        call.turn += 1
+    def _close(self, call: ModelCall) -> None:
+        call.steps = None
+        call.generation += 1
         for attempt in call.open:
-            self._give_up(call, attempt)
+            self._cancel(call, attempt)
             if attempt.ending is Ending.CANCELLED:
                 self.dispatch.learning.ended(call, attempt)
 
-    def _take(self, call: ModelCall, step: Step) -> None:
+    def _execute(self, call: ModelCall, step: Step) -> None:
         if isinstance(step, Ask):
-            self._ask(call, step)
+            self._probe_all(call, step)
         elif isinstance(step, Remind):
             self._probe(step.upstream, None)
-            self._later(call, 0.0, None)
+            self._resume_later(call, 0.0, None)
         elif isinstance(step, Pause):
-            self._later(call, step.seconds, None)
+            self._resume_later(call, step.seconds, None)
         elif isinstance(step, Send):
-            self._later(call, 0.0, self._send(call, step))
+            self._resume_later(call, 0.0, self._send(call, step))
         elif isinstance(step, GiveUp):
-            self._give_up(call, step.attempt)
-            self._later(call, 0.0, None)
+            self._cancel(call, step.attempt)
+            self._resume_later(call, 0.0, None)
         else:
             self._wait(call, step.until)
 
-    def _later(self, call: ModelCall, seconds: float, found: Try | None) -> None:
-        self.agenda.after(seconds, self._resume, call, call.turn, found)
+    def _resume_later(self, call: ModelCall, seconds: float, result: Try | None) -> None:
+        self.scheduler.call_later(seconds, self._resume, call, call.generation, result)
 
-    def _resume(self, call: ModelCall, turn: int, found: Try | None) -> None:
-        if call.turn == turn and call.way is not None:
-            self._go_on(call, found)
+    def _resume(self, call: ModelCall, generation: int, result: Try | None) -> None:
+        if call.generation == generation and call.steps is not None:
+            self._advance(call, result)
 
     def _wait(self, call: ModelCall, until: float) -> None:
         ended = [attempt for attempt in call.open if attempt.ending is not None]
         if ended:
-            self._later(call, 0.0, ended[0])
+            self._resume_later(call, 0.0, ended[0])
         else:
-            self._later(call, max(0.0, until - self.agenda.now()), None)
+            self._resume_later(call, max(0.0, until - self.scheduler.now()), None)
 
-    def _one_way(self, upstream: Upstream) -> float:
+    def _one_way_latency(self, upstream: Upstream) -> float:
         return self.scene.near if upstream.near else self.scene.far
 
-    def _ask(self, call: ModelCall, step: Ask) -> None:
-        count = len(self.known.by_id)
-        given = self.allowance.take(len(step.upstreams), count, self.agenda.now())
-        turn, left = call.turn, given
-
-        def answered() -> None:
-            nonlocal left
-            left -= 1
-            if left == 0:
-                self._resume(call, turn, None)
-
-        for upstream in step.upstreams[:given]:
-            self._probe(upstream, answered)
-        self._later(call, step.patience if given else 0.0, None)
-
-    def _probe(self, upstream: Upstream, answered: Callable[[], None] | None) -> None:
-        self.asked += 1
-        upstream.evidence.asked(self.agenda.now())
-        model, way = self.known.models[upstream.id], self._one_way(upstream)
-        if model.dark:
-            self.agenda.after(ANSWER_LIMIT, self._ignored, upstream)
+    def _probe_all(self, call: ModelCall, step: Ask) -> None:
+        count = len(self.upstreams.by_id)
+        allowed = self.allowance.take(len(step.upstreams), count, self.scheduler.now())
+        generation, pending = call.generation, allowed
+
+        def on_report() -> None:
+            nonlocal pending
+            pending -= 1
+            if pending == 0:
+                self._resume(call, generation, None)
+
+        for upstream in step.upstreams[:allowed]:
+            self._probe(upstream, on_report)
+        self._resume_later(call, step.patience if allowed else 0.0, None)
+
+    def _probe(self, upstream: Upstream, on_report: Callable[[], None] | None) -> None:
+        self.probes_sent += 1
+        upstream.evidence.asked(self.scheduler.now())
+        model, latency = self.upstreams.models[upstream.id], self._one_way_latency(upstream)
+        if model.unresponsive:
+            self.scheduler.call_later(ANSWER_LIMIT, self._probe_timed_out, upstream)
             return
 
-        def arrive() -> None:
-            self.agenda.after(way, back, model.load())
+        def answer() -> None:
+            self.scheduler.call_later(latency, receive, model.load())
 
-        def back(load: UpstreamLoad) -> None:
+        def receive(load: UpstreamLoad) -> None:
             upstream.evidence.answered_probe(True)
             self.reported(upstream, load)
-            if answered is not None:
-                answered()
+            if on_report is not None:
+                on_report()
 
-        self.agenda.after(way, arrive)
+        self.scheduler.call_later(latency, answer)
 
-    def _ignored(self, upstream: Upstream) -> None:
-        upstream.evidence.ignored_probe(self.agenda.now())
+    def _probe_timed_out(self, upstream: Upstream) -> None:
+        upstream.evidence.ignored_probe(self.scheduler.now())
 
     def _send(self, call: ModelCall, step: Send) -> Try:
-        upstream, now = step.weighed.upstream, self.agenda.now()
+        upstream, now = step.weighed.upstream, self.scheduler.now()
         attempt = Try(step.weighed, now)
         attempt.sent = True
-        opened = OpenCall(now, step.weighed.expected)
-        upstream.evidence.began(opened)
+        open_call = OpenCall(now, step.weighed.expected)
+        upstream.evidence.began(open_call)
         upstream.evidence.sent()
-        self._tell(upstream, lambda known: known.evidence.sent())
-        model, way = self.known.models[upstream.id], self._one_way(upstream)
-        job = Job(call.work, call.deadline, lambda status: self.agenda.after(way, over, status))
+        self._share_with_peers(upstream, lambda entry: entry.evidence.sent())
+        model, latency = self.upstreams.models[upstream.id], self._one_way_latency(upstream)
+        job = Job(
+            call.work,
+            call.deadline,
+            lambda status: self.scheduler.call_later(latency, on_end, status),
+        )
 
-        def over(status: int) -> None:
-            self._ended(call, attempt, opened, status, model)
+        def on_end(status: int) -> None:
+            self._ended(call, attempt, open_call, status, model)
 
         call.jobs[attempt] = job
-        self.agenda.after(way, model.take, job)
+        self.scheduler.call_later(latency, model.submit, job)
         return attempt
 
     def _ended(
-        self, call: ModelCall, attempt: Try, opened: OpenCall, status: int, model: ModelUpstream
+        self, call: ModelCall, attempt: Try, open_call: OpenCall, status: int, model: ModelUpstream
     ) -> None:
         if attempt.ending is not None:
             return
-        attempt.upstream.evidence.ended(opened)
-        attempt.ended_at = self.agenda.now()
+        attempt.upstream.evidence.ended(open_call)
+        attempt.ended_at = self.scheduler.now()
         attempt.load = model.load()
         attempt.status = status
         attempt.ending = Ending.ANSWERED if status else Ending.NOT_RUN
         call.jobs.pop(attempt)
-        if call.way is not None:
-            self._later(call, 0.0, attempt)
+        if call.steps is not None:
+            self._resume_later(call, 0.0, attempt)
 
-    def _give_up(self, call: ModelCall, attempt: Try) -> None:
+    def _cancel(self, call: ModelCall, attempt: Try) -> None:
         """Close the connection of an attempt: the upstream drops the work."""
         if attempt.ending is not None:
             return
-        attempt.ending, attempt.ended_at = Ending.CANCELLED, self.agenda.now()
+        attempt.ending, attempt.ended_at = Ending.CANCELLED, self.scheduler.now()
         evidence = attempt.upstream.evidence
         evidence.ended(next(o for o in evidence.open_calls if o.started == attempt.started))
-        model = self.known.models[attempt.upstream.id]
-        self.agenda.after(self._one_way(attempt.upstream), model.drop, call.jobs.pop(attempt))
+        model = self.upstreams.models[attempt.upstream.id]
+        self.scheduler.call_later(
+            self._one_way_latency(attempt.upstream), model.cancel, call.jobs.pop(attempt)
+        )
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
-        now = self.agenda.now()
+        now = self.scheduler.now()
         upstream.evidence.reported(load, now)
-        self._tell(upstream, lambda known: known.evidence.reported(load, self.agenda.now()))
+        self._share_with_peers(
+            upstream, lambda entry: entry.evidence.reported(load, self.scheduler.now())
+        )
 
     def failed(self, upstream: Upstream) -> None:
-        upstream.evidence.failed(self.agenda.now())
-        self._tell(upstream, lambda known: known.evidence.failed(self.agenda.now(), HEARSAY))
+        upstream.evidence.failed(self.scheduler.now())
+        self._share_with_peers(
+            upstream, lambda entry: entry.evidence.failed(self.scheduler.now(), HEARSAY)
+        )
 
     def was_replaced(self, upstream: Upstream) -> None:
         """Nothing is replaced in the model."""
 
-    def _tell(self, upstream: Upstream, enter: Callable[[Upstream], None]) -> None:
+    def _share_with_peers(self, upstream: Upstream, update: Callable[[Upstream], None]) -> None:
         """Let the others of the data centre know, unless the word is lost."""
-        if self.deaf or not upstream.near:
+        if self.isolated or not upstream.near:
             return
         for peer in self.peers:
-            if not peer.deaf and self.random.random() >= self.scene.words_lost:
-                self.agenda.after(self.scene.near, enter, peer.known.by_id[upstream.id])
+            if not peer.isolated and self.random.random() >= self.scene.words_lost:
+                self.scheduler.call_later(
+                    self.scene.near, update, peer.upstreams.by_id[upstream.id]
+                )
--- a/sequoiabridge/tests/experiment/test_gains.py
+++ b/sequoiabridge/tests/experiment/test_gains.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ...experiment.mechanisms import changes_of
+from ...experiment.mechanisms import parse_overrides
 from ...experiment.scene import parse_scene
-from ...experiment.trial import Trial, run
+from ...experiment.trial import Trial, run_trials
 
 CROWDED = """
 seconds = 12.0
@@ -47,8 +47,10 @@
 
 def worths(scene, seeds=3, **trials):
     """Return the mean worth of each trial, by name; each is a mechanism to switch off, or None."""
-    made = [Trial(n, changes=changes_of([], [off] if off else [])) for n, off in trials.items()]
-    run(parse_scene(scene, "test"), made, seeds, 3, lambda done, total: None)
+    made = [
+        Trial(n, overrides=parse_overrides([], [off] if off else [])) for n, off in trials.items()
+    ]
+    run_trials(parse_scene(scene, "test"), made, seeds, 3, lambda done, total: None)
     return {trial.name: trial.mean("worth").value for trial in made}
 
 
@@ -59,11 +61,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_play_repeats(seed):
-    from ...experiment.play import play
+    from ...experiment.play import simulate
 
     scene = parse_scene(CROWDED.replace("seconds = 12.0", "seconds = 4.0"), "test")
-    first, again = play(scene, seed, "own"), play(scene, seed, "own")
-    assert (first.worth, first.windows) == (again.worth, again.windows)
+    first, again = simulate(scene, seed, "own"), simulate(scene, seed, "own")
+    assert (first.worth, first.in_time_by_window) == (again.worth, again.in_time_by_window)
 
 
 REFUSING = CROWDED.replace("seconds = 12.0", "seconds = 10.0").replace(
