--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -63,7 +63,7 @@
     def _held_crash(self, name: str) -> Result[str, SequoiaError]:
         now = self.clock.now()
         for state in self.services.states():
-            for entry in state.ledger.listed(now):
+            for entry in state.ledger.list_suspects(now):
                 if entry.fingerprint == name:
                     upstreams = ", ".join(entry.upstreams)
                     return Ok(f"Request {name} was with {upstreams} when they crashed.")
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -201,10 +201,10 @@
                 count=len(entry.upstreams),
                 upstreams=", ".join(entry.upstreams),
                 stopped=entry.blocked,
-                age=round(wall - entry.last_at, 1),
+                age=round(wall - entry.last_crash_at, 1),
             )
             for state in self.services.states()
-            for entry in state.ledger.listed(now)
+            for entry in state.ledger.list_suspects(now)
         ]
 
     async def _claims(self) -> Rows:
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -90,14 +90,14 @@
     def _suspect(self, ledger: CrashLedger, found: str, upstream: str) -> None:
         now, wall = self.clock.now(), self.clock.wall()
         self.crashes += 1
-        ledger.seen(found, upstream, self.vm, wall, now)
+        ledger.record_crash(found, upstream, self.vm, wall, now)
         self.fleet.publish(CrashItem(found, upstream, wall), Urgency.CRASH)
 
     def survived(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
         found, wall = fingerprint(exchange), self.clock.wall()
         # VMs that heard of the crashes, or will hear of them late, may see no answer themselves.
-        if ledger.survived(found, wall):
+        if ledger.record_answer(found, wall):
             self.fleet.publish(CrashItem(found, "", wall, released=True), Urgency.CRASH)
 
     def retried(self, service: str, hedge: bool) -> None:
@@ -125,7 +125,7 @@
         state = self.services.by_name.get(self.services.service_of.get(item.upstream, ""))
         if state is not None:
             now = self.clock.now()
-            state.ledger.seen(item.fingerprint, item.upstream, origin, item.at, now)
+            state.ledger.record_crash(item.fingerprint, item.upstream, origin, item.at, now)
 
     def heard_load(self, item: LoadItem, origin: str) -> None:
         """Take in another VM's evidence on an upstream."""
--- a/sequoiabridge/pipeline/stopping.py
+++ b/sequoiabridge/pipeline/stopping.py
@@ -49,7 +49,7 @@
 def is_stopped(ledger: CrashLedger, exchange: Exchange, now: float) -> bool:
     """Return whether the request may reach no more upstreams because some crashed on it."""
     # Nothing stopped is the usual case, and then nothing is computed.
-    return bool(ledger.stopped) and ledger.blocked(fingerprint(exchange), now)
+    return bool(ledger.blocked_fingerprints) and ledger.is_blocked(fingerprint(exchange), now)
 
 
 def fingerprint(exchange: Exchange) -> str:
--- a/sequoiabridge/policy/crashes.py
+++ b/sequoiabridge/policy/crashes.py
@@ -51,10 +51,10 @@
         self.vms: set[str] = set()
 
 
-class ListedCrash:
+class CrashSuspect:
     """One suspect as operators see it."""
 
-    __slots__ = ("fingerprint", "blocked", "blame", "upstreams", "vms", "last_at")
+    __slots__ = ("fingerprint", "blocked", "blame", "upstreams", "vms", "last_crash_at")
 
     def __init__(self, fingerprint: str, blocked: bool, blame: float, crashes: list[Crash]):
         self.fingerprint = fingerprint
@@ -62,7 +62,7 @@
         self.blame = blame
         self.upstreams = sorted({crash.upstream for crash in crashes})
         self.vms = sorted({vm for crash in crashes for vm in crash.vms})
-        self.last_at = max(crash.at for crash in crashes)
+        self.last_crash_at = max(crash.at for crash in crashes)
 
 
 class CrashLedger:
@@ -72,7 +72,7 @@
         fewest: Distinct upstreams that must have died with a request before it is stopped.
 
     Attributes:
-        stopped: Fingerprints of blocked requests.
+        blocked_fingerprints: Fingerprints of blocked requests.
         tried: When blocked requests had their latest trial, by fingerprint.
     """
 
@@ -81,10 +81,10 @@
         self.crashes: list[Crash] = []
         self.by_fingerprint: dict[str, list[Crash]] = {}
         self.released: dict[str, float] = {}
-        self.stopped: set[str] = set()
+        self.blocked_fingerprints: set[str] = set()
         self.tried: dict[str, float] = {}
 
-    def seen(self, fingerprint: str, upstream: str, vm: str, at: float, now: float) -> bool:
+    def record_crash(self, fingerprint: str, upstream: str, vm: str, at: float, now: float) -> bool:
         """A request was with an upstream when that died; return whether that is news.
 
         To be called for each request whose connection broke before its answer, here or at another
@@ -102,7 +102,7 @@
         self._judge(self._touched_by(crash))
         return True
 
-    def survived(self, fingerprint: str, at: float) -> bool:
+    def record_answer(self, fingerprint: str, at: float) -> bool:
         """A request was answered whole at the wall time `at`; return whether it was a suspect."""
         if fingerprint not in self.by_fingerprint:
             return False
@@ -121,12 +121,12 @@
         self._clear(fingerprint, at)
         return known
 
-    def blocked(self, fingerprint: str, now: float) -> bool:
+    def is_blocked(self, fingerprint: str, now: float) -> bool:
         """Return whether a request with the fingerprint must not run."""
-        if fingerprint not in self.stopped:
+        if fingerprint not in self.blocked_fingerprints:
             return False
         self._forget(now)
-        return fingerprint in self.stopped
+        return fingerprint in self.blocked_fingerprints
 
     def take_trial(self, fingerprint: str, now: float) -> bool:
         """Let a blocked request through once if its time has come; return whether it may run."""
@@ -147,11 +147,11 @@
             shares[crash.upstream] = max(share, shares.get(crash.upstream, 0.0))
         return sum(shares.values())
 
-    def listed(self, now: float) -> list[ListedCrash]:
+    def list_suspects(self, now: float) -> list[CrashSuspect]:
         """Return all suspects, the most blamed first."""
         self._forget(now)
         rows = [
-            ListedCrash(f, f in self.stopped, self.blame(f), crashes)
+            CrashSuspect(f, f in self.blocked_fingerprints, self.blame(f), crashes)
             for f, crashes in self.by_fingerprint.items()
         ]
         return sorted(rows, key=lambda row: -row.blame)
@@ -187,12 +187,12 @@
         for fingerprint in fingerprints:
             enough = self._count(fingerprint) >= self.fewest
             if enough and self.blame(fingerprint) >= BLOCK_BLAME:
-                self.stopped.add(fingerprint)
+                self.blocked_fingerprints.add(fingerprint)
             else:
                 self._unblock(fingerprint)
 
     def _unblock(self, fingerprint: str) -> None:
-        self.stopped.discard(fingerprint)
+        self.blocked_fingerprints.discard(fingerprint)
         self.tried.pop(fingerprint, None)
 
     def _clear(self, fingerprint: str, at: float) -> None:
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -57,9 +57,9 @@
         Raises:
             Refusal: It was not sent.
         """
-        if not self.ledger.stopped:
+        if not self.ledger.blocked_fingerprints:
             return
-        if not self.ledger.blocked(fingerprint(call), self.clock.now()):
+        if not self.ledger.is_blocked(fingerprint(call), self.clock.now()):
             return
         message = "Upstreams died each time they ran this request. It is not sent to more of them."
         raise Refusal(503, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message, COME_BACK)
@@ -89,9 +89,9 @@
     def _heard_crash(self, crashed: Crashed) -> bool:
         """Enter a crash; return whether it is news."""
         now = self.clock.now()
-        news = self.ledger.seen(crashed.fingerprint, crashed.upstream, "", now, now)
+        news = self.ledger.record_crash(crashed.fingerprint, crashed.upstream, "", now, now)
         if news:
-            stopped = crashed.fingerprint in self.ledger.stopped
+            stopped = crashed.fingerprint in self.ledger.blocked_fingerprints
             self.decisions.event(
                 "request-crashed",
                 fingerprint=crashed.fingerprint,
@@ -102,7 +102,7 @@
 
     def _heard_survival(self, survived: Survived) -> bool:
         """Enter that a suspected request was answered; return whether it was one."""
-        return self.ledger.survived(survived.fingerprint, self.clock.now())
+        return self.ledger.record_answer(survived.fingerprint, self.clock.now())
 
 
 def fingerprint(call: RelayedCall) -> str:
--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -155,7 +155,7 @@
         self.clock = clock
 
     def crashed(self, exchange, upstream):
-        self.ledger.seen(
+        self.ledger.record_crash(
             fingerprint(exchange), upstream, "vm-1", self.clock.wall(), self.clock.now()
         )
 
--- a/sequoiabridge/tests/pipeline/test_dispatch.py
+++ b/sequoiabridge/tests/pipeline/test_dispatch.py
@@ -88,7 +88,7 @@
     blame(bench)
     assert refused(bench, bench.exchange()).outcome is Outcome.UNKNOWN
     assert len(bench.network.received) == 3
-    assert bench.services.by_name["s"].ledger.listed(bench.clock.now()) == []
+    assert bench.services.by_name["s"].ledger.list_suspects(bench.clock.now()) == []
 
 
 def test_a_server_error_of_unrepeatable_work_is_not_sent_again():
--- a/sequoiabridge/tests/pipeline/test_sharing.py
+++ b/sequoiabridge/tests/pipeline/test_sharing.py
@@ -34,6 +34,6 @@
         assert isinstance(item, CrashItem)
         second.heard_crash(item, "vm-1")
     ledger = there.services.by_name["s"].ledger
-    assert not ledger.stopped
+    assert not ledger.blocked_fingerprints
     second.heard_crash(CrashItem(wire.late[0].fingerprint, "u1", there.clock.wall() + 60), "vm-1")
     assert ledger.by_fingerprint
--- a/sequoiabridge/tests/policy/test_crashes.py
+++ b/sequoiabridge/tests/policy/test_crashes.py
@@ -9,27 +9,27 @@
 
 def test_alone_with_two_dead_upstreams_blocks_and_release_holds_against_old_words():
     ledger = CrashLedger()
-    assert ledger.seen("bad", "u1", "vm1", 100.0, 1.0)
-    assert not ledger.seen("bad", "u1", "vm2", 100.3, 1.1)
-    assert not ledger.blocked("bad", 1.2)
-    ledger.seen("bad", "u2", "vm2", 103.0, 4.0)
-    assert ledger.blocked("bad", 4.1) and ledger.listed(4.1)[0].upstreams == ["u1", "u2"]
+    assert ledger.record_crash("bad", "u1", "vm1", 100.0, 1.0)
+    assert not ledger.record_crash("bad", "u1", "vm2", 100.3, 1.1)
+    assert not ledger.is_blocked("bad", 1.2)
+    ledger.record_crash("bad", "u2", "vm2", 103.0, 4.0)
+    assert ledger.is_blocked("bad", 4.1) and ledger.list_suspects(4.1)[0].upstreams == ["u1", "u2"]
     assert ledger.release("bad", 110.0)
-    assert not ledger.seen("bad", "u3", "vm3", 104.0, 12.0)
-    assert not ledger.blocked("bad", 12.1)
+    assert not ledger.record_crash("bad", "u3", "vm3", 104.0, 12.0)
+    assert not ledger.is_blocked("bad", 12.1)
 
 
 def test_a_crash_is_forgotten_after_a_time_and_an_answer_clears():
     ledger = CrashLedger()
     for i, name in enumerate(("u1", "u2")):
-        ledger.seen("bad", name, "vm1", 100.0 + 5 * i, 5.0 * i)
-        ledger.seen("good", name, "vm1", 100.0 + 5 * i, 5.0 * i)
-    assert not ledger.blocked("bad", 6.0)
-    ledger.survived("good", 106.0)
-    ledger.seen("bad", "u3", "vm1", 112.0, 12.0)
-    assert ledger.blocked("bad", 13.0) and not ledger.blocked("good", 13.0)
-    assert not ledger.blocked("bad", 13.0 + FORGET_AFTER)
-    assert ledger.listed(13.0 + FORGET_AFTER) == []
+        ledger.record_crash("bad", name, "vm1", 100.0 + 5 * i, 5.0 * i)
+        ledger.record_crash("good", name, "vm1", 100.0 + 5 * i, 5.0 * i)
+    assert not ledger.is_blocked("bad", 6.0)
+    ledger.record_answer("good", 106.0)
+    ledger.record_crash("bad", "u3", "vm1", 112.0, 12.0)
+    assert ledger.is_blocked("bad", 13.0) and not ledger.is_blocked("good", 13.0)
+    assert not ledger.is_blocked("bad", 13.0 + FORGET_AFTER)
+    assert ledger.list_suspects(13.0 + FORGET_AFTER) == []
 
 
 def test_a_pool_that_loses_its_power_blocks_no_request():
@@ -38,8 +38,8 @@
         for upstream in range(UPSTREAMS):
             for _ in range(2):
                 retried = f"r{random.randrange(2 * UPSTREAMS)}"
-                ledger.seen(retried, f"u{upstream}", "vm", 100.0 + 3 * wave, 3.0 * wave)
-    assert not ledger.stopped
+                ledger.record_crash(retried, f"u{upstream}", "vm", 100.0 + 3 * wave, 3.0 * wave)
+    assert not ledger.blocked_fingerprints
 
 
 def crash_with(ledger, random, poison, now):
@@ -47,7 +47,7 @@
     upstream = f"u{random.randrange(UPSTREAMS)}"
     others = [f"r{random.randrange(40)}" for _ in range(random.randrange(4))]
     for fingerprint in others + ([poison] if poison else []):
-        ledger.seen(fingerprint, upstream, f"vm{random.randrange(18)}", now, now)
+        ledger.record_crash(fingerprint, upstream, f"vm{random.randrange(18)}", now, now)
 
 
 def measure(seed):
@@ -59,9 +59,14 @@
         crash_with(ledger, random, "poison", now)
         if random.random() < 0.3:
             crash_with(ledger, random, None, now + 4.0)
-        after.append("poison" in ledger.stopped)
+        after.append("poison" in ledger.blocked_fingerprints)
         now += 9.0
-    return after[1], after[3], len(ledger.stopped - {"poison"}), len(ledger.by_fingerprint) - 1
+    return (
+        after[1],
+        after[3],
+        len(ledger.blocked_fingerprints - {"poison"}),
+        len(ledger.by_fingerprint) - 1,
+    )
 
 
 def test_both_errors_stay_small():
@@ -78,8 +83,8 @@
 def blocked_by_two():
     ledger = CrashLedger()
     for i, name in enumerate(("u1", "u2")):
-        ledger.seen("page", name, "vm1", 100.0 + 0.3 * i, 0.3 * i)
-    assert ledger.blocked("page", 1.0)
+        ledger.record_crash("page", name, "vm1", 100.0 + 0.3 * i, 0.3 * i)
+    assert ledger.is_blocked("page", 1.0)
     return ledger
 
 
@@ -88,14 +93,14 @@
     assert not ledger.take_trial("page", TRIAL_PAUSE)
     assert ledger.take_trial("page", TRIAL_PAUSE + 0.4)
     assert not ledger.take_trial("page", TRIAL_PAUSE + 0.5)
-    ledger.survived("page", 107.0)
-    assert not ledger.blocked("page", TRIAL_PAUSE + 1.0)
+    ledger.record_answer("page", 107.0)
+    assert not ledger.is_blocked("page", TRIAL_PAUSE + 1.0)
 
 
 def test_a_request_that_crashes_its_trial_waits_twice_as_long_for_the_next():
     ledger = blocked_by_two()
     assert ledger.take_trial("page", 6.0)
-    ledger.seen("page", "u3", "vm1", 106.1, 6.1)
-    assert ledger.blocked("page", 7.0)
+    ledger.record_crash("page", "u3", "vm1", 106.1, 6.1)
+    assert ledger.is_blocked("page", 7.0)
     assert not ledger.take_trial("page", 6.1 + 2 * TRIAL_PAUSE - 0.1)
     assert ledger.take_trial("page", 6.1 + 2 * TRIAL_PAUSE + 0.1)
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -369,7 +369,7 @@
             await scene.relist("r0")
             await scene.until(lambda born=born: upstreams["r0"].record.born == born)
             guard._heard_crash(Crashed("print", upstreams["r0"].lifetime))
-        assert "print" in guard.ledger.stopped
+        assert "print" in guard.ledger.blocked_fingerprints
 
     play(test, reads=1)
 
