--- a/sequoiabridge/benchmarks/policy_players.py
+++ b/sequoiabridge/benchmarks/policy_players.py
@@ -140,24 +140,24 @@
         evidence = self.state.choose(now)
         if evidence is None:
             return None
-        self.state.sent(evidence, now)
+        self.state.record_send(evidence, now)
         return Ticket(evidence, now)
 
     def probed(self, now, name, in_flight, latency):
         if self.own:
-            self.state.probed(name, now, 0.002, LoadReport(in_flight, SLOTS))
+            self.state.record_probe(name, now, 0.002, LoadReport(in_flight, SLOTS))
         else:
             self.state.chooser.probed(now, name, in_flight, latency)
 
     def answered(self, now, ticket, in_flight, leaving):
         evidence, report = ticket.evidence, LoadReport(in_flight, SLOTS)
-        self.state.answered(evidence, now, 200, now - ticket.sent, report)
+        self.state.record_answer(evidence, now, 200, now - ticket.sent, report)
         if leaving:
             self.state.drain(evidence.name, 1, now)
         self.tell(now, evidence)
 
     def failed(self, now, ticket):
-        self.state.failed(ticket.evidence, now, Failure.ERROR, now - ticket.sent)
+        self.state.record_failure(ticket.evidence, now, Failure.ERROR, now - ticket.sent)
         self.tell(now, ticket.evidence)
 
     def tell(self, now, evidence):
@@ -176,4 +176,4 @@
 
     def hear(self, now, word, sender):
         name, in_flight, latency, suspect, age = word
-        self.state.heard(name, in_flight, latency, suspect, max(0.0, age), sender, now)
+        self.state.record_peer_load(name, in_flight, latency, suspect, max(0.0, age), sender, now)
--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -124,8 +124,8 @@
 def one_call(pool, now: float) -> None:
     """Choose, send, and take in an answer with a load report."""
     evidence = pool.choose(now)
-    pool.sent(evidence, now)
-    pool.answered(evidence, now + LATENCY, 200, LATENCY, LoadReport(1, 2, 0.0))
+    pool.record_send(evidence, now)
+    pool.record_answer(evidence, now + LATENCY, 200, LATENCY, LoadReport(1, 2, 0.0))
 
 
 def sharing_slopes() -> float:
--- a/sequoiabridge/pipeline/accounting.py
+++ b/sequoiabridge/pipeline/accounting.py
@@ -109,7 +109,7 @@
     def began(self, state: ServiceState, attempt: Attempt) -> None:
         """An attempt is about to connect."""
         attempt.exchange.attempts += 1
-        state.pool.sent(attempt.evidence, attempt.started)
+        state.pool.record_send(attempt.evidence, attempt.started)
 
     async def answered(self, state: ServiceState, attempt: Attempt, answer: Answer) -> Answer:
         """Take in an answer's head; its body may still be coming.
@@ -132,7 +132,7 @@
         elapsed = attempt.answered_at - attempt.started
         now = self.clock.now()
         status = attempt.answer.status
-        state.pool.answered(attempt.evidence, now, status, elapsed, attempt.signals.load)
+        state.pool.record_answer(attempt.evidence, now, status, elapsed, attempt.signals.load)
         state.retries.succeeded(now)
         state.hedging.answered(elapsed)
         if state.ledger.by_fingerprint:
@@ -192,7 +192,7 @@
     async def _ended(self, state: ServiceState, attempt: Attempt, kind: Failure) -> None:
         now = self.clock.now()
         seconds = now - attempt.started
-        state.pool.failed(attempt.evidence, now, kind, seconds)
+        state.pool.record_failure(attempt.evidence, now, kind, seconds)
         if kind is not Failure.CANCELLED:
             step = AttemptEnded(attempt.evidence.name, kind, attempt.sent, seconds)
             attempt.exchange.note(step)
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -74,4 +74,4 @@
         now = self.clock.now()
         hear_drain(state, self.observer, name, probe.drain, now)
         if probe.load is not None:
-            state.pool.probed(name, now, probe.latency, probe.load)
+            state.pool.record_probe(name, now, probe.latency, probe.load)
--- a/sequoiabridge/pipeline/returning.py
+++ b/sequoiabridge/pipeline/returning.py
@@ -71,7 +71,7 @@
         """Ask the upstreams that have failed a call since they were last asked."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
-            failed = [u for u in state.pool.staying() if u.failed_in_row]
+            failed = [u for u in state.pool.undrained_upstreams() if u.failed_in_row]
             for evidence in failed[:MOST_ASKED]:
                 # `failed_at` is the time of the last outcome, which was a failure.
                 if evidence.failed_at > evidence.probed_at and state.probing.pay():
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -134,7 +134,9 @@
             return
         age, latency = item.age_ms / 1000, item.latency_us / MICROSECONDS
         now = self.clock.now()
-        pool.heard(item.upstream, item.in_flight, latency, item.suspect, age, origin, now)
+        pool.record_peer_load(
+            item.upstream, item.in_flight, latency, item.suspect, age, origin, now
+        )
 
     def heard_retries(self, item: RetryItem, origin: str) -> None:
         """Count another VM's retries against the fleet's budget."""
@@ -152,7 +154,7 @@
         loads = []
         self.looks += 1
         for state in self.services.busy_states(now)[self.looks % SLICES :: SLICES]:
-            noticed = {evidence.name: evidence for evidence in state.pool.noticeable()}
+            noticed = {evidence.name: evidence for evidence in state.pool.possible_suspects()}
             noticed |= self._told_of(state)
             loads += [local_load(evidence, now) for evidence in noticed.values()]
         room = self.fleet.bucket.room(Urgency.LOAD)
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -53,7 +53,7 @@
         request.headers.append((HOST, evidence.address.encode()))
         limit = CONNECT_TIMEOUT + ANSWER_TIMEOUT + manifest.size / SLOWEST
         started = self.clock.now()
-        state.pool.sent(evidence, started)
+        state.pool.record_send(evidence, started)
         try:
             async with curio.timeout_after(limit):
                 answer = await self._exchange(evidence, request)
@@ -114,4 +114,4 @@
         self, state: ServiceState, evidence: UpstreamEvidence, started: float, kind: Failure
     ) -> None:
         now = self.clock.now()
-        state.pool.failed(evidence, now, kind, now - started)
+        state.pool.record_failure(evidence, now, kind, now - started)
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -118,14 +118,14 @@
             return "on trial, and other VMs found it bad just now"
         return ""
 
-    def sent(self, evidence: UpstreamEvidence, now: float) -> None:
+    def record_send(self, evidence: UpstreamEvidence, now: float) -> None:
         """A call goes to the upstream."""
         evidence.started(now)
         self.averages.called(now)
         if evidence.on_trial:
             self._refresh(now)
 
-    def answered(
+    def record_answer(
         self,
         evidence: UpstreamEvidence,
         now: float,
@@ -135,7 +135,7 @@
     ) -> None:
         """A whole answer came; a 5xx counts as a failure, and its speed as no virtue."""
         if status >= 500:
-            self.failed(evidence, now, Failure.ERROR, elapsed)
+            self.record_failure(evidence, now, Failure.ERROR, elapsed)
             return
         evidence.ended(now, elapsed)
         evidence.sheds_in_row = 0
@@ -150,7 +150,7 @@
         elif self.ejector.should_eject(evidence, now):
             self._eject(evidence, now)
 
-    def failed(
+    def record_failure(
         self, evidence: UpstreamEvidence, now: float, failure: Failure, elapsed: float
     ) -> None:
         """An attempt ended without a usable answer."""
@@ -164,7 +164,7 @@
         if evidence.on_trial:
             self._refresh(now)
 
-    def heard(
+    def record_peer_load(
         self,
         name: str,
         in_flight: int,
@@ -185,11 +185,11 @@
             return
         self.stale_at = min(self.stale_at, now + HEARD_DELAY)
 
-    def staying(self) -> list[UpstreamEvidence]:
+    def undrained_upstreams(self) -> list[UpstreamEvidence]:
         """Return the upstreams that neither leave nor are drained by the operator."""
         return [u for u in self.upstreams.values() if u.draining is None and not u.drained]
 
-    def noticeable(self) -> Iterator[UpstreamEvidence]:
+    def possible_suspects(self) -> Iterator[UpstreamEvidence]:
         """Yield upstreams at work or perhaps slow: a cheap test before `suspects_itself`."""
         slow = self.averages.latency * SUSPECT_SLOWNESS
         for upstream in self.upstreams.values():
@@ -197,7 +197,7 @@
             if upstream.starts or upstream.on_trial or maybe_slow:
                 yield upstream
 
-    def probed(self, name: str, now: float, elapsed: float, report: LoadReport) -> None:
+    def record_probe(self, name: str, now: float, elapsed: float, report: LoadReport) -> None:
         """A probe was answered: a report like any other, but no proof that calls go well."""
         upstream = self.upstreams.get(name)
         if upstream is not None:
@@ -262,16 +262,16 @@
 
     def _refresh(self, now: float) -> None:
         """Work out anew which upstreams may be used, and until when that holds."""
-        staying = self.staying()
-        self.usable = [u for u in staying if not self.why_unusable(u, now)]
-        self.stale_at = weigh_suspicions(staying, self.ejector.allowed(len(staying)), now)
-        for upstream in staying:
+        undrained = self.undrained_upstreams()
+        self.usable = [u for u in undrained if not self.why_unusable(u, now)]
+        self.stale_at = weigh_suspicions(undrained, self.ejector.allowed(len(undrained)), now)
+        for upstream in undrained:
             if upstream.ejected_until > now:
                 self.stale_at = min(self.stale_at, upstream.ejected_until)
             if upstream.cold_since is not None and now - upstream.cold_since >= SLOW_START:
                 upstream.cold_since = None
         self.cold = [u for u in self.usable if u.cold_since is not None]
-        self.usable = self.usable or staying
+        self.usable = self.usable or undrained
         if self.cold:
             end = min(u.cold_since for u in self.cold) + SLOW_START
             self.stale_at = min(self.stale_at, end)
@@ -295,9 +295,9 @@
         self._refresh(now)
 
     def _eject(self, upstream: UpstreamEvidence, now: float) -> None:
-        staying = self.staying()
-        ejected = sum(u.ejected_until > now or u.on_trial for u in staying if u is not upstream)
-        if self.ejector.eject(upstream, now, ejected, len(staying)):
+        undrained = self.undrained_upstreams()
+        ejected = sum(u.ejected_until > now or u.on_trial for u in undrained if u is not upstream)
+        if self.ejector.eject(upstream, now, ejected, len(undrained)):
             self._refresh(now)
 
     def _took_at_least(self, upstream: UpstreamEvidence, now: float, elapsed: float) -> None:
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -148,5 +148,5 @@
 
 def _candidates(pool: PoolState) -> Sequence[UpstreamEvidence]:
     """Return the upstreams that a probe may be spent on: all, or a sample of many."""
-    staying = pool.staying()
-    return staying if len(staying) <= SMALL_POOL else pool.random.sample(staying, SAMPLE)
+    undrained = pool.undrained_upstreams()
+    return undrained if len(undrained) <= SMALL_POOL else pool.random.sample(undrained, SAMPLE)
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -143,9 +143,9 @@
     bench.services.called(state, clock.now())
     for name, upstream in state.pool.upstreams.items():
         for _ in range(10):
-            state.pool.sent(upstream, clock.now())
+            state.pool.record_send(upstream, clock.now())
             elapsed = 0.5 if name == "u1" else 0.005
-            state.pool.answered(upstream, clock.now(), 200, elapsed)
+            state.pool.record_answer(upstream, clock.now(), 200, elapsed)
     look_at_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
 
--- a/sequoiabridge/tests/pipeline/test_returning.py
+++ b/sequoiabridge/tests/pipeline/test_returning.py
@@ -66,8 +66,8 @@
     if leaving:
         state.pool.drain("u1", 7, now)
     else:
-        state.pool.sent(state.pool.upstreams["u1"], now)
-        state.pool.failed(state.pool.upstreams["u1"], now, Failure.RESET, 0.1)
+        state.pool.record_send(state.pool.upstreams["u1"], now)
+        state.pool.record_failure(state.pool.upstreams["u1"], now, Failure.RESET, 0.1)
     returning = Returning(bench.services, prober, bench.observer, bench.clock)
 
     async def look():
--- a/sequoiabridge/tests/policy/test_pool.py
+++ b/sequoiabridge/tests/policy/test_pool.py
@@ -25,8 +25,8 @@
         upstream = pool.choose(now)
         seen[upstream.name] += 1
         status, elapsed, in_flight = behave(upstream.name)
-        pool.sent(upstream, now)
-        pool.answered(upstream, now + elapsed, status, elapsed, LoadReport(in_flight, 2))
+        pool.record_send(upstream, now)
+        pool.record_answer(upstream, now + elapsed, status, elapsed, LoadReport(in_flight, 2))
     return seen, now
 
 
@@ -70,10 +70,10 @@
     pool, _ = make()
     _, now = run(pool, 100, lambda n: (200, 0.006, 0))
     stuck = pool.upstreams["u0"]
-    pool.sent(stuck, now)
+    pool.record_send(stuck, now)
     later = now + 0.05
     assert all(pool.choose(later + i * 0.001).name != "u0" for i in range(50))
-    pool.answered(stuck, now + 0.1, 200, 0.1, LoadReport(0, 2))
+    pool.record_answer(stuck, now + 0.1, 200, 0.1, LoadReport(0, 2))
     seen, _ = run(pool, 3000, lambda n: (200, 0.006, 0), now + 0.1)
     assert seen["u0"] > 100
 
@@ -93,8 +93,8 @@
     upstream, lengths = pool.upstreams["u0"], []
     for _ in range(4):
         while upstream.ejected_until <= now:
-            pool.sent(upstream, now)
-            pool.failed(upstream, now, Failure.RESET, 0.0)
+            pool.record_send(upstream, now)
+            pool.record_failure(upstream, now, Failure.RESET, 0.0)
         lengths.append(upstream.ejected_until - now)
         now = upstream.ejected_until
     assert lengths == sorted(lengths) and lengths[-1] > 4 * lengths[0]
@@ -104,7 +104,7 @@
     pool, _ = make()
     for vm in ("vm1", "vm2", "vm3"):
         for i in range(6):
-            pool.heard(f"u{i}", 0, 0.5, True, 0.0, vm, 1.0)
+            pool.record_peer_load(f"u{i}", 0, 0.5, True, 0.0, vm, 1.0)
     assert len({pool.choose(1.0 + i / 1000).name for i in range(200)}) == 6
 
 
--- a/sequoiabridge/tests/policy/test_probing.py
+++ b/sequoiabridge/tests/policy/test_probing.py
@@ -15,8 +15,8 @@
     pool.set_upstreams(specs, 0.0)
     for i, upstream in enumerate(pool.upstreams.values()):
         for _ in range(3):
-            pool.sent(upstream, 0.9)
-            pool.answered(upstream, 1.0 + i / 1000, 200, 0.01, LoadReport(1, 2))
+            pool.record_send(upstream, 0.9)
+            pool.record_answer(upstream, 1.0 + i / 1000, 200, 0.01, LoadReport(1, 2))
     return pool
 
 
@@ -36,11 +36,11 @@
 
 def test_in_the_background_a_suspect_comes_before_old_evidence_and_fresh_costs_nothing():
     pool, budget = make(), ProbeBudget(1000.0, 0.0)
-    pool.sent(pool.upstreams["u7"], 1.1)
+    pool.record_send(pool.upstreams["u7"], 1.1)
     budget.earned(8, 1.3)
     assert budget.next_targets(pool, 1.3) == ["u7"]
     assert budget.next_targets(pool, 1.35) == []
-    pool.answered(pool.upstreams["u7"], 1.4, 200, 0.006, LoadReport(0, 2))
+    pool.record_answer(pool.upstreams["u7"], 1.4, 200, 0.006, LoadReport(0, 2))
     assert budget.next_targets(pool, 4.0) == ["u0"]
 
 
@@ -54,7 +54,7 @@
     asked = eager.ask_first(pool, 1.1, ["u0"])
     assert len(asked) == 3 and "u0" not in asked and eager.tokens == 5.0
     for name in asked:
-        pool.probed(name, 1.102, 0.002, LoadReport(9, 2))
+        pool.record_probe(name, 1.102, 0.002, LoadReport(9, 2))
     assert pool.choose(1.102).name not in asked
     for _ in range(50):
         eager.answered(0.01, 260)
