--- a/sequoiabridge/benchmarks/policy_players.py
+++ b/sequoiabridge/benchmarks/policy_players.py
@@ -123,9 +123,9 @@
             count, self.tokens = int(self.tokens), self.tokens % 1
             self.probe(now, [self.random.choice(self.state.usable).name for _ in range(count)])
             return False
-        self.budget.earned(1, now)
-        asked = self.budget.ask_first(self.state, now)
-        self.probe(now, asked + self.budget.next_targets(self.state, now))
+        self.budget.record_calls(1, now)
+        asked = self.budget.choice_targets(self.state, now)
+        self.probe(now, asked + self.budget.background_targets(self.state, now))
         return bool(asked)
 
     def probe(self, now, names):
--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -151,7 +151,7 @@
 def due(services: Services, now: float) -> None:
     """Do what probing does at each look."""
     for state in services.busy_states(now):
-        state.probing.next_targets(state.pool, now)
+        state.probing.background_targets(state.pool, now)
 
 
 def outside(title: str, module: str, *arguments: str) -> str:
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -43,17 +43,17 @@
         """Send all probes that are due and paid."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
-            for name in state.probing.next_targets(state.pool, now):
+            for name in state.probing.background_targets(state.pool, now):
                 await curio.spawn(self.probe(state, name), daemon=True)
 
     async def ask_first(self, state: ServiceState, tried: Collection[str]) -> None:
         """Probe the best candidates before a choice, if that is paid, and wait a little."""
-        names = state.probing.ask_first(state.pool, self.clock.now(), tried)
+        names = state.probing.choice_targets(state.pool, self.clock.now(), tried)
         if not names:
             return
         tasks = [await curio.spawn(self.probe(state, name), daemon=True) for name in names]
         # What comes too late for this choice still serves the next ones.
-        async with curio.ignore_after(state.probing.patience()):
+        async with curio.ignore_after(state.probing.wait_timeout()):
             for task in tasks:
                 await task.wait()
 
@@ -64,9 +64,9 @@
             return
         probe = await self.prober.probe(evidence.address, PROBE_TIMEOUT)
         if probe.healthy:
-            state.probing.answered(probe.latency, probe.size, probe.latency)
+            state.probing.record_answer(probe.latency, probe.size, probe.latency)
         else:
-            state.probing.spent(probe.size, probe.latency)
+            state.probing.record_cost(probe.size, probe.latency)
         self.metrics.measured(state.service.name, SOURCE, probe.size, probe.latency)
         self._take_in(state, name, probe)
 
--- a/sequoiabridge/pipeline/returning.py
+++ b/sequoiabridge/pipeline/returning.py
@@ -74,7 +74,7 @@
             failed = [u for u in state.pool.undrained_upstreams() if u.failed_in_row]
             for evidence in failed[:MOST_ASKED]:
                 # `failed_at` is the time of the last outcome, which was a failure.
-                if evidence.failed_at > evidence.probed_at and state.probing.pay():
+                if evidence.failed_at > evidence.probed_at and state.probing.take_token():
                     evidence.probed_at = now
                     await curio.spawn(self.ask, state, evidence.name, daemon=True)
 
@@ -82,7 +82,7 @@
         now = self.clock.now()
         evidence = state.pool.upstreams[name]
         unpaid = not state.probing.per_call and now - evidence.probed_at >= UNPAID_EVERY
-        if unpaid or state.probing.pay():
+        if unpaid or state.probing.take_token():
             evidence.probed_at = now
             return True
         return False
@@ -93,7 +93,7 @@
         if evidence is None:
             return
         probe = await self.prober.probe(evidence.address, ASK_TIMEOUT)
-        state.probing.spent(probe.size, probe.latency)
+        state.probing.record_cost(probe.size, probe.latency)
         hear_drain(state, self.observer, name, probe.drain, self.clock.now())
         if not probe.healthy or probe.drain is not None or probe.incarnation is None:
             return
--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -174,7 +174,7 @@
 
     def called(self, state: ServiceState, now: float) -> None:
         """A call of a service begins: it pays for probes, and the service is busy for a while."""
-        state.probing.earned(1, now)
+        state.probing.record_calls(1, now)
         state.called_at = now
         if state.service.name not in self.busy:
             self.busy[state.service.name] = state
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -13,7 +13,7 @@
 from .pool import SAMPLE, SMALL_POOL, PoolState
 from .suspicions import suspects_itself
 
-BURST = 8.0
+MAX_TOKENS = 8.0
 """Probes that may be saved up."""
 
 KEPT = 6
@@ -67,13 +67,13 @@
         self.asked = min(MOST_ASKED, max(FEWEST_ASKED, round(self.per_call)))
         self.worth_age = OLDEST * (YOUNGEST / OLDEST) ** min(1.0, max(0.0, tail_weight))
 
-    def earned(self, calls: int, now: float) -> None:
+    def record_calls(self, calls: int, now: float) -> None:
         """Calls came in: they pay for probes."""
         self.calls += calls
-        self.tokens = min(BURST, self.tokens + calls * self.per_call)
+        self.tokens = min(MAX_TOKENS, self.tokens + calls * self.per_call)
 
-    def ask_first(self, pool: PoolState, now: float, tried: Collection[str] = ()) -> list[str]:
-        """Return whom to probe, and to wait for (`patience` at most), before the next choice."""
+    def choice_targets(self, pool: PoolState, now: float, tried: Collection[str] = ()) -> list[str]:
+        """Return the upstreams to probe before the next choice; wait `wait_timeout` at most."""
         if self.tokens < self.asked or self.round_trip > LONGEST_WAIT * pool.averages.latency:
             return []
         best = pool.shortlist(now, self.asked, tried)
@@ -81,18 +81,18 @@
             return []
         return self._take(best, now)
 
-    def patience(self) -> float:
-        """Return the seconds to wait for the answers to `ask_first` before choosing anyhow."""
+    def wait_timeout(self) -> float:
+        """Return the seconds to wait for the answers to `choice_targets` before choosing anyhow."""
         return 2.0 * self.round_trip
 
-    def next_targets(self, pool: PoolState, now: float) -> list[str]:
+    def background_targets(self, pool: PoolState, now: float) -> list[str]:
         """Return whom to probe in the background: suspects first, then the oldest evidence."""
         spare = int(self.tokens) - KEPT
         if spare < 1:
             return []
         return self._take(self._worth_a_probe(pool, now)[:spare], now)
 
-    def pay(self) -> bool:
+    def take_token(self) -> bool:
         """Take one probe from the bucket for another purpose; return False if it is empty."""
         if self.tokens < 1.0:
             return False
@@ -100,12 +100,12 @@
         self.probes += 1
         return True
 
-    def answered(self, elapsed: float, size: int, upstream_time: float = 0.0) -> None:
+    def record_answer(self, elapsed: float, size: int, upstream_time: float = 0.0) -> None:
         """A probe came back: its round trip, its bytes both ways, the upstream's seconds for it."""
         self.round_trip += ROUND_TRIP_GAIN * (elapsed - self.round_trip)
-        self.spent(size, upstream_time)
+        self.record_cost(size, upstream_time)
 
-    def spent(self, size: int, upstream_time: float = 0.0) -> None:
+    def record_cost(self, size: int, upstream_time: float = 0.0) -> None:
         """Count the cost of a probe, answered or not."""
         self.bytes += size
         self.upstream_time += upstream_time
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -17,7 +17,7 @@
 from ...pipeline.dispatch import Dispatch
 from ...pipeline.exchange import BytesBody, Exchange
 from ...policy.drains import DrainLedger
-from ...policy.probing import BURST, ProbeBudget
+from ...policy.probing import MAX_TOKENS, ProbeBudget
 from ...readiness import DaemonReadiness
 from ...store import claims, upload_writer, versions
 from ...store.base import StoreErrorKind
@@ -287,11 +287,11 @@
 
 
 def unpaid_probes() -> list[Patch]:
-    def earned(self, calls, now) -> None:
+    def record_calls(self, calls, now) -> None:
         self.calls += calls
-        self.tokens = BURST
+        self.tokens = MAX_TOKENS
 
-    return [(ProbeBudget, "earned", earned)]
+    return [(ProbeBudget, "record_calls", record_calls)]
 
 
 def store_given_up() -> list[Patch]:
--- a/sequoiabridge/tests/policy/test_probing.py
+++ b/sequoiabridge/tests/policy/test_probing.py
@@ -6,7 +6,7 @@
 from ...policy.choosers import chooser_named
 from ...policy.evidence import UpstreamSpec
 from ...policy.pool import PoolOptions, PoolState
-from ...policy.probing import BURST, ProbeBudget
+from ...policy.probing import MAX_TOKENS, ProbeBudget
 
 
 def make(count=8):
@@ -25,23 +25,23 @@
     now, sent = 2.0, 0
     for _ in range(10_000):
         now += 0.005
-        budget.earned(1, now)
-        sent += len(budget.ask_first(pool, now) + budget.next_targets(pool, now))
+        budget.record_calls(1, now)
+        sent += len(budget.choice_targets(pool, now) + budget.background_targets(pool, now))
     assert 490 <= sent <= 500
     now += 3600.0
-    assert sum(len(budget.next_targets(pool, now + i)) for i in range(100)) <= BURST
-    budget.spent(2600, 0.002)
+    assert sum(len(budget.background_targets(pool, now + i)) for i in range(100)) <= MAX_TOKENS
+    budget.record_cost(2600, 0.002)
     assert budget.dump(now)["bytes per 1000 calls"] == 260.0
 
 
 def test_in_the_background_a_suspect_comes_before_old_evidence_and_fresh_costs_nothing():
     pool, budget = make(), ProbeBudget(1000.0, 0.0)
     pool.record_send(pool.upstreams["u7"], 1.1)
-    budget.earned(8, 1.3)
-    assert budget.next_targets(pool, 1.3) == ["u7"]
-    assert budget.next_targets(pool, 1.35) == []
+    budget.record_calls(8, 1.3)
+    assert budget.background_targets(pool, 1.3) == ["u7"]
+    assert budget.background_targets(pool, 1.35) == []
     pool.record_answer(pool.upstreams["u7"], 1.4, 200, 0.006, LoadReport(0, 2))
-    assert budget.next_targets(pool, 4.0) == ["u0"]
+    assert budget.background_targets(pool, 4.0) == ["u0"]
 
 
 def test_asks_before_a_choice_only_where_the_tail_weighs_and_the_wait_is_short():
@@ -49,20 +49,20 @@
     thrifty, eager = ProbeBudget(1000.0, 0.1), ProbeBudget(1000.0, 0.9)
     pool.averages.refresh(pool.upstreams.values(), 1.0)
     for budget in (thrifty, eager):
-        budget.earned(8, 1.1)
-    assert thrifty.ask_first(pool, 1.1) == []
-    asked = eager.ask_first(pool, 1.1, ["u0"])
+        budget.record_calls(8, 1.1)
+    assert thrifty.choice_targets(pool, 1.1) == []
+    asked = eager.choice_targets(pool, 1.1, ["u0"])
     assert len(asked) == 3 and "u0" not in asked and eager.tokens == 5.0
     for name in asked:
         pool.record_probe(name, 1.102, 0.002, LoadReport(9, 2))
     assert pool.choose(1.102).name not in asked
     for _ in range(50):
-        eager.answered(0.01, 260)
-    assert eager.ask_first(pool, 2.0) == []
+        eager.record_answer(0.01, 260)
+    assert eager.choice_targets(pool, 2.0) == []
 
 
 def test_an_upstream_that_leaves_costs_no_probe():
     pool, budget = make(2), ProbeBudget(1000.0, 1.0)
     pool.drain("u0", 1, 1.1)
-    budget.earned(8, 5.0)
-    assert budget.next_targets(pool, 5.0) == ["u1"]
+    budget.record_calls(8, 5.0)
+    assert budget.background_targets(pool, 5.0) == ["u1"]
