--- a/sequoiabridge/operators/steps.py
+++ b/sequoiabridge/operators/steps.py
@@ -8,7 +8,7 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from ..policy.base import Failure, Weighed
+from ..policy.base import Failure, ScoredUpstream
 
 STEP_BYTES = 100
 WEIGHED_BYTES = 150
@@ -42,7 +42,7 @@
 
     __slots__ = ("upstream", "weighed", "left_out")
 
-    def __init__(self, upstream: str | None, weighed: Sequence[Weighed] = ()):
+    def __init__(self, upstream: str | None, weighed: Sequence[ScoredUpstream] = ()):
         self.upstream = upstream
         self.weighed = tuple(weighed[:MAX_WEIGHED])
         self.left_out = len(weighed) - len(self.weighed)
--- a/sequoiabridge/pipeline/accounting.py
+++ b/sequoiabridge/pipeline/accounting.py
@@ -133,7 +133,7 @@
         now = self.clock.now()
         status = attempt.answer.status
         state.pool.record_answer(attempt.evidence, now, status, elapsed, attempt.signals.load)
-        state.retries.succeeded(now)
+        state.retries.record_success(now)
         state.hedging.answered(elapsed)
         if state.ledger.by_fingerprint:
             self.observer.survived(attempt.exchange)
--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -21,7 +21,7 @@
 from ..policy.probing import ProbeBudget
 from ..policy.quantiles import LatencyHistogram
 from ..policy.retries import RetryBudget, hedge_delay
-from ..policy.shares import LiveCount, connection_share
+from ..policy.shares import LiveVmCount, connection_share
 from ..timers import Clock, Timers
 from .exchange import Exchange
 
@@ -124,7 +124,7 @@
         self.random = random
         self.set_share = set_share
         self.live_count = live_count
-        self.live_lately = LiveCount()
+        self.live_lately = LiveVmCount()
         self.shared_by = 0
         self.by_name: dict[str, ServiceState] = {}
         self.busy: dict[str, ServiceState] = {}
@@ -222,7 +222,7 @@
             self._share(document, upstream, live)
 
     def _sharing_vms(self) -> int:
-        return self.live_lately.seen(self.live_count(), self.clock.now())
+        return self.live_lately.update(self.live_count(), self.clock.now())
 
     def _share(self, document: Document, upstream: Upstream, live: int) -> None:
         share = connection_share(document.connections_of(upstream), live)
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -11,7 +11,7 @@
 from ..policy.base import Failure
 from ..policy.crashes import CrashLedger
 from ..policy.evidence import UpstreamEvidence
-from ..policy.suspicions import suspects_itself
+from ..policy.suspicions import is_local_suspect
 from ..timers import Clock, OnDemand, Timers
 from .accounting import Observer
 from .exchange import Exchange
@@ -143,7 +143,9 @@
         state = self.services.by_name.get(item.service)
         if state is not None:
             now = self.clock.now()
-            state.retries.heard(item.vm, item.period, item.retries, item.successes, now)
+            state.retries.record_peer_counts(
+                item.vm, item.period, item.retries, item.successes, now
+            )
 
     # What is told from time to time.
 
@@ -192,5 +194,5 @@
 def local_load(evidence: UpstreamEvidence, now: float) -> LocalLoad:
     """Return this daemon's evidence on one upstream in the form that is shared."""
     latency_us = int(evidence.latency * MICROSECONDS)
-    suspect = suspects_itself(evidence, now)
+    suspect = is_local_suspect(evidence, now)
     return LocalLoad(evidence.name, evidence.in_flight, latency_us, suspect, now)
--- a/sequoiabridge/policy/base.py
+++ b/sequoiabridge/policy/base.py
@@ -43,7 +43,7 @@
         self.age = age
 
 
-class Weighed:
+class ScoredUpstream:
     """One upstream as it was weighed in a choice, for the journal of decisions."""
 
     __slots__ = ("name", "score", "detail")
@@ -85,6 +85,6 @@
         """Return the `count` best candidates, best first; none from a chooser without a measure."""
         return ()
 
-    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[Weighed]:
+    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[ScoredUpstream]:
         """Return how each candidate weighs at `now`, best first."""
-        return [Weighed(c.name, 0.0, "not weighed") for c in candidates]
+        return [ScoredUpstream(c.name, 0.0, "not weighed") for c in candidates]
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from ..exceptions import ConfigurationError
-from .base import Chooser, Weighed
+from .base import Chooser, ScoredUpstream
 from .evidence import UpstreamEvidence
 
 SPREAD = 0.1
@@ -106,8 +106,10 @@
             cost += SUSPECT_COST
         return cost
 
-    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[Weighed]:
-        weighed = [Weighed(c.name, self.score(c, now), self.detail(c, now)) for c in candidates]
+    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[ScoredUpstream]:
+        weighed = [
+            ScoredUpstream(c.name, self.score(c, now), self.detail(c, now)) for c in candidates
+        ]
         return sorted(weighed, key=lambda w: w.score)
 
     def detail(self, upstream: UpstreamEvidence, now: float) -> str:
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterator, Sequence
 from random import Random
 
-from .base import Chooser, Failure, LoadReport, Weighed
+from .base import Chooser, Failure, LoadReport, ScoredUpstream
 from .drains import DrainLedger
 from .ejection import TRIAL_LATENCY, Ejector
 from .evidence import PoolAverages, UpstreamEvidence, UpstreamSpec
@@ -91,7 +91,7 @@
         """Return the `count` best upstreams for the next attempt, best first."""
         return self.chooser.shortlist(self._candidates(now, tried), now, count, tried)
 
-    def explain(self, now: float) -> list[Weighed]:
+    def explain(self, now: float) -> list[ScoredUpstream]:
         """Return how each upstream weighs now, best first, then those that get no work."""
         if now >= self.stale_at:
             self._refresh(now)
@@ -99,7 +99,7 @@
         for upstream in self.upstreams.values():
             why = self.why_unusable(upstream, now)
             if why:
-                weighed.append(Weighed(upstream.name, float("inf"), why))
+                weighed.append(ScoredUpstream(upstream.name, float("inf"), why))
         return weighed
 
     def why_unusable(self, upstream: UpstreamEvidence, now: float) -> str:
@@ -190,7 +190,7 @@
         return [u for u in self.upstreams.values() if u.draining is None and not u.drained]
 
     def possible_suspects(self) -> Iterator[UpstreamEvidence]:
-        """Yield upstreams at work or perhaps slow: a cheap test before `suspects_itself`."""
+        """Yield upstreams at work or perhaps slow: a cheap test before `is_local_suspect`."""
         slow = self.averages.latency * SUSPECT_SLOWNESS
         for upstream in self.upstreams.values():
             maybe_slow = upstream.samples and upstream.latency > slow
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -11,7 +11,7 @@
 
 from .evidence import UpstreamEvidence
 from .pool import SAMPLE, SMALL_POOL, PoolState
-from .suspicions import suspects_itself
+from .suspicions import is_local_suspect
 
 MAX_TOKENS = 8.0
 """Probes that may be saved up."""
@@ -133,7 +133,7 @@
         for upstream in _candidates(pool):
             if now - upstream.probed_at < PROBE_GAP:
                 continue
-            if upstream.suspected or suspects_itself(upstream, now):
+            if upstream.suspected or is_local_suspect(upstream, now):
                 suspects.append(upstream)
             elif now - upstream.report_at >= OLDEST:
                 old.append(upstream)
--- a/sequoiabridge/policy/retries.py
+++ b/sequoiabridge/policy/retries.py
@@ -17,7 +17,7 @@
 WINDOW = 10
 """Periods that the budget looks back over, the present one included."""
 
-FIRST_RETRIES = 10
+MIN_FLEET_RETRIES = 10
 """Retries that the fleet may make in a window in which hardly any call came."""
 
 FLOOR = 1
@@ -93,7 +93,7 @@
         """Take one retry from the budget; return False if there is none left."""
         count = self._current(now)
         earned = self.grant + self.ratio * count.successes
-        first = FIRST_RETRIES / (1 + len(self.others))
+        first = MIN_FLEET_RETRIES / (1 + len(self.others))
         spent = count.retries >= FLOOR and count.retries + 1 > earned
         if spent and sum(c.retries for c in self.own) >= first:
             self.refused += 1
@@ -101,11 +101,13 @@
         count.retries += 1
         return True
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """A call was answered well."""
         self._current(now).successes += 1
 
-    def heard(self, vm: str, period: int, retries: int, successes: int, now: float) -> None:
+    def record_peer_counts(
+        self, vm: str, period: int, retries: int, successes: int, now: float
+    ) -> None:
         """Another VM's counts of one of its periods; an old or repeated word changes nothing."""
         counts = self.others.setdefault(vm, [])
         if retries < 0 or successes < 0 or (counts and period <= counts[-1].period):
--- a/sequoiabridge/policy/shares.py
+++ b/sequoiabridge/policy/shares.py
@@ -30,7 +30,7 @@
     return max(1, connections // (live + joining))
 
 
-class LiveCount:
+class LiveVmCount:
     """Counts VMs for `connection_share`: more at once, fewer only after a while.
 
     A partition looks like the loss of many VMs to both sides of it; growing the parts at once
@@ -42,7 +42,7 @@
     def __init__(self):
         self.peaks: list[tuple[float, int]] = []
 
-    def seen(self, live_vms: int, now: float) -> int:
+    def update(self, live_vms: int, now: float) -> int:
         """Take in how many VMs are live now; return the count to share by."""
         self.peaks = [p for p in self.peaks if p[0] > now - CAUTION_TIME and p[1] > live_vms]
         self.peaks.append((now, live_vms))
--- a/sequoiabridge/policy/suspicions.py
+++ b/sequoiabridge/policy/suspicions.py
@@ -22,7 +22,7 @@
 """Latency, as a multiple of the pool's, that makes a suspect."""
 
 
-def suspects_itself(upstream: UpstreamEvidence, now: float) -> bool:
+def is_local_suspect(upstream: UpstreamEvidence, now: float) -> bool:
     """Return whether this VM's own calls speak against the upstream; only that is told on."""
     return (
         upstream.on_trial
--- a/sequoiabridge/tests/operators/test_journal.py
+++ b/sequoiabridge/tests/operators/test_journal.py
@@ -4,7 +4,7 @@
 from ...operators.journal import MAX_NOTES, Journal
 from ...operators.steps import AttemptEnded, Chosen, Repeated
 from ...outcome import Outcome, Reason
-from ...policy.base import Failure, Weighed
+from ...policy.base import Failure, ScoredUpstream
 from ...timers import ManualClock
 
 
@@ -42,7 +42,10 @@
 
 def test_explain_says_what_was_weighed_and_why_each_retry():
     journal = Journal(ManualClock(), "vm1", sample_every=2)
-    weighed = [Weighed("a1", 0.5, "1 in flight, 4 ms old"), Weighed("a2", 2.0, "3 in flight")]
+    weighed = [
+        ScoredUpstream("a1", 0.5, "1 in flight, 4 ms old"),
+        ScoredUpstream("a2", 2.0, "3 in flight"),
+    ]
     notes = [
         Chosen("a1", weighed),
         AttemptEnded("a1", Failure.SHED, sent=True, seconds=0.004),
--- a/sequoiabridge/tests/policy/test_retries.py
+++ b/sequoiabridge/tests/policy/test_retries.py
@@ -4,8 +4,8 @@
 from types import SimpleNamespace
 
 from ...policy.quantiles import LatencyHistogram
-from ...policy.retries import FIRST_RETRIES, RetryBudget, hedge_delay, may_retry
-from ...policy.shares import LiveCount, connection_share
+from ...policy.retries import MIN_FLEET_RETRIES, RetryBudget, hedge_delay, may_retry
+from ...policy.shares import LiveVmCount, connection_share
 
 
 def test_may_retry_truth_table():
@@ -29,20 +29,22 @@
         now = step / 100
         for number, budget in enumerate(budgets):
             if not fails(now, number):
-                budget.succeeded(now)
+                budget.record_success(now)
                 successes += 1
             elif budget.take(now):
                 retries += 1
             if told and step % 100 == 30 and (word := budget.report(now)):
                 for other in budgets:
                     if other is not budget:
-                        other.heard(str(number), word.period, word.retries, word.successes, now)
+                        other.record_peer_counts(
+                            str(number), word.period, word.retries, word.successes, now
+                        )
     return retries, successes
 
 
 def test_eighteen_vms_together_keep_the_ratio_through_an_outage():
     retries, successes = play(18, 0.1, 30, lambda now, vm: 10 <= now < 30)
-    assert 0 < retries <= 0.1 * successes + FIRST_RETRIES * 3
+    assert 0 < retries <= 0.1 * successes + MIN_FLEET_RETRIES * 3
 
 
 def test_one_vm_with_all_the_failures_may_use_the_others_budget():
@@ -54,11 +56,11 @@
 def test_words_of_retries_are_counted_once_and_forgotten():
     budget = RetryBudget(0.1)
     for _ in range(3):
-        budget.heard("vm2", 7, 0, 1000, 8.0)
+        budget.record_peer_counts("vm2", 7, 0, 1000, 8.0)
     assert budget.dump(8.5)["other VMs' successes"] == 1000
     assert sum(budget.take(9.5) for _ in range(500)) == 12
     assert budget.dump(30.0)["vms heard"] == 0
-    assert sum(budget.take(30.5) for _ in range(500)) == FIRST_RETRIES
+    assert sum(budget.take(30.5) for _ in range(500)) == MIN_FLEET_RETRIES
 
 
 def test_hedges_wait_for_the_tail_and_less_so_where_it_counts():
@@ -83,7 +85,7 @@
 
 
 def test_shares_shrink_at_once_and_grow_only_after_a_partition_would_be_over():
-    count = LiveCount()
-    assert [count.seen(n, t) for n, t in ((13, 0), (18, 1), (9, 2), (9, 30))] == [13, 18, 18, 18]
-    assert count.seen(9, 32.5) == 9
-    assert count.seen(18, 33.0) == 18
+    count = LiveVmCount()
+    assert [count.update(n, t) for n, t in ((13, 0), (18, 1), (9, 2), (9, 30))] == [13, 18, 18, 18]
+    assert count.update(9, 32.5) == 9
+    assert count.update(18, 33.0) == 18
