--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -36,6 +36,7 @@
 from .platform.dialect import PlatformDialect
 from .platform.feeds import ConfigurationFeed, UpstreamFeed
 from .relay.configuration import Configuration
+from .relay.counters import Counters
 from .relay.crash_guard import CrashGuard
 from .relay.decisions import STDOUT, DecisionLog, LineWriter, SentenceHandler
 from .relay.feeds import Follower, Update
@@ -49,7 +50,6 @@
 from .relay.reloading import SettingsWatch
 from .relay.sender import Sender
 from .relay.sharing import Sharing
-from .relay.tally import Tally
 from .relay.upstreams import UpstreamList
 from .relay.watchers import BEACON_EVERY, Watchers
 from .selector import KeptSelector
@@ -101,7 +101,7 @@
         self.random = Random()
         listen = settings.listen
         self.operators_address = f"{listen.fleet_ip}:{listen.fleet_ports[0]}"
-        self.tally = Tally()
+        self.counters = Counters()
         self.lines = LineWriter()
         self.decisions = DecisionLog(settings.vm.name, self.clock, self.lines.write)
         self.dialect = PlatformDialect()
@@ -199,7 +199,7 @@
             self.upstreams,
             self.decisions,
             self.sharing,
-            self.tally,
+            self.counters,
             clock,
             self.allowance,
         )
@@ -228,7 +228,7 @@
             self.sender,
             self.dialect,
             self.decisions,
-            self.tally,
+            self.counters,
             clock,
             self.readiness.why_not_serving,
         )
@@ -348,8 +348,8 @@
             self.allowance.vms = self.members.count
 
     def _counted(self, failed: bool) -> None:
-        self.tally.store_calls += 1
-        self.tally.store_failures += failed
+        self.counters.store_calls += 1
+        self.counters.store_failures += failed
 
 
 def run_daemon(path: str) -> int:
--- a/sequoiabridge/relay/tally.py
+++ b/sequoiabridge/relay/counters.py
@@ -4,36 +4,36 @@
 
 from bisect import bisect_left
 
-BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0)
+LATENCY_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0)
 """Upper bounds of the latency histograms, in seconds: the users' targets (0.2 to 1.7 s) lie
 between them."""
 
 
-class RouteTally:
+class RouteCounters:
     """Counts of one route: calls by status class, latency, answers in and out of time."""
 
-    __slots__ = ("statuses", "buckets", "seconds", "in_time", "late")
+    __slots__ = ("by_status_class", "buckets", "total_seconds", "in_time", "late")
 
     def __init__(self) -> None:
-        self.statuses: dict[str, int] = {}
-        self.buckets = [0] * (len(BOUNDS) + 1)
-        self.seconds = 0.0
+        self.by_status_class: dict[str, int] = {}
+        self.buckets = [0] * (len(LATENCY_BOUNDS) + 1)
+        self.total_seconds = 0.0
         self.in_time = 0
         self.late = 0
 
-    def answered(self, status: int, seconds: float, in_time: bool) -> None:
+    def count_call(self, status: int, seconds: float, in_time: bool) -> None:
         """Count one call."""
         name = f"{status // 100}xx"
-        self.statuses[name] = self.statuses.get(name, 0) + 1
-        self.buckets[bisect_left(BOUNDS, seconds)] += 1
-        self.seconds += seconds
+        self.by_status_class[name] = self.by_status_class.get(name, 0) + 1
+        self.buckets[bisect_left(LATENCY_BOUNDS, seconds)] += 1
+        self.total_seconds += seconds
         if in_time:
             self.in_time += 1
         else:
             self.late += 1
 
 
-class Tally:
+class Counters:
     """All counts of one daemon.
 
     Attributes:
@@ -43,7 +43,7 @@
     """
 
     def __init__(self) -> None:
-        self.routes: dict[str, RouteTally] = {}
+        self.routes: dict[str, RouteCounters] = {}
         self.refusals: dict[str, int] = {}
         self.probes = 0
         self.probes_unanswered = 0
@@ -51,12 +51,12 @@
         self.store_calls = 0
         self.store_failures = 0
 
-    def route(self, name: str) -> RouteTally:
+    def route(self, name: str) -> RouteCounters:
         """Return the counts of a route."""
         if name not in self.routes:
-            self.routes[name] = RouteTally()
+            self.routes[name] = RouteCounters()
         return self.routes[name]
 
-    def refused(self, reason: str) -> None:
+    def count_refusal(self, reason: str) -> None:
         """Count one answer that the daemon made itself."""
         self.refusals[reason] = self.refusals.get(reason, 0) + 1
--- a/sequoiabridge/relay/metrics.py
+++ b/sequoiabridge/relay/metrics.py
@@ -14,22 +14,22 @@
     Metric,
 )
 
-from .tally import BOUNDS, Tally
+from .counters import LATENCY_BOUNDS, Counters
 
 if TYPE_CHECKING:
     from ..gateway import Gateway
 
-BUCKETS = [*(str(bound) for bound in BOUNDS), "+Inf"]
+BUCKET_BOUNDS = [*(str(bound) for bound in LATENCY_BOUNDS), "+Inf"]
 
 
 def render(gateway: Gateway) -> bytes:
     """Return all metrics of a daemon as text."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(Families(gateway))
+    registry.register(GatewayCollector(gateway))
     return generate_latest(registry)
 
 
-class Families:
+class GatewayCollector:
     """Builds the metric families from the counts; the registry calls `collect`."""
 
     def __init__(self, gateway: Gateway):
@@ -37,24 +37,26 @@
 
     def collect(self) -> Iterator[Metric]:
         """Yield all families."""
-        tally = self.gateway.tally
+        counters = self.gateway.counters
         endings = self.gateway.sender.dispatch.learning.endings
-        yield from route_families(tally)
-        yield counted("sequoia_refusals", "Answers the daemon made.", "reason", tally.refusals)
-        yield counted("sequoia_attempts", "Attempts at upstreams.", "ending", endings)
-        yield counted(
+        yield from route_families(counters)
+        yield labelled_counter(
+            "sequoia_refusals", "Answers the daemon made.", "reason", counters.refusals
+        )
+        yield labelled_counter("sequoia_attempts", "Attempts at upstreams.", "ending", endings)
+        yield labelled_counter(
             "sequoia_log_lines",
             "Lines of the decision log.",
             "event",
             self.gateway.decisions.written,
         )
-        for name, about, value in plain_counts(self.gateway):
+        for name, about, value in plain_counters(self.gateway):
             yield CounterMetricFamily(name, about, value=value)
         for name, about, value in gauges(self.gateway):
             yield GaugeMetricFamily(name, about, value=value)
 
 
-def counted(name: str, about: str, label: str, counts: dict[str, int]) -> Metric:
+def labelled_counter(name: str, about: str, label: str, counts: dict[str, int]) -> Metric:
     """Return a counter with one label."""
     family = CounterMetricFamily(name, about, labels=(label,))
     for value, count in counts.items():
@@ -62,7 +64,7 @@
     return family
 
 
-def route_families(tally: Tally) -> Iterator[Metric]:
+def route_families(counters: Counters) -> Iterator[Metric]:
     """Yield calls by status, calls in time, and latency, each by route."""
     calls = CounterMetricFamily("sequoia_calls", "Calls answered.", labels=("route", "status"))
     timely = CounterMetricFamily(
@@ -71,26 +73,32 @@
     latency = HistogramMetricFamily(
         "sequoia_call_seconds", "From a call's head to its answer's end.", labels=("route",)
     )
-    for route, counts in tally.routes.items():
-        for status, count in counts.statuses.items():
+    for route, counts in counters.routes.items():
+        for status, count in counts.by_status_class.items():
             calls.add_metric((route, status), count)
         timely.add_metric((route, "yes"), counts.in_time)
         timely.add_metric((route, "no"), counts.late)
         sums = accumulate(counts.buckets)
-        latency.add_metric((route,), list(zip(BUCKETS, sums, strict=True)), counts.seconds)
+        latency.add_metric(
+            (route,), list(zip(BUCKET_BOUNDS, sums, strict=True)), counts.total_seconds
+        )
     yield from (calls, timely, latency)
 
 
-def plain_counts(gateway: Gateway) -> Iterator[tuple[str, str, float]]:
+def plain_counters(gateway: Gateway) -> Iterator[tuple[str, str, float]]:
     """Yield name, help and value of each counter without labels."""
-    tally, dispatch = gateway.tally, gateway.sender.dispatch
+    counters, dispatch = gateway.counters, gateway.sender.dispatch
     yield "sequoia_hedges", "Second attempts at calls that waited.", dispatch.hedges
     yield "sequoia_retries", "Attempts after one that failed.", dispatch.retries
-    yield "sequoia_probes", "Health checks sent.", tally.probes
-    yield "sequoia_probes_unanswered", "Health checks without an answer.", tally.probes_unanswered
-    yield "sequoia_callers_left", "Calls whose callers left.", tally.callers_left
-    yield "sequoia_store_calls", "Calls to the platform's store.", tally.store_calls
-    yield "sequoia_store_failures", "Such calls without a good answer.", tally.store_failures
+    yield "sequoia_probes", "Health checks sent.", counters.probes
+    yield (
+        "sequoia_probes_unanswered",
+        "Health checks without an answer.",
+        counters.probes_unanswered,
+    )
+    yield "sequoia_callers_left", "Calls whose callers left.", counters.callers_left
+    yield "sequoia_store_calls", "Calls to the platform's store.", counters.store_calls
+    yield "sequoia_store_failures", "Such calls without a good answer.", counters.store_failures
     yield "sequoia_connections_opened", "Connections to upstreams.", gateway.connector.opened
     entry_errors = [follower.entry_errors.count for follower in gateway.followers.values()]
     unusable = sum(entry_errors) + gateway.members.entry_errors.count
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -14,10 +14,10 @@
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
 from .configuration import Configuration
+from .counters import Counters
 from .decisions import DecisionLog
 from .dialect import Dialect
 from .sharing import Sharing
-from .tally import Tally
 from .upstreams import UpstreamList
 
 MOST_BODY = 4096
@@ -44,7 +44,7 @@
         upstreams: UpstreamList,
         decisions: DecisionLog,
         sharing: Sharing,
-        tally: Tally,
+        counters: Counters,
         clock: Clock,
         allowance: ProbeAllowance,
     ):
@@ -55,7 +55,7 @@
         self.upstreams = upstreams
         self.decisions = decisions
         self.sharing = sharing
-        self.tally = tally
+        self.counters = counters
         self.clock = clock
 
     async def ask(self, upstreams: Sequence[Upstream], patience: float) -> None:
@@ -84,7 +84,7 @@
 
     async def probe(self, upstream: Upstream) -> None:
         """Ask one upstream and take in its answer, or that it gave none."""
-        self.tally.probes += 1
+        self.counters.probes += 1
         upstream.evidence.asked(self.clock.now())
         connection = None
         try:
@@ -123,7 +123,7 @@
         if not evidence.silent:
             self.decisions.event("upstream-silent", upstream=upstream.id, why=why)
         evidence.ignored_probe(self.clock.now())
-        self.tally.probes_unanswered += 1
+        self.counters.probes_unanswered += 1
 
     def _take_in(self, upstream: Upstream, answer: Answer) -> None:
         metadata = self.dialect.health_metadata(answer)
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -18,10 +18,10 @@
 from .bodies import take_body
 from .call import RelayedCall
 from .configuration import Configuration
+from .counters import Counters
 from .decisions import DecisionLog
 from .dialect import Dialect
 from .sender import Sender
-from .tally import Tally
 
 log = get_log("relay")
 
@@ -47,7 +47,7 @@
         sender: Sender,
         dialect: Dialect,
         decisions: DecisionLog,
-        tally: Tally,
+        counters: Counters,
         clock: Clock,
         why_not_serving: Callable[[], str],
     ):
@@ -56,7 +56,7 @@
         self.sender = sender
         self.dialect = dialect
         self.decisions = decisions
-        self.tally = tally
+        self.counters = counters
         self.clock = clock
         self.why_not_serving = why_not_serving
         self.counter = count(1)
@@ -92,9 +92,9 @@
         now = self.clock.now()
         in_time = clean and answer.status < 300 and now <= call.target_at
         route = call.route.name if call.route else NO_ROUTE
-        self.tally.route(route).answered(answer.status, now - call.arrived, in_time)
+        self.counters.route(route).count_call(answer.status, now - call.arrived, in_time)
         if call.refusal is not None:
-            self.tally.refused(call.refusal.reason.value)
+            self.counters.count_refusal(call.refusal.reason.value)
         self.decisions.call(in_time, self._row(call, now, clean))
 
     async def _relay(self, call: RelayedCall) -> Answer:
@@ -134,7 +134,7 @@
     def _left(self, call: RelayedCall) -> None:
         """The caller left, or its connection is being closed: nobody waits for the answer."""
         call.request.exchange = None
-        self.tally.callers_left += 1
+        self.counters.callers_left += 1
         row = self._row(call, self.clock.now(), False)
         row["outcome"] = "caller-left"
         self.decisions.call(False, row)
