--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -44,7 +44,7 @@
 from .relay.messages import Hello
 from .relay.operators import OperatorPort
 from .relay.peers import PeerReader
-from .relay.probing import Probes
+from .relay.probing import Prober
 from .relay.readiness import READY_LIMITS, SWEEP, Readiness, ReadyHandler
 from .relay.relay import Relay
 from .relay.reloading import SettingsWatch
@@ -192,7 +192,7 @@
     def _build_path(self) -> None:
         """Build what calls go through."""
         bounds, clock = self.settings.bounds, self.clock
-        self.probes = Probes(
+        self.prober = Prober(
             self.connector,
             self.dialect,
             self.configuration,
@@ -215,7 +215,7 @@
         )
         self.sender = Sender(
             dispatch,
-            self.probes,
+            self.prober,
             self.connector,
             self.dialect,
             self.sharing,
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -20,7 +20,7 @@
 from .sharing import Sharing
 from .upstreams import UpstreamList
 
-MOST_BODY = 4096
+MAX_HEALTH_BODY = 4096
 """Bytes of a health answer's body that are read; longer ones are given up."""
 
 HEALTH_HEADERS = [(b"accept", b"*/*")]
@@ -28,7 +28,7 @@
 NO_CALL = b""
 
 
-class Probes:
+class Prober:
     """Sends health checks to upstreams over kept connections.
 
     Args:
@@ -58,7 +58,7 @@
         self.counters = counters
         self.clock = clock
 
-    async def ask(self, upstreams: Sequence[Upstream], patience: float) -> None:
+    async def probe_all(self, upstreams: Sequence[Upstream], timeout: float) -> None:
         """Ask all of `upstreams` and return when they have answered, or after `patience` seconds.
 
         What comes later is taken in all the same. Fewer are asked, the first ones, when the fleet's
@@ -68,19 +68,19 @@
         upstreams = upstreams[: self.allowance.take(len(upstreams), known, now)]
         if not upstreams:
             return
-        round_ = ProbeRound(len(upstreams))
+        batch = ProbeBatch(len(upstreams))
         for upstream in upstreams:
-            await curio.spawn(self._ask_one(upstream, round_), daemon=True)
-        async with curio.ignore_after(patience):
-            await round_.ended.wait()
+            await curio.spawn(self._probe_one(upstream, batch), daemon=True)
+        async with curio.ignore_after(timeout):
+            await batch.done.wait()
 
-    async def _ask_one(self, upstream: Upstream, round_: ProbeRound) -> None:
+    async def _probe_one(self, upstream: Upstream, batch: ProbeBatch) -> None:
         try:
             await self.probe(upstream)
         finally:
-            round_.left -= 1
-            if round_.left <= 0:
-                await round_.ended.set()
+            batch.pending -= 1
+            if batch.pending <= 0:
+                await batch.done.set()
 
     async def probe(self, upstream: Upstream) -> None:
         """Ask one upstream and take in its answer, or that it gave none."""
@@ -96,11 +96,11 @@
         except NoFreeConnection:
             upstream.evidence.not_asked()
         except curio.TaskTimeout:
-            self._no_answer(upstream, f"no answer within {ANSWER_LIMIT} s")
+            self._record_failure(upstream, f"no answer within {ANSWER_LIMIT} s")
         except UpstreamFailed as error:
-            self._no_answer(upstream, str(error))
+            self._record_failure(upstream, str(error))
         else:
-            self._take_in(upstream, answer)
+            self._record_answer(upstream, answer)
         finally:
             if connection is not None:
                 await self.connector.release(connection)
@@ -112,20 +112,20 @@
         await connection.send(request)
         answer = await connection.read_head()
         if answer.body is not None:
-            await read_short(answer.body)
+            await drain(answer.body)
         return answer
 
     def _is_answer(self, headers) -> bool:
         return self.dialect.is_answer_to(NO_CALL, headers)
 
-    def _no_answer(self, upstream: Upstream, why: str) -> None:
+    def _record_failure(self, upstream: Upstream, why: str) -> None:
         evidence = upstream.evidence
         if not evidence.silent:
             self.decisions.event("upstream-silent", upstream=upstream.id, why=why)
         evidence.ignored_probe(self.clock.now())
         self.counters.probes_unanswered += 1
 
-    def _take_in(self, upstream: Upstream, answer: Answer) -> None:
+    def _record_answer(self, upstream: Upstream, answer: Answer) -> None:
         metadata = self.dialect.health_metadata(answer)
         if metadata.upstream and metadata.upstream != upstream.id:
             self.upstreams.was_replaced(upstream)
@@ -142,19 +142,19 @@
             self.sharing.reported(upstream, metadata.load)
 
 
-class ProbeRound:
+class ProbeBatch:
     """The probes that were sent together; `ended` is set when all are over."""
 
-    __slots__ = ("left", "ended")
+    __slots__ = ("pending", "done")
 
     def __init__(self, count: int):
-        self.left = count
-        self.ended = curio.Event()
+        self.pending = count
+        self.done = curio.Event()
 
 
-async def read_short(body: Body) -> None:
+async def drain(body: Body) -> None:
     """Read a short body to its end; give up a long one."""
     size = 0
-    while size < MOST_BODY and (piece := await body.read()):
+    while size < MAX_HEALTH_BODY and (piece := await body.read()):
         size += len(piece)
     await body.close()
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -15,7 +15,7 @@
 from .call import RelayedCall
 from .crash_guard import CrashGuard
 from .dialect import Dialect
-from .probing import Probes
+from .probing import Prober
 from .race import Race
 from .sharing import Sharing
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         dispatch: Dispatch,
-        probes: Probes,
+        prober: Prober,
         connector: Connector,
         dialect: Dialect,
         sharing: Sharing,
@@ -39,7 +39,7 @@
         guard: CrashGuard,
     ):
         self.dispatch = dispatch
-        self.probes = probes
+        self.prober = prober
         self.connector = connector
         self.dialect = dialect
         self.sharing = sharing
@@ -74,9 +74,9 @@
 
     async def _take(self, call: RelayedCall, race: Race, step: Step) -> Try | None:
         if isinstance(step, Ask):
-            await self.probes.ask(step.upstreams, step.patience)
+            await self.prober.probe_all(step.upstreams, step.patience)
         elif isinstance(step, Remind):
-            await curio.spawn(self.probes.probe(step.upstream), daemon=True)
+            await curio.spawn(self.prober.probe(step.upstream), daemon=True)
         elif isinstance(step, Pause):
             await curio.sleep(step.seconds)
         elif isinstance(step, Send):
