--- a/sequoiabridge/experiment/__init__.py
+++ b/sequoiabridge/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""A model of upstreams, VMs and callers on simulated time; it drives the daemon's decisions."""
+"""Discrete-event simulation of callers, VMs and upstreams that runs the daemon's own decisions."""
--- a/sequoiabridge/experiment/callers.py
+++ b/sequoiabridge/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Modelled callers: they come, come back after a refusal as it says or at once, and leave."""
+"""Simulated callers, which send requests at random times, retry them, and time out."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from .vm import ModelCall, ModelVm
 
 MAX_RETRY_AFTER_SHARE = 1 / 3
-"""Part of the time that a caller has left up to which it keeps to the pause that it is told."""
+"""Longest Retry-After that a caller follows, as a share of the time until its timeout."""
 
 MIN_TIMEOUT_SHARE = 0.85
-"""Part of its kind's deadline that a caller waits at least; the users' differ by that much."""
+"""Shortest caller timeout, as a share of the deadline of the call kind."""
 
 DEFAULT_RETRY_DELAY_SECONDS = 0.1
-"""Seconds after which a caller comes back that was told no pause, or does not keep to it."""
+"""Delay before a retry if the caller got no Retry-After or does not follow it."""
 
 
 def build_route(kind: CallKind) -> Route:
-    """Return the terms that calls of a kind fall under."""
+    """Return a route for the calls of a kind."""
     target = (Target(kind.service, 1.0),)
     attempts = 2 if kind.idempotent else 1
     return Route(
@@ -37,11 +37,12 @@
 
 
 class CallerRequest:
-    """What one caller wants, however often it must come for it.
+    """One request of a caller, with all retries that the caller makes.
 
     Attributes:
-        caller_timeout: Seconds that the caller waits in all.
-        abuse_factor: How many times more it comes back, and at once; 0 for most.
+        caller_timeout: Seconds that the caller waits, retries included.
+        abuse_factor: Additional retries, as a multiple of the usual number. A caller with a value
+            above 0 does not follow Retry-After.
     """
 
     __slots__ = (
@@ -75,7 +76,13 @@
 
 
 class Callers:
-    """All callers of a scene; each call comes to a VM by chance, a later one to another."""
+    """All callers of a scene. Each call, retries included, goes to a random VM.
+
+    Attributes:
+        records: Outcome of each request so far.
+        abusive_share: Share of new requests with `abuse_factor` additional retries.
+        rate_factor: Multiplier of the arrival rate of all kinds.
+    """
 
     def __init__(self, vms: list[ModelVm], scheduler: Scheduler, random: Random):
         self.vms = vms
@@ -87,7 +94,7 @@
         self.rate_factor = 1.0
 
     def start(self, kind: CallKind, until: float) -> None:
-        """Let calls of a kind come until a time."""
+        """Generate requests of a kind until the simulated time `until`."""
         self._schedule_next(kind, build_route(kind), until)
 
     def _schedule_next(self, kind: CallKind, route: Route, until: float) -> None:
@@ -128,11 +135,11 @@
         if not may_retry or request.retries_left <= 0:
             return
         request.retries_left -= 1
-        obeys = (
+        follows_retry_after = (
             retry_after is not None
             and retry_after <= MAX_RETRY_AFTER_SHARE * time_left
             and not request.abuse_factor
         )
         self.scheduler.call_later(
-            retry_after if obeys else DEFAULT_RETRY_DELAY_SECONDS, self._send, request
+            retry_after if follows_retry_after else DEFAULT_RETRY_DELAY_SECONDS, self._send, request
         )
--- a/sequoiabridge/experiment/figures.py
+++ b/sequoiabridge/experiment/figures.py
@@ -1,4 +1,4 @@
-"""What became of the calls of one play, and what that is worth."""
+"""Results of a simulation run: outcomes, latencies and a weighted score."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 from math import sqrt
 
 WINDOW_SECONDS = 2.0
-"""Seconds of one window; the worst two of a play count."""
+"""Length of the windows that a run is divided into."""
 
 WORST_WINDOW_COUNT = 2
+"""Number of windows, those with the lowest earned share, that count as the worst."""
 
 WHOLE_RUN_WEIGHT, WORST_WINDOWS_WEIGHT, WORST_KIND_WEIGHT, SERVED_WEIGHT = 0.28, 0.40, 0.12, 0.20
-"""Weights of the whole play, its worst windows, its worst kind of call, and the share served at
-all: the users' own."""
+"""Weights in the score: the earned share of the whole run, of its worst windows and of its worst
+kind of call, and the share of requests that were served in time or late."""
 
 PROBE_COST = 0.004
-"""What a health check costs, in answers in time: the users' figure where they are dear."""
+"""Cost of a probe, in answers in time."""
 
 Z_95 = 1.96
-"""Standard errors on either side of a mean that hold 95 of 100."""
+"""Half the width of a 95% confidence interval, in standard errors."""
 
 
 class RequestOutcome(Enum):
-    """How a caller's errand ended."""
+    """How a caller's request ended, after all its retries."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -32,7 +33,14 @@
 
 
 class RequestRecord:
-    """One caller's errand, from its first call on."""
+    """Outcome of one caller's request; times in seconds.
+
+    Attributes:
+        started_at: When the caller sent its first call.
+        target: Latency up to which an answer is in time.
+        earned: Worth of the answer; 0 without a successful one.
+        latency: Time from the first call to a successful answer.
+    """
 
     __slots__ = ("kind", "started_at", "worth", "target", "outcome", "earned", "latency")
 
@@ -46,7 +54,7 @@
         self.latency = 0.0
 
     def mark_served(self, now: float, late_worth: float) -> None:
-        """It was answered well."""
+        """Record a successful answer at `now`."""
         self.latency = now - self.started_at
         in_time = self.latency <= self.target
         self.outcome = RequestOutcome.IN_TIME if in_time else RequestOutcome.LATE
@@ -54,12 +62,14 @@
 
 
 class RunResult:
-    """The figures of one play; shares are 0 to 1.
+    """Results of one run; shares are 0 to 1.
 
     Attributes:
-        worth: Earned of what was owed, weighed as the users do, less health checks.
-        in_time_by_window: Share in time of the calls of each window, by its start in seconds.
-        p99: Seconds within which 99 of 100 served calls were answered.
+        worth: Weighted score of the run, less the cost of its probes.
+        worst: Mean earned share of the worst windows.
+        in_time_by_window: Share in time of the requests of each window, by its start in seconds.
+        earned_by_kind: Earned share of each kind of call.
+        p99: 99th percentile of the latency of served requests, in seconds.
     """
 
     __slots__ = (
@@ -101,17 +111,17 @@
 
 
 def outcome_share(records: list[RequestRecord], outcome: RequestOutcome) -> float:
-    """Return the share of errands that ended in a way."""
+    """Return the share of requests with an outcome."""
     return sum(record.outcome is outcome for record in records) / max(1, len(records))
 
 
 def earned_share(records: list[RequestRecord]) -> float:
-    """Return what was earned of what was owed."""
+    """Return the earned worth as a share of the total worth."""
     return sum(r.earned for r in records) / (sum(r.worth for r in records) or 1.0)
 
 
 def group_by_window(records: list[RequestRecord]) -> dict[float, list[RequestRecord]]:
-    """Return the errands by the start of the window that they began in."""
+    """Return the requests by the start, in seconds, of the window that they started in."""
     found: dict[float, list[RequestRecord]] = {}
     for record in records:
         found.setdefault(record.started_at // WINDOW_SECONDS * WINDOW_SECONDS, []).append(record)
@@ -119,7 +129,7 @@
 
 
 def in_time_share_by_window(records: list[RequestRecord]) -> dict[float, float]:
-    """Return the share in time of each window, by its start."""
+    """Return the share in time of each window, by its start in seconds."""
     return {
         start: outcome_share(group, RequestOutcome.IN_TIME)
         for start, group in sorted(group_by_window(records).items())
@@ -127,7 +137,7 @@
 
 
 class Mean:
-    """A mean over plays, and half the width of its 95% confidence interval."""
+    """A mean over runs, and half the width of its 95% confidence interval."""
 
     __slots__ = ("value", "half_width")
 
--- a/sequoiabridge/experiment/plots.py
+++ b/sequoiabridge/experiment/plots.py
@@ -1,4 +1,4 @@
-"""Pictures of trials; drawn by matplotlib, which only this module asks for, when it is used."""
+"""Plots of trials. matplotlib is an optional dependency and imported only to draw."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from .trial import Trial
 
 FIGURE_SIZE_INCHES = (9.0, 4.5)
-"""Inches."""
+"""Width and height of the plot."""
 
 FAULT_COLOUR = "0.9"
+"""Grey level of the background while a fault is active."""
 
 
 def draw(path: Path, scene: Scene, trials: list[Trial]) -> None:
-    """Draw the share of calls in time over the seconds of a scene, a line for each trial.
+    """Plot the share of requests in time over the time of the scene, one line for each trial.
 
     Raises:
         SequoiaError: matplotlib is missing, or the file cannot be written.
@@ -39,11 +40,13 @@
     try:
         figure.savefig(path, bbox_inches="tight")
     except (OSError, ValueError) as error:
-        raise SequoiaError(f"{path} cannot be written ({error}): name another file.") from error
+        raise SequoiaError(
+            f"Cannot write the plot to {path} ({error}): choose another file."
+        ) from error
 
 
 def mean_in_time_share(trial: Trial, start: float) -> float:
-    """Return the mean share in time of one window over the seeds that have it."""
+    """Return the mean share in time of the window at `start`, over the seeds that have it."""
     shares = [
         result.in_time_by_window[start]
         for result in trial.results
--- a/sequoiabridge/experiment/scheduler.py
+++ b/sequoiabridge/experiment/scheduler.py
@@ -1,4 +1,4 @@
-"""Simulated time: what happens when, in order."""
+"""Event scheduler on simulated time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Scheduler(Clock):
-    """Events by time, and the clock that they run on; starts at zero."""
+    """Runs actions in the order of simulated seconds, and is the clock; starts at zero."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -21,16 +21,16 @@
         return self.time
 
     def wall(self) -> float:
-        """Return the same: nothing here asks for the time of day."""
+        """Return the simulated seconds since the start; there is no time of day."""
         return self.time
 
-    def call_later(self, seconds: float, callback: Callable, *arguments: object) -> None:
-        """Call `callback(*arguments)` in so many seconds."""
+    def call_later(self, seconds: float, action: Callable, *arguments: object) -> None:
+        """Call `action(*arguments)` after `seconds`."""
         self.sequence += 1
-        heappush(self.events, (self.time + seconds, self.sequence, callback, arguments))
+        heappush(self.events, (self.time + seconds, self.sequence, action, arguments))
 
     def run(self) -> None:
-        """Run until nothing is left to happen."""
+        """Run until no event is left."""
         while self.events:
-            self.time, _, callback, arguments = heappop(self.events)
-            callback(*arguments)
+            self.time, _, action, arguments = heappop(self.events)
+            action(*arguments)
--- a/sequoiabridge/experiment/trial.py
+++ b/sequoiabridge/experiment/trial.py
@@ -1,4 +1,4 @@
-"""Plays a scene with many seeds, in several processes, and gathers the figures."""
+"""Runs the trials of an experiment in parallel processes and collects their results."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from .scene import Scene
 
 REPORTED_FIELDS = ("worth", "in_time", "late", "refused", "worst", "p99", "probes_per_call")
-"""Figures of the table, in its order."""
+"""Fields of `RunResult` that are shown and written, in order."""
 
 
 class Trial:
-    """One way to decide, played in one scene.
+    """A balancing strategy, with overrides of its constants, to run with several seeds.
 
     Attributes:
-        name: What it is called in tables.
-        strategy: Who chooses.
-        overrides: Limits that are set, by name.
-        results: What each seed came to, in order of the seeds.
+        name: Label in tables and plots.
+        strategy: A key of `players.STRATEGIES`.
+        overrides: Values of constants of `balancing`, by `module.NAME`.
+        results: Result of each seed, in the order of the seeds.
     """
 
     __slots__ = ("name", "strategy", "overrides", "results")
@@ -34,12 +34,12 @@
         self.results: list[RunResult] = []
 
     def mean(self, field: str) -> Mean:
-        """Return the mean of a figure over the seeds."""
+        """Return the mean of a field of the results over the seeds."""
         return Mean([getattr(result, field) for result in self.results])
 
 
 class RunTask:
-    """One run, for another process."""
+    """Arguments of one run in a worker process."""
 
     __slots__ = ("scene", "seed", "strategy", "overrides", "trial_index")
 
@@ -52,7 +52,10 @@
 
 
 def run_task(task: RunTask) -> tuple[int, RunResult]:
-    """Play once in this process, which plays nothing else after."""
+    """Run one task; return the index of its trial and the result.
+
+    The overrides stay set, so the process must not run another task.
+    """
     apply_overrides(task.overrides)
     return task.trial_index, simulate(task.scene, task.seed, task.strategy)
 
@@ -60,13 +63,18 @@
 def run_trials(
     scene: Scene, trials: list[Trial], seeds: int, jobs: int, progress: Callable[[int, int], None]
 ) -> None:
-    """Play all trials with seeds from 1 on; `progress` hears of plays done and plays in all."""
+    """Run all trials with the seeds from 1 to `seeds`.
+
+    Args:
+        jobs: Number of worker processes.
+        progress: Called after each run with the number of runs done and of all runs.
+    """
     tasks = [
         RunTask(scene, seed, trial, trial_index)
         for trial_index, trial in enumerate(trials)
         for seed in range(1, seeds + 1)
     ]
-    # Each run has a process of its own, since limits are set for a whole process.
+    # Overrides change module constants, so each run needs a process of its own.
     with get_context("fork").Pool(jobs, maxtasksperchild=1) as pool:
         for done, (trial_index, result) in enumerate(pool.imap(run_task, tasks, 1), 1):
             trials[trial_index].results.append(result)
