--- a/sequoiabridge/balancing/learning.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -5,8 +5,8 @@
 from abc import ABC, abstractmethod
 
 from .call import Call, Ending, Try
-from .costs import Costs
 from .load import UpstreamLoad
+from .route_stats import Costs
 from .upstream import Upstream
 
 NEIGHBOUR = 1.5
--- a/sequoiabridge/balancing/call.py
+++ b/sequoiabridge/balancing/call.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from ..exceptions import SequoiaError
-from .choice import Weighed
+from .cost_model import Weighed
 from .load import UpstreamLoad
 from .routes import Route
 from .upstream import Upstream
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -7,13 +7,13 @@
 from ..timers import Clock
 from .call import Call
 from .candidates import Candidates
-from .choice import CallNeeds, Weighed, is_crowded, weigh
-from .costs import Costs
-from .crowding import Crowding
-from .evidence import PROMPT
+from .cost_model import CallNeeds, Weighed, is_crowded, weigh
+from .overload import Crowding
 from .refusals import crowded
+from .route_stats import Costs
 from .steps import Ask, Pause, Remind, Steps
 from .upstream import Upstream
+from .upstream_stats import PROMPT
 
 MOST_ASKED = 5
 """Upstreams that are asked before a call. In trials on the users' sites, asking 3 kept 0.978 of
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 
 from ..timers import Clock
-from .budget import RetryBudget
+from .attempt_recorder import Learning
 from .call import Call, Try
-from .choice import Weighed
 from .chooser import Chooser
+from .cost_model import Weighed
 from .hedging import Hedging
-from .learning import Learning
 from .refusals import gave_up, no_upstream, timed_out
+from .retry_budget import RetryBudget
 from .steps import GiveUp, Send, Steps, Wait
 
 MOST_SENDS = 4
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -8,11 +8,11 @@
 
 from ..timers import Clock
 from .call import Call, Try
-from .choice import Weighed
 from .chooser import Chooser
-from .costs import Costs
-from .evidence import PROMPT
+from .cost_model import Weighed
+from .route_stats import Costs
 from .steps import Ask, Steps
+from .upstream_stats import PROMPT
 
 FIRST_LOOK = 1.3
 """Times its expected duration after which a call is looked at first: work times spread by a third
--- a/sequoiabridge/balancing/crowding.py
+++ b/sequoiabridge/balancing/overload.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .evidence import Fading
+from .upstream_stats import Fading
 
 MEMORY = 1.0
 """Seconds in which what was met loses two thirds of its weight: neighbours change twice a second,
--- a/sequoiabridge/balancing/steps.py
+++ b/sequoiabridge/balancing/steps.py
@@ -9,7 +9,7 @@
 from typing import TypeVar
 
 from .call import Try
-from .choice import Weighed
+from .cost_model import Weighed
 from .upstream import Upstream
 
 
--- a/sequoiabridge/balancing/upstream.py
+++ b/sequoiabridge/balancing/upstream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .evidence import Evidence
+from .upstream_stats import Evidence
 
 
 class UpstreamRecord:
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -6,12 +6,12 @@
 
 from ..balancing.call import Call
 from ..balancing.candidates import Candidates
-from ..balancing.choice import Weighed
 from ..balancing.chooser import Chooser
-from ..balancing.costs import Costs
-from ..balancing.evidence import PROMPT
+from ..balancing.cost_model import Weighed
+from ..balancing.route_stats import Costs
 from ..balancing.steps import Ask, Pause, Steps
 from ..balancing.upstream import Upstream
+from ..balancing.upstream_stats import PROMPT
 from .upstream import ModelUpstream
 
 OWN = "own"
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -5,20 +5,20 @@
 from collections.abc import Callable
 from random import Random
 
-from ..balancing.allowance import ProbeAllowance
-from ..balancing.budget import RetryBudget
+from ..balancing.attempt_recorder import Learning, News
 from ..balancing.call import Call, Ending, Try
 from ..balancing.candidates import Candidates, UpstreamSource
 from ..balancing.chooser import Chooser
-from ..balancing.costs import Costs
 from ..balancing.dispatch import Dispatch
-from ..balancing.evidence import ANSWER_LIMIT, HEARSAY, OpenCall
 from ..balancing.hedging import Hedging
-from ..balancing.learning import Learning, News
 from ..balancing.load import UpstreamLoad
-from ..balancing.patience import Patience
+from ..balancing.prior_wait import Patience
+from ..balancing.probe_limiter import ProbeAllowance
+from ..balancing.retry_budget import RetryBudget
+from ..balancing.route_stats import Costs
 from ..balancing.steps import Ask, GiveUp, Pause, Remind, Send, Step
 from ..balancing.upstream import Upstream, UpstreamRecord
+from ..balancing.upstream_stats import ANSWER_LIMIT, HEARSAY, OpenCall
 from ..exceptions import Refusal
 from .scene import Scene
 from .scheduler import Scheduler
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -15,14 +15,14 @@
 
 import curio
 
-from .balancing.allowance import ProbeAllowance
-from .balancing.budget import RetryBudget
+from .balancing.attempt_recorder import Learning
 from .balancing.candidates import Candidates
 from .balancing.chooser import Chooser
-from .balancing.costs import Costs
 from .balancing.dispatch import Dispatch
 from .balancing.hedging import Hedging
-from .balancing.learning import Learning
+from .balancing.probe_limiter import ProbeAllowance
+from .balancing.retry_budget import RetryBudget
+from .balancing.route_stats import Costs
 from .balancing.routes import RouteTable
 from .balancing.splitting import Splitter
 from .balancing.upstream import Upstream, UpstreamRecord
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -5,8 +5,8 @@
 import curio
 
 from ..balancing.call import Ending, Try
-from ..balancing.choice import Weighed
-from ..balancing.evidence import OpenCall
+from ..balancing.cost_model import Weighed
+from ..balancing.upstream_stats import OpenCall
 from ..exceptions import CallerGone, Refusal, UpstreamFailed
 from ..pipeline.buffering import ReplayableBody
 from ..pipeline.exchange import Answer, Body, BytesBody
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -6,9 +6,9 @@
 
 import curio
 
-from ..balancing.allowance import ProbeAllowance
-from ..balancing.evidence import ANSWER_LIMIT
+from ..balancing.probe_limiter import ProbeAllowance
 from ..balancing.upstream import Upstream
+from ..balancing.upstream_stats import ANSWER_LIMIT
 from ..exceptions import NoFreeConnection, UpstreamFailed
 from ..pipeline.exchange import Answer, Body
 from ..timers import Clock
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from ..balancing.patience import Patience
+from ..balancing.prior_wait import Patience
 from ..balancing.refusals import internal
 from ..balancing.routes import Route
 from ..balancing.splitting import Splitter
--- a/sequoiabridge/relay/reloading.py
+++ b/sequoiabridge/relay/reloading.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ..balancing.costs import Costs
+from ..balancing.route_stats import Costs
 from ..config.gateway_settings import GatewaySettings
 from ..config.problem import Invalid
 from .decisions import DecisionLog
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -5,7 +5,7 @@
 import curio
 
 from ..balancing.call import Ending, Try
-from ..balancing.choice import Weighed
+from ..balancing.cost_model import Weighed
 from ..balancing.dispatch import Dispatch
 from ..balancing.steps import Ask, GiveUp, Pause, Remind, Send, Step
 from ..pipeline.exchange import Answer
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Callable
 
-from ..balancing.evidence import HEARSAY
-from ..balancing.learning import News
+from ..balancing.attempt_recorder import News
 from ..balancing.load import UpstreamLoad
 from ..balancing.upstream import Upstream
+from ..balancing.upstream_stats import HEARSAY
 from ..timers import Clock
 from .channel import Channel
 from .members import Members
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from ...balancing.allowance import KEPT_SHARE, ProbeAllowance
-from ...balancing.budget import RetryBudget
 from ...balancing.candidates import MOST_NEAR, Candidates
-from ...balancing.choice import SEEN_LATELY, CallNeeds, cost_to_others, is_crowded, weigh
-from ...balancing.evidence import OpenCall
+from ...balancing.cost_model import SEEN_LATELY, CallNeeds, cost_to_others, is_crowded, weigh
+from ...balancing.probe_limiter import KEPT_SHARE, ProbeAllowance
+from ...balancing.retry_budget import RetryBudget
 from ...balancing.routes import Route, Target
 from ...balancing.splitting import Splitter
+from ...balancing.upstream_stats import OpenCall
 from ...relay.upstreams import UpstreamList
 from ...timers import ManualClock
 from ..relay.fakes import decision_log, record, upstream
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from ...balancing.budget import RetryBudget
+from ...balancing.attempt_recorder import Learning, News
 from ...balancing.call import Call, Ending, Try
 from ...balancing.candidates import Candidates
 from ...balancing.chooser import Chooser
-from ...balancing.costs import Costs
 from ...balancing.dispatch import Dispatch
 from ...balancing.hedging import Hedging
-from ...balancing.learning import Learning, News
+from ...balancing.retry_budget import RetryBudget
+from ...balancing.route_stats import Costs
 from ...balancing.routes import Route, Target
 from ...balancing.steps import GiveUp, Send, Wait
 from ...exceptions import Refusal
--- a/sequoiabridge/tests/balancing/test_hedging.py
+++ b/sequoiabridge/tests/balancing/test_hedging.py
@@ -1,7 +1,7 @@
 """Second attempts: how many upstreams a call may be at, counting those on the way."""
 
 from ...balancing.call import Call, Ending, Try
-from ...balancing.choice import Weighed
+from ...balancing.cost_model import Weighed
 from ...balancing.hedging import Hedging
 from ...balancing.routes import Route, Target
 from ...timers import ManualClock
--- a/sequoiabridge/tests/balancing/test_patience.py
+++ b/sequoiabridge/tests/balancing/test_patience.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from ...balancing.crowding import Crowding
-from ...balancing.patience import UsualPatience
+from ...balancing.overload import Crowding
+from ...balancing.prior_wait import UsualPatience
 
 FIRST_TRY, ON_A_NEW_CONNECTION, COMES_BACK = 0.8, 0.793, 0.56
 
--- a/sequoiabridge/tests/relay/test_reloading.py
+++ b/sequoiabridge/tests/relay/test_reloading.py
@@ -2,7 +2,7 @@
 
 import json
 
-from ...balancing.costs import Costs
+from ...balancing.route_stats import Costs
 from ...config.gateway_settings import GatewaySettings
 from ...relay.reloading import SettingsWatch
 from .fakes import decision_log
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -1,6 +1,6 @@
 """Who may get work: drains, departures, entries that lapse while the platform is away."""
 
-from ...balancing.evidence import OpenCall
+from ...balancing.upstream_stats import OpenCall
 from ...relay.upstreams import LAPSE_KEPT, UpstreamList
 from ...timers import ManualClock
 from .fakes import decision_log, record
