--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -11,7 +11,7 @@
 from .overload import Crowding
 from .refusals import crowded
 from .route_stats import Costs
-from .steps import Ask, Pause, Remind, Steps
+from .steps import BackgroundProbe, Probe, Sleep, Steps
 from .upstream import Upstream
 from .upstream_stats import PROMPT
 
@@ -71,7 +71,7 @@
         while full:
             if self.clock.now() >= until:
                 raise crowded(call)
-            yield Pause(HOLD_LOOK)
+            yield Sleep(HOLD_LOOK)
             best = yield from self.choose(call)
             full = best is not None and self.is_crowded(call, best)
         return best
@@ -99,13 +99,13 @@
         now = self.clock.now()
         for upstream in upstreams:
             if upstream.evidence.may_be_asked(now):
-                yield Remind(upstream)
+                yield BackgroundProbe(upstream)
         answering = [u for u in upstreams if not u.evidence.is_silent(now)]
         answering = [u for u in answering if now - u.evidence.load_at > FRESH]
         if len(answering) > MOST_ASKED:
             answering = self.random.sample(answering, MOST_ASKED)
         if answering:
-            yield Ask(answering, PROMPT)
+            yield Probe(answering, PROMPT)
 
     def _needs(self, call: Call) -> CallNeeds:
         return CallNeeds(
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -16,7 +16,7 @@
 from .hedging import Hedging
 from .refusals import gave_up, no_upstream, timed_out
 from .retry_budget import RetryBudget
-from .steps import GiveUp, Send, Steps, Wait
+from .steps import CancelAttempt, Send, Steps, Wait
 
 MOST_SENDS = 4
 """Upstreams that a call is offered to at most, those that refused it included: when four have no
@@ -137,7 +137,7 @@
         """See how open attempts do; let another upstream try too if they do badly."""
         for attempt in list(call.open):
             if attempt.upstream.is_over:
-                yield GiveUp(attempt)
+                yield CancelAttempt(attempt)
             elif attempt.check_at <= self.clock.now():
                 yield from self._hedge(call, attempt)
 
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -11,7 +11,7 @@
 from .chooser import Chooser
 from .cost_model import Weighed
 from .route_stats import Costs
-from .steps import Ask, Steps
+from .steps import Probe, Steps
 from .upstream_stats import PROMPT
 
 FIRST_LOOK = 1.3
@@ -65,7 +65,7 @@
             return None
         evidence = attempt.upstream.evidence
         if not evidence.is_silent(self.clock.now()):
-            yield Ask([attempt.upstream], PROMPT)
+            yield Probe([attempt.upstream], PROMPT)
         left = self._time_left(call, attempt)
         if left <= 0.0:
             return None
--- a/sequoiabridge/balancing/steps.py
+++ b/sequoiabridge/balancing/steps.py
@@ -13,20 +13,20 @@
 from .upstream import Upstream
 
 
-class Ask:
+class Probe:
     """Ask upstreams for their load; go on when all have answered or `patience` seconds are over.
 
     What comes later is taken in all the same.
     """
 
-    __slots__ = ("upstreams", "patience")
+    __slots__ = ("upstreams", "timeout")
 
-    def __init__(self, upstreams: Sequence[Upstream], patience: float):
+    def __init__(self, upstreams: Sequence[Upstream], timeout: float):
         self.upstreams = upstreams
-        self.patience = patience
+        self.timeout = timeout
 
 
-class Remind:
+class BackgroundProbe:
     """Ask an upstream that did not answer lately, without waiting for its answer."""
 
     __slots__ = ("upstream",)
@@ -35,7 +35,7 @@
         self.upstream = upstream
 
 
-class Pause:
+class Sleep:
     """Go on after `seconds`."""
 
     __slots__ = ("seconds",)
@@ -62,7 +62,7 @@
         self.until = until
 
 
-class GiveUp:
+class CancelAttempt:
     """End an attempt that still runs; `Wait` returns it soon."""
 
     __slots__ = ("attempt",)
@@ -71,7 +71,7 @@
         self.attempt = attempt
 
 
-Step = Ask | Remind | Pause | Send | Wait | GiveUp
+Step = Probe | BackgroundProbe | Sleep | Send | Wait | CancelAttempt
 
 Result = TypeVar("Result")
 Steps = Generator[Step, Try | None, Result]
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -9,7 +9,7 @@
 from ..balancing.chooser import Chooser
 from ..balancing.cost_model import Weighed
 from ..balancing.route_stats import Costs
-from ..balancing.steps import Ask, Pause, Steps
+from ..balancing.steps import Probe, Sleep, Steps
 from ..balancing.upstream import Upstream
 from ..balancing.upstream_stats import PROMPT
 from .upstream import ModelUpstream
@@ -86,7 +86,7 @@
 
     def shortlist(self, upstreams: list[Upstream]) -> Steps[list[Upstream]]:
         sample = self.random.sample(upstreams, min(PROBE_POOL_SIZE, len(upstreams)))
-        yield Ask(sample, PROMPT)
+        yield Probe(sample, PROMPT)
         return sample
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
@@ -117,7 +117,7 @@
                 return best
             if is_late:
                 return None
-            yield Pause(ORACLE_POLL_SECONDS)
+            yield Sleep(ORACLE_POLL_SECONDS)
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         return min(upstreams, key=self._cost)
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -16,7 +16,7 @@
 from ..balancing.probe_limiter import ProbeAllowance
 from ..balancing.retry_budget import RetryBudget
 from ..balancing.route_stats import Costs
-from ..balancing.steps import Ask, GiveUp, Pause, Remind, Send, Step
+from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
 from ..balancing.upstream import Upstream, UpstreamRecord
 from ..balancing.upstream_stats import ANSWER_LIMIT, HEARSAY, OpenCall
 from ..exceptions import Refusal
@@ -161,16 +161,16 @@
                 self.dispatch.learning.ended(call, attempt)
 
     def _execute(self, call: ModelCall, step: Step) -> None:
-        if isinstance(step, Ask):
+        if isinstance(step, Probe):
             self._probe_all(call, step)
-        elif isinstance(step, Remind):
+        elif isinstance(step, BackgroundProbe):
             self._probe(step.upstream, None)
             self._resume_later(call, 0.0, None)
-        elif isinstance(step, Pause):
+        elif isinstance(step, Sleep):
             self._resume_later(call, step.seconds, None)
         elif isinstance(step, Send):
             self._resume_later(call, 0.0, self._send(call, step))
-        elif isinstance(step, GiveUp):
+        elif isinstance(step, CancelAttempt):
             self._cancel(call, step.attempt)
             self._resume_later(call, 0.0, None)
         else:
@@ -193,7 +193,7 @@
     def _one_way_latency(self, upstream: Upstream) -> float:
         return self.scene.near if upstream.near else self.scene.far
 
-    def _probe_all(self, call: ModelCall, step: Ask) -> None:
+    def _probe_all(self, call: ModelCall, step: Probe) -> None:
         count = len(self.upstreams.by_id)
         allowed = self.allowance.take(len(step.upstreams), count, self.scheduler.now())
         generation, pending = call.generation, allowed
@@ -206,7 +206,7 @@
 
         for upstream in step.upstreams[:allowed]:
             self._probe(upstream, on_report)
-        self._resume_later(call, step.patience if allowed else 0.0, None)
+        self._resume_later(call, step.timeout if allowed else 0.0, None)
 
     def _probe(self, upstream: Upstream, on_report: Callable[[], None] | None) -> None:
         self.probes_sent += 1
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -7,7 +7,7 @@
 from ..balancing.call import Ending, Try
 from ..balancing.cost_model import Weighed
 from ..balancing.dispatch import Dispatch
-from ..balancing.steps import Ask, GiveUp, Pause, Remind, Send, Step
+from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
 from ..pipeline.exchange import Answer
 from ..timers import Clock
 from ..upstreams.base import Connector
@@ -73,15 +73,15 @@
             found = await self._take(call, race, step)
 
     async def _take(self, call: RelayedCall, race: Race, step: Step) -> Try | None:
-        if isinstance(step, Ask):
-            await self.prober.probe_all(step.upstreams, step.patience)
-        elif isinstance(step, Remind):
+        if isinstance(step, Probe):
+            await self.prober.probe_all(step.upstreams, step.timeout)
+        elif isinstance(step, BackgroundProbe):
             await curio.spawn(self.prober.probe(step.upstream), daemon=True)
-        elif isinstance(step, Pause):
+        elif isinstance(step, Sleep):
             await curio.sleep(step.seconds)
         elif isinstance(step, Send):
             return await self._start(call, race, step.weighed)
-        elif isinstance(step, GiveUp):
+        elif isinstance(step, CancelAttempt):
             await race.end(step.attempt)
         else:
             return await self._ended(call, race, step.until)
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -13,7 +13,7 @@
 from ...balancing.retry_budget import RetryBudget
 from ...balancing.route_stats import Costs
 from ...balancing.routes import Route, Target
-from ...balancing.steps import GiveUp, Send, Wait
+from ...balancing.steps import CancelAttempt, Send, Wait
 from ...exceptions import Refusal
 from ...relay.upstreams import UpstreamList
 from ...timers import ManualClock
@@ -115,7 +115,7 @@
     walk = Walk(upstreams=1)
     attempt = walk.start()
     walk.known.update([record("u0", born=2)], [], 2)
-    assert walk.until(GiveUp).attempt is attempt
+    assert walk.until(CancelAttempt).attempt is attempt
     with pytest.raises(Refusal):
         walk.end(attempt, Ending.RESTARTED)
 
