--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -7,9 +7,9 @@
 from ..timers import Clock
 from .call import Call
 from .candidates import Candidates
-from .cost_model import CallNeeds, Weighed, is_crowded, weigh
-from .overload import Crowding
-from .refusals import crowded
+from .cost_model import CallNeeds, Weighed, lacks_capacity, weigh
+from .overload import OverloadTracker
+from .refusals import overloaded
 from .route_stats import Costs
 from .steps import BackgroundProbe, Probe, Sleep, Steps
 from .upstream import Upstream
@@ -53,7 +53,7 @@
         self.costs = costs
         self.clock = clock
         self.random = random
-        self.crowding = Crowding()
+        self.overload = OverloadTracker()
 
     def place(self, call: Call) -> Steps[Weighed | None]:
         """Return an upstream with a place for a new call, None if there is none at all.
@@ -65,20 +65,20 @@
         """
         until = call.arrived + call.body_seconds + HOLD_SHARE * call.route.target_latency
         best = yield from self.choose(call)
-        full = best is not None and self.is_crowded(call, best)
+        full = best is not None and self.lacks_capacity(call, best)
         if not call.waited:
-            self.crowding.met(call.service, full, self.clock.now())
+            self.overload.record(call.service, full, self.clock.now())
         while full:
             if self.clock.now() >= until:
-                raise crowded(call)
+                raise overloaded(call)
             yield Sleep(HOLD_LOOK)
             best = yield from self.choose(call)
-            full = best is not None and self.is_crowded(call, best)
+            full = best is not None and self.lacks_capacity(call, best)
         return best
 
-    def is_crowded(self, call: Call, weighed: Weighed) -> bool:
+    def lacks_capacity(self, call: Call, weighed: Weighed) -> bool:
         """Return whether an upstream that was chosen has no place for the call."""
-        return is_crowded(self._needs(call), weighed)
+        return lacks_capacity(self._needs(call), weighed)
 
     def choose(self, call: Call) -> Steps[Weighed | None]:
         """Return the best upstream that the call was not sent to yet, None if there is none."""
@@ -114,7 +114,7 @@
             call.route.target_latency,
             self.costs.far_cost(call),
             call.deadline - self.clock.now(),
-            self.crowding.share(call.service, self.clock.now()),
+            self.overload.ratio(call.service, self.clock.now()),
         )
 
     def _best(self, call: Call, upstreams: list[Upstream]) -> Weighed | None:
--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -262,7 +262,7 @@
     return UNKNOWN_SLOWDOWN, max(busy, len(evidence.open_calls)) - slots + 1
 
 
-def is_crowded(call: CallNeeds, best: Weighed) -> bool:
+def lacks_capacity(call: CallNeeds, best: Weighed) -> bool:
     """Return whether even the best upstream has no place for a call now.
 
     Only the calls before it would make it late: if it is sent all the same, those that come after
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -14,7 +14,7 @@
 from .chooser import Chooser
 from .cost_model import Weighed
 from .hedging import Hedging
-from .refusals import gave_up, no_upstream, timed_out
+from .refusals import no_attempt_left, no_upstream, timed_out
 from .retry_budget import RetryBudget
 from .steps import CancelAttempt, Send, Steps, Wait
 
@@ -87,8 +87,8 @@
                 continue
             if call.fallback is not None:
                 return call.fallback
-            crowding = self.chooser.crowding.share(call.service, self.clock.now())
-            raise gave_up(call, attempt.why, crowding)
+            crowding = self.chooser.overload.ratio(call.service, self.clock.now())
+            raise no_attempt_left(call, attempt.why, crowding)
 
     def _first(self, call: Call) -> Steps[None]:
         weighed = yield from self.chooser.place(call)
@@ -107,7 +107,7 @@
         if not self._may_repeat(call):
             return False
         weighed = yield from self.chooser.choose(call)
-        if weighed is None or self.chooser.is_crowded(call, weighed):
+        if weighed is None or self.chooser.lacks_capacity(call, weighed):
             call.note = "no other upstream has a place"
             return False
         if call.reached and not self._budget(call).take(self.clock.now()):
--- a/sequoiabridge/balancing/refusals.py
+++ b/sequoiabridge/balancing/refusals.py
@@ -6,16 +6,16 @@
 from ..outcome import Outcome, Reason
 from .call import Call
 
-AT_ONCE = 0.02
+SHORT_RETRY_AFTER = 0.02
 """Seconds after which a caller may try again that only met upstreams which refuse by fault, while
 others have places: each further 0.1 s makes it late more often. Where 55 calls in 100 were refused
 for 8 s, 0.759 of the worth came in instead of 0.736 (means of three runs each)."""
 
-MOST_CROWDING = 0.05
+MIN_OVERLOAD_RATIO = 0.05
 """Share of new calls without a place from which a refusal by upstreams may mean that they are
 busy."""
 
-COME_BACK = 0.15
+RETRY_AFTER = 0.15
 """Seconds after which a caller may try again: a place becomes free within the time of one piece of
 work, and callers wait at most a third of the time they have left."""
 
@@ -23,7 +23,7 @@
 def no_upstream(call: Call) -> Refusal:
     """Return the refusal of a call whose service has no upstream that takes work."""
     message = "No upstream of the service takes work now. Come back later."
-    return Refusal(503, Outcome.NOT_RUN, Reason.NO_UPSTREAM, message, COME_BACK)
+    return Refusal(503, Outcome.NOT_RUN, Reason.NO_UPSTREAM, message, RETRY_AFTER)
 
 
 def timed_out(call: Call) -> Refusal:
@@ -32,10 +32,10 @@
         message = "No upstream answered in time. Whether the request ran is not known."
         return Refusal(504, Outcome.UNKNOWN, Reason.TIMEOUT, message)
     message = "No upstream took the request in time; it did not run. Come back later."
-    return Refusal(503, Outcome.NOT_RUN, Reason.TIMEOUT, message, COME_BACK)
+    return Refusal(503, Outcome.NOT_RUN, Reason.TIMEOUT, message, RETRY_AFTER)
 
 
-def gave_up(call: Call, why: str, crowding: float) -> Refusal:
+def no_attempt_left(call: Call, why: str, crowding: float) -> Refusal:
     """Return the refusal of a call that cannot be sent again.
 
     Args:
@@ -45,19 +45,19 @@
         message = f"The upstream gave no usable answer ({why}). The request may have run."
         return Refusal(502, Outcome.UNKNOWN, Reason.UPSTREAM_FAILED, message)
     message = "No upstream took the request; it did not run. Come back later."
-    pause = COME_BACK if crowding > MOST_CROWDING else AT_ONCE
-    return Refusal(503, Outcome.NOT_RUN, Reason.UPSTREAM_SHED, message, pause)
+    retry_after = RETRY_AFTER if crowding > MIN_OVERLOAD_RATIO else SHORT_RETRY_AFTER
+    return Refusal(503, Outcome.NOT_RUN, Reason.UPSTREAM_SHED, message, retry_after)
 
 
-def crowded(call: Call) -> Refusal:
+def overloaded(call: Call) -> Refusal:
     """Return the refusal of a call for which all upstreams are too busy."""
     message = "All upstreams of the service are too busy now. Come back later."
-    return Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, message, COME_BACK)
+    return Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, message, RETRY_AFTER)
 
 
-def internal(call: Call) -> Refusal:
+def internal_error(call: Call) -> Refusal:
     """Return the refusal that stands for a fault of the daemon's own."""
     message = "The daemon failed at this request. Tell its operator the request's id."
     if call.may_have_run:
         return Refusal(500, Outcome.UNKNOWN, Reason.INTERNAL, message)
-    return Refusal(503, Outcome.NOT_RUN, Reason.INTERNAL, message, COME_BACK)
+    return Refusal(503, Outcome.NOT_RUN, Reason.INTERNAL, message, RETRY_AFTER)
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -4,7 +4,7 @@
 
 from importlib import import_module
 
-from ..balancing.refusals import COME_BACK
+from ..balancing.refusals import RETRY_AFTER
 from ..exceptions import SequoiaError
 
 MODULES = (
@@ -32,13 +32,13 @@
     "hedging": {"hedging.FIRST_LOOK": NEVER, "hedging.LEAST_LOOK": NEVER},
     "repeats": {"dispatch.MOST_SENDS": 1},
     "holding": {"chooser.HOLD_SHARE": 0.0},
-    "crowding": {"overload.DOUBT": NEVER},
+    "crowding": {"overload.PRIOR_CALLS": NEVER},
     "patience": {"prior_wait.TRUSTED_SHARE": NEVER},
     "others": {"cost_model.LEAST_SCARCITY": 0.0, "cost_model.FULL_FACTOR": 1.0},
     "pace": {"upstream_stats.PACE_STEP": 0.0},
     "failures": {"upstream_stats.FAILURE_MEMORY": 1e-6},
     "overdue": {"cost_model.OVERDUE_COST": 0.0},
-    "coming-back-at-once": {"refusals.AT_ONCE": COME_BACK},
+    "coming-back-at-once": {"refusals.SHORT_RETRY_AFTER": RETRY_AFTER},
     "far-cost": {"chooser.GAIN": -NEVER},
 }
 """What switches each mechanism off. Sharing of words is a scene's `words_lost`."""
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -39,7 +39,7 @@
     def place(self, call: Call) -> Steps[Weighed | None]:
         return (yield from self.choose(call))
 
-    def is_crowded(self, call: Call, weighed: Weighed) -> bool:
+    def lacks_capacity(self, call: Call, weighed: Weighed) -> bool:
         return False
 
     def choose(self, call: Call) -> Steps[Weighed | None]:
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from ..balancing.prior_wait import Patience
-from ..balancing.refusals import internal
+from ..balancing.refusals import internal_error
 from ..balancing.routes import Route
 from ..balancing.splitting import Splitter
 from ..callers.server import Handler
@@ -78,7 +78,7 @@
             call.answer = self._refuse(call, refusal)
         except Exception:
             log.exception("Call %s hit an error of the daemon's own.", call.id)
-            call.answer = self._refuse(call, internal(call))
+            call.answer = self._refuse(call, internal_error(call))
         except BaseException:
             self._left(call)
             raise
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ...balancing.candidates import MOST_NEAR, Candidates
-from ...balancing.cost_model import SEEN_LATELY, CallNeeds, cost_to_others, is_crowded, weigh
+from ...balancing.cost_model import SEEN_LATELY, CallNeeds, cost_to_others, lacks_capacity, weigh
 from ...balancing.probe_limiter import KEPT_SHARE, ProbeAllowance
 from ...balancing.retry_budget import RetryBudget
 from ...balancing.routes import Route, Target
@@ -121,12 +121,12 @@
 def test_a_call_is_not_sent_into_a_queue_that_alone_makes_it_late():
     queued, noisy = upstream(load=(2, 4, 2, 1.0)), upstream(load=(2, 0, 2, 7.0))
     free = upstream(load=(1, 0, 2, 1.0))
-    assert is_crowded(CALL, weigh(CALL, queued, 0.01))
-    assert not is_crowded(CALL, weigh(CALL, noisy, 0.01)), "late anywhere: it may wait its turn"
-    assert not is_crowded(CALL, weigh(CALL, free, 0.01))
+    assert lacks_capacity(CALL, weigh(CALL, queued, 0.01))
+    assert not lacks_capacity(CALL, weigh(CALL, noisy, 0.01)), "late anywhere: it may wait its turn"
+    assert not lacks_capacity(CALL, weigh(CALL, free, 0.01))
     late = CallNeeds(work=0.1, time_left=-0.1, target=0.4, far_cost=0.0, patience=0.7, crowding=0.0)
-    assert not is_crowded(late, weigh(late, free, 0.01))
-    assert is_crowded(late, weigh(late, upstream(load=(2, 1, 2, 1.0)), 0.01))
+    assert not lacks_capacity(late, weigh(late, free, 0.01))
+    assert lacks_capacity(late, weigh(late, upstream(load=(2, 1, 2, 1.0)), 0.01))
 
 
 def coming_back(crowding, patience=0.9):
@@ -147,9 +147,9 @@
 def test_a_call_that_comes_back_late_gets_no_place_that_others_would_be_in_time_at():
     fast, slowed = upstream("fast"), upstream("slowed", load=(0, 0, 2, 6.0))
     crowded, calm = coming_back(crowding=0.9), coming_back(crowding=0.2)
-    assert is_crowded(crowded, weigh(crowded, fast, 0.01))
-    assert not is_crowded(crowded, weigh(crowded, slowed, 0.01))
-    assert not is_crowded(calm, weigh(calm, fast, 0.01))
+    assert lacks_capacity(crowded, weigh(crowded, fast, 0.01))
+    assert not lacks_capacity(crowded, weigh(crowded, slowed, 0.01))
+    assert not lacks_capacity(calm, weigh(calm, fast, 0.01))
 
 
 def route(*weights):
@@ -203,14 +203,14 @@
 
 def test_the_last_of_four_slots_is_left_free_when_places_are_scarce():
     last, noisy = wide("last", FOUR), wide("noisy", (1, 0, 4, 2.0))
-    assert not is_crowded(needs(0.1), weigh(needs(0.1), last, 0.01))
-    assert is_crowded(needs(0.8), weigh(needs(0.8), last, 0.01))
+    assert not lacks_capacity(needs(0.1), weigh(needs(0.1), last, 0.01))
+    assert lacks_capacity(needs(0.8), weigh(needs(0.8), last, 0.01))
     assert weigh(needs(0.1), noisy, 0.01).cost < weigh(needs(0.1), last, 0.01).cost
 
 
 def test_of_two_slots_the_last_one_does_more_than_it_costs_however_scarce_places_are():
     last = upstream("last", load=(1, 0, 2, 1.0))
-    assert not is_crowded(needs(1.0), weigh(needs(1.0), last, 0.01))
+    assert not lacks_capacity(needs(1.0), weigh(needs(1.0), last, 0.01))
 
 
 def test_a_single_slot_and_a_free_one_cost_the_others_nothing():
@@ -221,8 +221,10 @@
 def test_no_call_goes_into_a_queue_or_last_slot_on_an_old_word():
     last, free = upstream("last", load=(1, 0, 2, 1.0)), upstream("free", load=(0, 0, 2, 1.0))
     for age, crowded in ((SEEN_LATELY / 2, False), (SEEN_LATELY * 2, True)):
-        assert is_crowded(CALL, weigh(CALL, last, age)) is crowded
-        assert not is_crowded(CALL, weigh(CALL, free, age))
+        assert lacks_capacity(CALL, weigh(CALL, last, age)) is crowded
+        assert not lacks_capacity(CALL, weigh(CALL, free, age))
     untold = upstream("untold", load=None)
     untold.evidence.began(OpenCall(0.0, 0.1))
-    assert not is_crowded(needs(0.0, 9.0), weigh(needs(0.0, 9.0), untold, 0.01)), "it tells no load"
+    assert not lacks_capacity(
+        needs(0.0, 9.0), weigh(needs(0.0, 9.0), untold, 0.01)
+    ), "no load report"
--- a/sequoiabridge/tests/balancing/test_patience.py
+++ b/sequoiabridge/tests/balancing/test_patience.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from ...balancing.overload import Crowding
+from ...balancing.overload import OverloadTracker
 from ...balancing.prior_wait import UsualPatience
 
 FIRST_TRY, ON_A_NEW_CONNECTION, COMES_BACK = 0.8, 0.793, 0.56
@@ -40,13 +40,13 @@
 
 
 def test_a_service_is_crowded_by_what_new_calls_met_lately():
-    crowding = Crowding()
-    assert crowding.share("s", 0.0) == 0.0
-    crowding.met("s", True, 0.0)
-    assert crowding.share("s", 0.0) < 0.5, "one call without a place says little"
+    overload = OverloadTracker()
+    assert overload.ratio("s", 0.0) == 0.0
+    overload.record("s", True, 0.0)
+    assert overload.ratio("s", 0.0) < 0.5, "one call without a place says little"
     for number in range(40):
-        crowding.met("s", True, number / 40)
-    assert crowding.share("s", 1.0) > 0.8 and crowding.share("other", 1.0) == 0.0
+        overload.record("s", True, number / 40)
+    assert overload.ratio("s", 1.0) > 0.8 and overload.ratio("other", 1.0) == 0.0
     for number in range(40):
-        crowding.met("s", False, 1.0 + number / 20)
-    assert crowding.share("s", 3.0) < 0.2
+        overload.record("s", False, 1.0 + number / 20)
+    assert overload.ratio("s", 3.0) < 0.2
