--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -46,11 +46,11 @@
         """Take in one attempt."""
         ending, now = attempt.ending, attempt.ended_at
         self.endings[ending.value] = self.endings.get(ending.value, 0) + 1
-        upstream, weighed = attempt.upstream, attempt.weighed
+        upstream, estimate = attempt.upstream, attempt.estimate
         evidence = upstream.evidence
         seconds = now - attempt.started
         # What was expected without regard to the upstream's own slowness.
-        usual = weighed.expected / evidence.pace_now(now)
+        usual = estimate.expected_duration / evidence.pace_now(now)
         if attempt.load is not None:
             self.news.reported(upstream, attempt.load)
         if ending is Ending.ANSWERED and attempt.is_good:
@@ -72,4 +72,4 @@
 def met_neighbour(attempt: Try) -> bool:
     """Return whether other work slowed the upstream down after the call was sent there."""
     load = attempt.load
-    return load is not None and load.slowdown > NEIGHBOUR * attempt.weighed.slowdown
+    return load is not None and load.slowdown > NEIGHBOUR * attempt.estimate.slowdown
--- a/sequoiabridge/balancing/call.py
+++ b/sequoiabridge/balancing/call.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from ..exceptions import SequoiaError
-from .cost_model import Weighed
+from .cost_model import CostEstimate
 from .load import UpstreamLoad
 from .routes import Route
 from .upstream import Upstream
@@ -52,7 +52,7 @@
     """
 
     __slots__ = (
-        "weighed",
+        "estimate",
         "started",
         "ended_at",
         "sent",
@@ -67,8 +67,8 @@
         "check_at",
     )
 
-    def __init__(self, weighed: Weighed, started: float):
-        self.weighed = weighed
+    def __init__(self, estimate: CostEstimate, started: float):
+        self.estimate = estimate
         self.started = started
         self.ended_at = 0.0
         self.sent = False
@@ -85,7 +85,7 @@
     @property
     def upstream(self) -> Upstream:
         """Return the upstream that it goes to."""
-        return self.weighed.upstream
+        return self.estimate.upstream
 
     @property
     def may_have_run(self) -> bool:
@@ -153,7 +153,7 @@
         self.tries: list[Try] = []
         self.open: list[Try] = []
         self.fallback: Try | None = None
-        self.considered: list[Weighed] = []
+        self.considered: list[CostEstimate] = []
         self.note = ""
 
     def fall_under(self, route: Route, patience: float | None) -> None:
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -7,7 +7,7 @@
 from ..timers import Clock
 from .call import Call
 from .candidates import Candidates
-from .cost_model import CallNeeds, Weighed, lacks_capacity, weigh
+from .cost_model import CallRequirements, CostEstimate, estimate_cost, lacks_capacity
 from .overload import OverloadTracker
 from .refusals import overloaded
 from .route_stats import Costs
@@ -55,7 +55,7 @@
         self.random = random
         self.overload = OverloadTracker()
 
-    def place(self, call: Call) -> Steps[Weighed | None]:
+    def place(self, call: Call) -> Steps[CostEstimate | None]:
         """Return an upstream with a place for a new call, None if there is none at all.
 
         When all are crowded, it looks again for a little while.
@@ -76,11 +76,11 @@
             full = best is not None and self.lacks_capacity(call, best)
         return best
 
-    def lacks_capacity(self, call: Call, weighed: Weighed) -> bool:
+    def lacks_capacity(self, call: Call, estimate: CostEstimate) -> bool:
         """Return whether an upstream that was chosen has no place for the call."""
-        return lacks_capacity(self._needs(call), weighed)
+        return lacks_capacity(self._needs(call), estimate)
 
-    def choose(self, call: Call) -> Steps[Weighed | None]:
+    def choose(self, call: Call) -> Steps[CostEstimate | None]:
         """Return the best upstream that the call was not sent to yet, None if there is none."""
         neighbours = self.candidates.of_service(call.service)
         tried = call.tried
@@ -107,8 +107,8 @@
         if answering:
             yield Probe(answering, PROMPT)
 
-    def _needs(self, call: Call) -> CallNeeds:
-        return CallNeeds(
+    def _needs(self, call: Call) -> CallRequirements:
+        return CallRequirements(
             self.costs.work(call),
             call.target_at - self.clock.now(),
             call.route.target_latency,
@@ -117,10 +117,12 @@
             self.overload.ratio(call.service, self.clock.now()),
         )
 
-    def _best(self, call: Call, upstreams: list[Upstream]) -> Weighed | None:
+    def _best(self, call: Call, upstreams: list[Upstream]) -> CostEstimate | None:
         now = self.clock.now()
         needs = self._needs(call)
-        weighed = [weigh(needs, upstream, now) for upstream in upstreams if upstream.takes_work]
-        weighed.sort(key=lambda one: one.cost)
-        call.considered = weighed[:SHOWN] or call.considered
-        return weighed[0] if weighed else None
+        estimates = [
+            estimate_cost(needs, upstream, now) for upstream in upstreams if upstream.takes_work
+        ]
+        estimates.sort(key=lambda one: one.cost)
+        call.considered = estimates[:SHOWN] or call.considered
+        return estimates[0] if estimates else None
--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -13,23 +13,23 @@
 """Part of a call's worth that is lost when its answer comes late (the users' figures: a late one
 is worth a tenth)."""
 
-LOST_COST = 1.0
+EXPIRED_COST = 1.0
 """Cost of a call's waiting at an upstream until its caller leaves: more than any place is worth to
 others, so that such a call is rather turned away at once."""
 
-MOST_DISPLACED = 0.45
+MAX_DISPLACEMENT_COST = 0.45
 """Worth to other calls up to which a place is given to one that is late already. Without it, such
 calls took a fifth of the places of the users' most crowded day; 5,002 of 9,306 reads were in time,
 5,935 with it, one run each."""
 
-SPREAD = 0.25
+LOG_DURATION_SPREAD = 0.25
 """Spread of the logarithm of a call's duration around what is expected: work times spread by 0.3
 and reports are some milliseconds old."""
 
-COLD_FACTOR = 2.0
+COLD_START_FACTOR = 2.0
 """How many times longer work takes on an upstream that has just started (the users' figure)."""
 
-WAIT_SHARE = 0.67
+REMAINING_WORK_SHARE = 0.67
 """Part of its work that a running request still has before it, on average; a little over half,
 since those that run long are met more often."""
 
@@ -39,40 +39,40 @@
 OVERDUE_COST = 0.2
 """Cost of each open call there that is overdue: it may have fallen silent."""
 
-SILENT_COST = 0.5
+UNRESPONSIVE_COST = 0.5
 """Cost of an upstream that did not answer the last probe."""
 
-FULL_FACTOR = 1.7
+SATURATED_FACTOR = 1.7
 """How many times longer work takes on an upstream of which all slots are taken: some slow down when
 they are nearly full (1.7 times at the users' site that shows it)."""
 
-LEAST_SCARCITY = 0.15
+MIN_OVERLOAD_WEIGHT = 0.15
 """Share of the work that a full upstream does not get done which is missed even where places are
 not scarce: the calls there may meet a neighbour as well and be late."""
 
-UNKNOWN_SLOWDOWN = 2.5
+DEFAULT_SLOWDOWN = 2.5
 """Slowdown that is assumed of an upstream that has not told its load lately: the mean over time
 where neighbours slow it sevenfold for a quarter of it."""
 
-MOST_LATENESS = 0.2
+MAX_LATE_PROBABILITY = 0.2
 """Likelihood of being late from which a call is not sent into a queue. Of 0.7,
 0.4, 0.2 and 0.05, one run each of the users' most crowded day: worth 0.352, 0.389, 0.416, 0.403."""
 
-MOST_WAITING = 2
+MAX_QUEUE_PER_SLOT = 2
 """Requests for each slot that may wait at an upstream at most; the users' upstreams have room for 2
 to 4 and reset the connection of one more, which leaves open whether that ran."""
 
-STALE = 0.5
+MAX_SLOWDOWN_AGE = 0.5
 """Seconds after which a reported slowdown says nothing any more: neighbours change twice a
 second."""
 
-SEEN_LATELY = 0.1
+MAX_OCCUPANCY_AGE = 0.1
 """Seconds after which an upstream's word is too old for sending a call into its queue or its last
 slot: by then other VMs have taken the same place. In a fleet of 101 VMs, such calls took 2.0 s
 where 0.56 s was expected; without them a day with bursts earned 0.652 of what was owed, 0.566
 before (one run each)."""
 
-NEVER_SEEN = float("inf")
+NO_REPORT_AGE = float("inf")
 """Age of the word of an upstream that has told no load yet."""
 
 DURATION_COST = 0.05
@@ -80,7 +80,7 @@
 all answer in time."""
 
 
-class CallNeeds:
+class CallRequirements:
     """What the choice must know of a call.
 
     Attributes:
@@ -92,31 +92,38 @@
         crowding: Share of new calls of the service that lately found no place at once.
     """
 
-    __slots__ = ("work", "time_left", "target", "far_cost", "patience", "crowding")
+    __slots__ = (
+        "work",
+        "time_to_target",
+        "target_latency",
+        "transfer_cost",
+        "time_to_deadline",
+        "overload_ratio",
+    )
 
     def __init__(
         self,
         work: float,
-        time_left: float,
-        target: float,
-        far_cost: float,
-        patience: float,
-        crowding: float,
+        time_to_target: float,
+        target_latency: float,
+        transfer_cost: float,
+        time_to_deadline: float,
+        overload_ratio: float,
     ):
         self.work = work
-        self.time_left = time_left
-        self.target = target
-        self.far_cost = far_cost
-        self.patience = patience
-        self.crowding = crowding
+        self.time_to_target = time_to_target
+        self.target_latency = target_latency
+        self.transfer_cost = transfer_cost
+        self.time_to_deadline = time_to_deadline
+        self.overload_ratio = overload_ratio
 
     @property
     def is_late(self) -> bool:
         """Return whether its answer will be late wherever it goes."""
-        return self.time_left <= 0.0
+        return self.time_to_target <= 0.0
 
 
-class Weighed:
+class CostEstimate:
     """One upstream as it was weighed.
 
     Attributes:
@@ -133,93 +140,110 @@
 
     __slots__ = (
         "upstream",
-        "expected",
-        "alone",
-        "late",
+        "expected_duration",
+        "processing_time",
+        "late_probability",
         "cost",
         "slowdown",
-        "queue",
-        "age",
-        "displaced",
-        "others",
+        "queue_position",
+        "report_age",
+        "displacement_cost",
+        "saturation_cost",
     )
 
     def __init__(
         self,
         upstream: Upstream,
-        expected: float,
-        alone: float,
-        late: float,
+        expected_duration: float,
+        processing_time: float,
+        late_probability: float,
         cost: float,
         slowdown: float,
-        queue: int,
-        age: float,
-        displaced: float,
-        others: float = 0.0,
+        queue_position: int,
+        report_age: float,
+        displacement_cost: float,
+        saturation_cost: float = 0.0,
     ):
         self.upstream = upstream
-        self.expected = expected
-        self.alone = alone
-        self.late = late
+        self.expected_duration = expected_duration
+        self.processing_time = processing_time
+        self.late_probability = late_probability
         self.cost = cost
         self.slowdown = slowdown
-        self.queue = queue
-        self.age = age
-        self.displaced = displaced
-        self.others = others
+        self.queue_position = queue_position
+        self.report_age = report_age
+        self.displacement_cost = displacement_cost
+        self.saturation_cost = saturation_cost
 
     def row(self) -> dict:
         """Return the inputs of the choice, for the log."""
         row = {
             "upstream": self.upstream.id,
             "cost": round(self.cost, 3),
-            "expected_ms": round(self.expected * 1000),
+            "expected_ms": round(self.expected_duration * 1000),
             "slowdown": round(self.slowdown, 2),
-            "queue": self.queue,
-            "age_ms": round(min(self.age, 999.0) * 1000, 1),
+            "queue": self.queue_position,
+            "age_ms": round(min(self.report_age, 999.0) * 1000, 1),
         }
-        if self.displaced:
-            row["displaced"] = round(self.displaced, 2)
-        if self.others:
-            row["others"] = round(self.others, 2)
+        if self.displacement_cost:
+            row["displaced"] = round(self.displacement_cost, 2)
+        if self.saturation_cost:
+            row["others"] = round(self.saturation_cost, 2)
         return row
 
 
-def weigh(call: CallNeeds, upstream: Upstream, now: float) -> Weighed:
+def estimate_cost(call: CallRequirements, upstream: Upstream, now: float) -> CostEstimate:
     """Return what sending `call` to `upstream` now is likely to cost."""
     evidence = upstream.evidence
-    age = now - evidence.load_at
-    slowdown, queue = _load(upstream, age)
-    duration = call.work * slowdown * evidence.pace_now(now)
+    report_age = now - evidence.load_at
+    slowdown, queue_position = _load(upstream, report_age)
+    processing_time = call.work * slowdown * evidence.pace_now(now)
     if now < upstream.warm_at:
-        duration *= COLD_FACTOR
+        processing_time *= COLD_START_FACTOR
     slots = max(1, upstream.record.slots)
-    if slots > 1 and queue >= 0:
-        duration *= FULL_FACTOR
-    expected = duration * (1.0 + WAIT_SHARE * max(0, queue) / slots)
-    late = lateness(expected, call.time_left)
+    if slots > 1 and queue_position >= 0:
+        processing_time *= SATURATED_FACTOR
+    expected_duration = processing_time * (
+        1.0 + REMAINING_WORK_SHARE * max(0, queue_position) / slots
+    )
+    late_probability = exceed_probability(expected_duration, call.time_to_target)
     failure = evidence.failure_share(now)
-    cost = failure + (1.0 - failure) * LATE_COST * late
-    cost += DURATION_COST * expected / call.target
-    displaced = 0.0
+    cost = failure + (1.0 - failure) * LATE_COST * late_probability
+    cost += DURATION_COST * expected_duration / call.target_latency
+    displacement_cost = 0.0
     if call.is_late:
-        displaced = LATE_COST * call.crowding * (1.0 - lateness(expected, call.target))
-        cost += displaced + LOST_COST * lateness(expected, call.patience)
-    others = cost_to_others(slots, queue, call.crowding)
-    cost += others
+        displacement_cost = (
+            LATE_COST
+            * call.overload_ratio
+            * (1.0 - exceed_probability(expected_duration, call.target_latency))
+        )
+        cost += displacement_cost + EXPIRED_COST * exceed_probability(
+            expected_duration, call.time_to_deadline
+        )
+    saturation_cost = cost_of_saturation(slots, queue_position, call.overload_ratio)
+    cost += saturation_cost
     cost += OVERDUE_COST * evidence.overdue(now)
     if not upstream.near:
-        cost += call.far_cost
+        cost += call.transfer_cost
     if not evidence.healthy:
         cost += UNHEALTHY_COST
     if evidence.is_silent(now):
-        cost += SILENT_COST
-    return Weighed(
-        upstream, expected, duration, late, cost, slowdown, queue, age, displaced, others
+        cost += UNRESPONSIVE_COST
+    return CostEstimate(
+        upstream,
+        expected_duration,
+        processing_time,
+        late_probability,
+        cost,
+        slowdown,
+        queue_position,
+        report_age,
+        displacement_cost,
+        saturation_cost,
     )
 
 
-def cost_to_others(slots: int, queue: int, crowding: float) -> float:
+def cost_of_saturation(slots: int, queue_position: int, overload_ratio: float) -> float:
     """Return what taking the last free slot of an upstream, or waiting there, costs others.
 
     Load pattern: more calls than there are quiet places, for some seconds. An upstream with all
@@ -231,23 +255,23 @@
     Limit: it never keeps a slot free that would serve more. With two slots the loss is 0.7 calls
     at most, less than the one gained, so both are used however crowded it is.
     """
-    if slots < 2 or queue < 0:
+    if slots < 2 or queue_position < 0:
         return 0.0
-    lost_calls = (FULL_FACTOR - 1.0) * (slots - 1)
-    return LATE_COST * lost_calls * max(LEAST_SCARCITY, crowding)
+    lost_calls = (SATURATED_FACTOR - 1.0) * (slots - 1)
+    return LATE_COST * lost_calls * max(MIN_OVERLOAD_WEIGHT, overload_ratio)
 
 
-def lateness(expected: float, time_left: float) -> float:
-    """Return how likely a call that should take `expected` seconds ends after `time_left`."""
-    if time_left <= 0.0:
+def exceed_probability(expected_duration: float, limit: float) -> float:
+    """Return how likely a call that should take `expected` seconds ends after `limit`."""
+    if limit <= 0.0:
         return 1.0
-    distance = (log(max(expected, 1e-6)) - log(time_left)) / SPREAD
+    distance = (log(max(expected_duration, 1e-6)) - log(limit)) / LOG_DURATION_SPREAD
     if distance > 30.0:
         return 1.0
     return 1.0 / (1.0 + exp(-distance * 1.7))
 
 
-def _load(upstream: Upstream, age: float) -> tuple[float, int]:
+def _load(upstream: Upstream, report_age: float) -> tuple[float, int]:
     """Return the slowdown, and how many requests a new one would wait for.
 
     0 means that it gets the last free slot, a negative number that some slots stay free.
@@ -255,14 +279,14 @@
     evidence, slots = upstream.evidence, max(1, upstream.record.slots)
     load = evidence.load
     if load is None:
-        return UNKNOWN_SLOWDOWN, len(evidence.open_calls) - slots + 1
+        return DEFAULT_SLOWDOWN, len(evidence.open_calls) - slots + 1
     busy = load.running + load.waiting
-    if age <= STALE:
+    if report_age <= MAX_SLOWDOWN_AGE:
         return load.slowdown, busy + evidence.sent_since - slots + 1
-    return UNKNOWN_SLOWDOWN, max(busy, len(evidence.open_calls)) - slots + 1
+    return DEFAULT_SLOWDOWN, max(busy, len(evidence.open_calls)) - slots + 1
 
 
-def lacks_capacity(call: CallNeeds, best: Weighed) -> bool:
+def lacks_capacity(call: CallRequirements, best: CostEstimate) -> bool:
     """Return whether even the best upstream has no place for a call now.
 
     Only the calls before it would make it late: if it is sent all the same, those that come after
@@ -272,15 +296,17 @@
     that would cost the calls there more than it gains has no place there either, nor one that
     would take a last place on a word so old that others have seen that place too.
     """
-    if best.others > 1.0 - LATE_COST * best.late:
+    if best.saturation_cost > 1.0 - LATE_COST * best.late_probability:
         return True
-    if best.queue >= 0 and SEEN_LATELY < best.age < NEVER_SEEN:
+    if best.queue_position >= 0 and MAX_OCCUPANCY_AGE < best.report_age < NO_REPORT_AGE:
         return True
-    if best.queue < 1:
-        return best.displaced > MOST_DISPLACED
-    if best.queue > MOST_WAITING * max(1, best.upstream.record.slots):
+    if best.queue_position < 1:
+        return best.displacement_cost > MAX_DISPLACEMENT_COST
+    if best.queue_position > MAX_QUEUE_PER_SLOT * max(1, best.upstream.record.slots):
         return True
     if call.is_late:
         return True
-    slow_anyway = lateness(best.alone, call.time_left) > MOST_LATENESS
-    return best.late > MOST_LATENESS and not slow_anyway
+    slow_anyway = (
+        exceed_probability(best.processing_time, call.time_to_target) > MAX_LATE_PROBABILITY
+    )
+    return best.late_probability > MAX_LATE_PROBABILITY and not slow_anyway
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -12,7 +12,7 @@
 from .attempt_recorder import Learning
 from .call import Call, Try
 from .chooser import Chooser
-from .cost_model import Weighed
+from .cost_model import CostEstimate
 from .hedging import Hedging
 from .refusals import no_attempt_left, no_upstream, timed_out
 from .retry_budget import RetryBudget
@@ -87,17 +87,17 @@
                 continue
             if call.fallback is not None:
                 return call.fallback
-            crowding = self.chooser.overload.ratio(call.service, self.clock.now())
-            raise no_attempt_left(call, attempt.why, crowding)
+            overload_ratio = self.chooser.overload.ratio(call.service, self.clock.now())
+            raise no_attempt_left(call, attempt.why, overload_ratio)
 
     def _first(self, call: Call) -> Steps[None]:
-        weighed = yield from self.chooser.place(call)
-        if weighed is None:
+        estimate = yield from self.chooser.place(call)
+        if estimate is None:
             raise no_upstream(call)
-        yield from self._start(call, weighed)
+        yield from self._start(call, estimate)
 
-    def _start(self, call: Call, weighed: Weighed) -> Steps[None]:
-        attempt = yield Send(weighed)
+    def _start(self, call: Call, estimate: CostEstimate) -> Steps[None]:
+        attempt = yield Send(estimate)
         call.tries.append(attempt)
         call.open.append(attempt)
         self.hedging.begin(call, attempt)
@@ -106,15 +106,15 @@
         """Send the call to another upstream if that is allowed; return whether it was sent."""
         if not self._may_repeat(call):
             return False
-        weighed = yield from self.chooser.choose(call)
-        if weighed is None or self.chooser.lacks_capacity(call, weighed):
+        estimate = yield from self.chooser.choose(call)
+        if estimate is None or self.chooser.lacks_capacity(call, estimate):
             call.note = "no other upstream has a place"
             return False
         if call.reached and not self._budget(call).take(self.clock.now()):
             call.note = "the budget of repeats is spent"
             return False
         self.retries += 1
-        yield from self._start(call, weighed)
+        yield from self._start(call, estimate)
         return True
 
     def _may_repeat(self, call: Call) -> bool:
@@ -147,14 +147,14 @@
             self.hedging.look_later(call, attempt)
             call.note = "the budget of repeats is spent"
             return
-        weighed = yield from self.hedging.better(call, attempt)
-        if weighed is None or attempt.ending is not None:
+        estimate = yield from self.hedging.better(call, attempt)
+        if estimate is None or attempt.ending is not None:
             return
         if not budget.take(self.clock.now()):
             call.note = "the budget of repeats is spent"
             return
         self.hedges += 1
-        yield from self._start(call, weighed)
+        yield from self._start(call, estimate)
 
     def _budget(self, call: Call) -> RetryBudget:
         budget = self.budgets.get(call.service)
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -9,7 +9,7 @@
 from ..timers import Clock
 from .call import Call, Try
 from .chooser import Chooser
-from .cost_model import Weighed
+from .cost_model import CostEstimate
 from .route_stats import Costs
 from .steps import Probe, Steps
 from .upstream_stats import PROMPT
@@ -45,7 +45,7 @@
     def begin(self, call: Call, attempt: Try) -> None:
         """Set when a new attempt is looked at first."""
         target = call.route.target_latency
-        wait = max(FIRST_LOOK * attempt.weighed.expected, LEAST_LOOK * target)
+        wait = max(FIRST_LOOK * attempt.estimate.expected_duration, LEAST_LOOK * target)
         attempt.check_at = attempt.started + min(wait, target)
 
     def next_look(self, call: Call) -> float:
@@ -58,7 +58,7 @@
         """Set when an attempt is looked at again."""
         attempt.check_at = self.clock.now() + LOOK_EVERY * call.route.target_latency
 
-    def better(self, call: Call, attempt: Try) -> Steps[Weighed | None]:
+    def better(self, call: Call, attempt: Try) -> Steps[CostEstimate | None]:
         """Return an upstream that should try the call too, None if the first does well enough."""
         self.look_later(call, attempt)
         if not self._allowed(call):
@@ -69,12 +69,16 @@
         left = self._time_left(call, attempt)
         if left <= 0.0:
             return None
-        weighed = yield from self.chooser.choose(call)
-        if weighed is None or weighed.expected > WORTHWHILE * left or weighed.queue > 0:
+        estimate = yield from self.chooser.choose(call)
+        if (
+            estimate is None
+            or estimate.expected_duration > WORTHWHILE * left
+            or estimate.queue_position > 0
+        ):
             return None
-        if weighed.expected > call.deadline - self.clock.now():
+        if estimate.expected_duration > call.deadline - self.clock.now():
             return None
-        return weighed
+        return estimate
 
     def _allowed(self, call: Call) -> bool:
         repeatable = call.route.idempotent and call.replayable
@@ -85,9 +89,9 @@
         evidence, now = attempt.upstream.evidence, self.clock.now()
         if evidence.is_silent(now):
             return float("inf")
-        slowdown = evidence.load.slowdown if evidence.load else attempt.weighed.slowdown
+        slowdown = evidence.load.slowdown if evidence.load else attempt.estimate.slowdown
         duration = self.costs.work(call) * max(1.0, slowdown) * max(1.0, evidence.pace_now(now))
         taken = now - attempt.started
-        if taken > ALIVE * max(duration, attempt.weighed.expected):
+        if taken > ALIVE * max(duration, attempt.estimate.expected_duration):
             return float("inf")
         return max(LEAST_LEFT * duration, duration - taken)
--- a/sequoiabridge/balancing/refusals.py
+++ b/sequoiabridge/balancing/refusals.py
@@ -35,7 +35,7 @@
     return Refusal(503, Outcome.NOT_RUN, Reason.TIMEOUT, message, RETRY_AFTER)
 
 
-def no_attempt_left(call: Call, why: str, crowding: float) -> Refusal:
+def no_attempt_left(call: Call, why: str, overload_ratio: float) -> Refusal:
     """Return the refusal of a call that cannot be sent again.
 
     Args:
@@ -45,7 +45,7 @@
         message = f"The upstream gave no usable answer ({why}). The request may have run."
         return Refusal(502, Outcome.UNKNOWN, Reason.UPSTREAM_FAILED, message)
     message = "No upstream took the request; it did not run. Come back later."
-    retry_after = RETRY_AFTER if crowding > MIN_OVERLOAD_RATIO else SHORT_RETRY_AFTER
+    retry_after = RETRY_AFTER if overload_ratio > MIN_OVERLOAD_RATIO else SHORT_RETRY_AFTER
     return Refusal(503, Outcome.NOT_RUN, Reason.UPSTREAM_SHED, message, retry_after)
 
 
--- a/sequoiabridge/balancing/route_stats.py
+++ b/sequoiabridge/balancing/route_stats.py
@@ -62,12 +62,12 @@
 
         Its work is learned only if it had a slot at once on an upstream that nothing slowed.
         """
-        learned, weighed = self._of(call), attempt.weighed
+        learned, estimate = self._of(call), attempt.estimate
         learned.answer += STEP * (attempt.size - learned.answer)
-        if weighed.queue > 0 or weighed.slowdown > CLEAN_SLOWDOWN:
+        if estimate.queue_position > 0 or estimate.slowdown > CLEAN_SLOWDOWN:
             return
         seconds = attempt.ended_at - attempt.started
-        ratio = log(max(seconds, LEAST_SECONDS) / weighed.alone)
+        ratio = log(max(seconds, LEAST_SECONDS) / estimate.processing_time)
         learned.work *= exp(STEP * max(-MOST_STEP, min(MOST_STEP, ratio)))
 
     def _of(self, call: Call) -> Learned:
--- a/sequoiabridge/balancing/steps.py
+++ b/sequoiabridge/balancing/steps.py
@@ -9,7 +9,7 @@
 from typing import TypeVar
 
 from .call import Try
-from .cost_model import Weighed
+from .cost_model import CostEstimate
 from .upstream import Upstream
 
 
@@ -47,10 +47,10 @@
 class Send:
     """Send the call to an upstream; the attempt, which has begun, comes of it."""
 
-    __slots__ = ("weighed",)
+    __slots__ = ("estimate",)
 
-    def __init__(self, weighed: Weighed):
-        self.weighed = weighed
+    def __init__(self, estimate: CostEstimate):
+        self.estimate = estimate
 
 
 class Wait:
--- a/sequoiabridge/balancing/upstream_stats.py
+++ b/sequoiabridge/balancing/upstream_stats.py
@@ -70,11 +70,11 @@
 class OpenCall:
     """A call that an upstream has now; times in seconds."""
 
-    __slots__ = ("started", "expected")
+    __slots__ = ("started", "expected_duration")
 
-    def __init__(self, started: float, expected: float):
+    def __init__(self, started: float, expected_duration: float):
         self.started = started
-        self.expected = expected
+        self.expected_duration = expected_duration
 
 
 class Evidence:
@@ -197,4 +197,6 @@
 
     def overdue(self, now: float) -> int:
         """Return how many open calls have taken far longer than expected."""
-        return sum(now - call.started > OVERDUE * call.expected for call in self.open_calls)
+        return sum(
+            now - call.started > OVERDUE * call.expected_duration for call in self.open_calls
+        )
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -34,7 +34,7 @@
     "holding": {"chooser.HOLD_SHARE": 0.0},
     "crowding": {"overload.PRIOR_CALLS": NEVER},
     "patience": {"prior_wait.TRUSTED_SHARE": NEVER},
-    "others": {"cost_model.LEAST_SCARCITY": 0.0, "cost_model.FULL_FACTOR": 1.0},
+    "others": {"cost_model.MIN_OVERLOAD_WEIGHT": 0.0, "cost_model.SATURATED_FACTOR": 1.0},
     "pace": {"upstream_stats.PACE_STEP": 0.0},
     "failures": {"upstream_stats.FAILURE_MEMORY": 1e-6},
     "overdue": {"cost_model.OVERDUE_COST": 0.0},
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -7,7 +7,7 @@
 from ..balancing.call import Call
 from ..balancing.candidates import Candidates
 from ..balancing.chooser import Chooser
-from ..balancing.cost_model import Weighed
+from ..balancing.cost_model import CostEstimate
 from ..balancing.route_stats import Costs
 from ..balancing.steps import Probe, Sleep, Steps
 from ..balancing.upstream import Upstream
@@ -36,13 +36,13 @@
 
     models: dict[str, ModelUpstream]
 
-    def place(self, call: Call) -> Steps[Weighed | None]:
+    def place(self, call: Call) -> Steps[CostEstimate | None]:
         return (yield from self.choose(call))
 
-    def lacks_capacity(self, call: Call, weighed: Weighed) -> bool:
+    def lacks_capacity(self, call: Call, estimate: CostEstimate) -> bool:
         return False
 
-    def choose(self, call: Call) -> Steps[Weighed | None]:
+    def choose(self, call: Call) -> Steps[CostEstimate | None]:
         upstreams = self.candidates.upstreams.of_service(call.service)
         untried = [upstream for upstream in upstreams if upstream.id not in call.tried]
         if not untried:
@@ -59,10 +59,10 @@
         """Return the upstream to send to."""
         return self.random.choice(upstreams)
 
-    def as_weighed(self, call: Call, upstream: Upstream) -> Weighed:
+    def as_weighed(self, call: Call, upstream: Upstream) -> CostEstimate:
         """Return an upstream as if it had been weighed."""
         work = self.costs.work(call)
-        return Weighed(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE, 0.0, 0.0)
+        return CostEstimate(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE, 0.0, 0.0)
 
 
 class PowerOfTwoChoices(BaselineChooser):
@@ -106,7 +106,7 @@
     leaves the last room of each upstream to others, and is refused where there is no more.
     """
 
-    def place(self, call: Call) -> Steps[Weighed | None]:
+    def place(self, call: Call) -> Steps[CostEstimate | None]:
         """Return the best upstream as soon as one has room; None, to refuse the call, once it
         could not be in time and would take room from others."""
         latest = call.target_at - ORACLE_HOLD_FACTOR * self.costs.work(call)
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -231,10 +231,10 @@
         upstream.evidence.ignored_probe(self.scheduler.now())
 
     def _send(self, call: ModelCall, step: Send) -> Try:
-        upstream, now = step.weighed.upstream, self.scheduler.now()
-        attempt = Try(step.weighed, now)
+        upstream, now = step.estimate.upstream, self.scheduler.now()
+        attempt = Try(step.estimate, now)
         attempt.sent = True
-        open_call = OpenCall(now, step.weighed.expected)
+        open_call = OpenCall(now, step.estimate.expected_duration)
         upstream.evidence.began(open_call)
         upstream.evidence.sent()
         self._share_with_peers(upstream, lambda entry: entry.evidence.sent())
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -5,7 +5,7 @@
 import curio
 
 from ..balancing.call import Ending, Try
-from ..balancing.cost_model import Weighed
+from ..balancing.cost_model import CostEstimate
 from ..balancing.upstream_stats import OpenCall
 from ..exceptions import CallerGone, Refusal, UpstreamFailed
 from ..pipeline.buffering import ReplayableBody
@@ -53,19 +53,19 @@
     def __init__(
         self,
         call: RelayedCall,
-        weighed: Weighed,
+        estimate: CostEstimate,
         connector: Connector,
         dialect: Dialect,
         clock: Clock,
         sharing: Sharing,
     ):
-        super().__init__(weighed, clock.now())
+        super().__init__(estimate, clock.now())
         self.call = call
         self.connector = connector
         self.dialect = dialect
         self.clock = clock
         self.sharing = sharing
-        self.open_call = OpenCall(self.started, weighed.expected)
+        self.open_call = OpenCall(self.started, estimate.expected_duration)
         self.connection: UpstreamConnection | None = None
         self.answer: Answer | None = None
         self.metadata: AnswerMetadata | None = None
@@ -184,7 +184,7 @@
             "upstream": self.upstream.id,
             "ending": self.ending.value if self.ending else "open",
             "ms": round(self.seconds * 1000, 1),
-            "expected_ms": round(self.weighed.expected * 1000),
+            "expected_ms": round(self.estimate.expected_duration * 1000),
         }
         if self.answer is not None:
             row["status"] = self.answer.status
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -163,5 +163,5 @@
         if call.note:
             row["note"] = call.note
         row["attempts"] = [attempt.row() for attempt in call.tries]
-        row["considered"] = [weighed.row() for weighed in call.considered]
+        row["considered"] = [estimate.row() for estimate in call.considered]
         return row
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -5,7 +5,7 @@
 import curio
 
 from ..balancing.call import Ending, Try
-from ..balancing.cost_model import Weighed
+from ..balancing.cost_model import CostEstimate
 from ..balancing.dispatch import Dispatch
 from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
 from ..pipeline.exchange import Answer
@@ -80,15 +80,15 @@
         elif isinstance(step, Sleep):
             await curio.sleep(step.seconds)
         elif isinstance(step, Send):
-            return await self._start(call, race, step.weighed)
+            return await self._start(call, race, step.estimate)
         elif isinstance(step, CancelAttempt):
             await race.end(step.attempt)
         else:
             return await self._ended(call, race, step.until)
         return None
 
-    async def _start(self, call: RelayedCall, race: Race, weighed: Weighed) -> Attempt:
-        attempt = Attempt(call, weighed, self.connector, self.dialect, self.clock, self.sharing)
+    async def _start(self, call: RelayedCall, race: Race, estimate: CostEstimate) -> Attempt:
+        attempt = Attempt(call, estimate, self.connector, self.dialect, self.clock, self.sharing)
         await race.start(attempt)
         return attempt
 
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -5,7 +5,13 @@
 import pytest
 
 from ...balancing.candidates import MOST_NEAR, Candidates
-from ...balancing.cost_model import SEEN_LATELY, CallNeeds, cost_to_others, lacks_capacity, weigh
+from ...balancing.cost_model import (
+    MAX_OCCUPANCY_AGE,
+    CallRequirements,
+    cost_of_saturation,
+    estimate_cost,
+    lacks_capacity,
+)
 from ...balancing.probe_limiter import KEPT_SHARE, ProbeAllowance
 from ...balancing.retry_budget import RetryBudget
 from ...balancing.routes import Route, Target
@@ -15,7 +21,14 @@
 from ...timers import ManualClock
 from ..relay.fakes import decision_log, record, upstream
 
-CALL = CallNeeds(work=0.1, time_left=0.4, target=0.4, far_cost=0.04, patience=1.2, crowding=0.0)
+CALL = CallRequirements(
+    work=0.1,
+    time_to_target=0.4,
+    target_latency=0.4,
+    transfer_cost=0.04,
+    time_to_deadline=1.2,
+    overload_ratio=0.0,
+)
 
 
 def test_repeats_of_a_fleet_stay_under_its_limit_however_calls_are_spread():
@@ -59,7 +72,7 @@
 def test_the_cheapest_upstream_is_the_one_that_is_likely_to_answer_in_time():
     idle, noisy = upstream("idle"), upstream("noisy", load=(0, 0, 2, 7.0))
     full, far = upstream("full", load=(2, 2, 2, 1.0)), upstream("far", near=False)
-    costs = {u.id: weigh(CALL, u, 0.01).cost for u in (idle, noisy, full, far)}
+    costs = {u.id: estimate_cost(CALL, u, 0.01).cost for u in (idle, noisy, full, far)}
     assert costs["idle"] < costs["far"] < costs["full"] < costs["noisy"]
 
 
@@ -79,7 +92,7 @@
             bad.evidence.measured(5.0, 0.0)
     else:
         bad.evidence.sent()
-    assert weigh(CALL, bad, 0.01).cost > weigh(CALL, good, 0.01).cost
+    assert estimate_cost(CALL, bad, 0.01).cost > estimate_cost(CALL, good, 0.01).cost
 
 
 def test_bad_evidence_fades_so_that_a_mended_upstream_comes_back():
@@ -121,35 +134,46 @@
 def test_a_call_is_not_sent_into_a_queue_that_alone_makes_it_late():
     queued, noisy = upstream(load=(2, 4, 2, 1.0)), upstream(load=(2, 0, 2, 7.0))
     free = upstream(load=(1, 0, 2, 1.0))
-    assert lacks_capacity(CALL, weigh(CALL, queued, 0.01))
-    assert not lacks_capacity(CALL, weigh(CALL, noisy, 0.01)), "late anywhere: it may wait its turn"
-    assert not lacks_capacity(CALL, weigh(CALL, free, 0.01))
-    late = CallNeeds(work=0.1, time_left=-0.1, target=0.4, far_cost=0.0, patience=0.7, crowding=0.0)
-    assert not lacks_capacity(late, weigh(late, free, 0.01))
-    assert lacks_capacity(late, weigh(late, upstream(load=(2, 1, 2, 1.0)), 0.01))
+    assert lacks_capacity(CALL, estimate_cost(CALL, queued, 0.01))
+    assert not lacks_capacity(
+        CALL, estimate_cost(CALL, noisy, 0.01)
+    ), "late anywhere: it may wait its turn"
+    assert not lacks_capacity(CALL, estimate_cost(CALL, free, 0.01))
+    late = CallRequirements(
+        work=0.1,
+        time_to_target=-0.1,
+        target_latency=0.4,
+        transfer_cost=0.0,
+        time_to_deadline=0.7,
+        overload_ratio=0.0,
+    )
+    assert not lacks_capacity(late, estimate_cost(late, free, 0.01))
+    assert lacks_capacity(late, estimate_cost(late, upstream(load=(2, 1, 2, 1.0)), 0.01))
 
 
-def coming_back(crowding, patience=0.9):
-    return CallNeeds(0.1, -0.1, 0.4, 0.0, patience, crowding)
+def coming_back(overload_ratio, time_to_deadline=0.9):
+    return CallRequirements(0.1, -0.1, 0.4, 0.0, time_to_deadline, overload_ratio)
 
 
 def test_a_call_that_comes_back_late_leaves_fast_places_to_others_while_they_are_scarce():
     fast, slowed = upstream("fast"), upstream("slowed", load=(0, 0, 2, 6.0))
 
     def chosen(call):
-        return min((weigh(call, one, 0.01) for one in (fast, slowed)), key=lambda w: w.cost)
+        return min((estimate_cost(call, one, 0.01) for one in (fast, slowed)), key=lambda w: w.cost)
 
-    assert chosen(coming_back(crowding=0.0)).upstream is fast
-    assert chosen(coming_back(crowding=0.9)).upstream is slowed
-    assert chosen(coming_back(crowding=0.9, patience=0.4)).upstream is fast, "slowed is too slow"
+    assert chosen(coming_back(overload_ratio=0.0)).upstream is fast
+    assert chosen(coming_back(overload_ratio=0.9)).upstream is slowed
+    assert (
+        chosen(coming_back(overload_ratio=0.9, time_to_deadline=0.4)).upstream is fast
+    ), "slowed is too slow"
 
 
 def test_a_call_that_comes_back_late_gets_no_place_that_others_would_be_in_time_at():
     fast, slowed = upstream("fast"), upstream("slowed", load=(0, 0, 2, 6.0))
-    crowded, calm = coming_back(crowding=0.9), coming_back(crowding=0.2)
-    assert lacks_capacity(crowded, weigh(crowded, fast, 0.01))
-    assert not lacks_capacity(crowded, weigh(crowded, slowed, 0.01))
-    assert not lacks_capacity(calm, weigh(calm, fast, 0.01))
+    crowded, calm = coming_back(overload_ratio=0.9), coming_back(overload_ratio=0.2)
+    assert lacks_capacity(crowded, estimate_cost(crowded, fast, 0.01))
+    assert not lacks_capacity(crowded, estimate_cost(crowded, slowed, 0.01))
+    assert not lacks_capacity(calm, estimate_cost(calm, fast, 0.01))
 
 
 def route(*weights):
@@ -197,34 +221,39 @@
     return made
 
 
-def needs(crowding, time_left=0.4):
-    return CallNeeds(0.1, time_left, 0.4, 0.04, 1.2, crowding)
+def needs(overload_ratio, time_to_target=0.4):
+    return CallRequirements(0.1, time_to_target, 0.4, 0.04, 1.2, overload_ratio)
 
 
 def test_the_last_of_four_slots_is_left_free_when_places_are_scarce():
     last, noisy = wide("last", FOUR), wide("noisy", (1, 0, 4, 2.0))
-    assert not lacks_capacity(needs(0.1), weigh(needs(0.1), last, 0.01))
-    assert lacks_capacity(needs(0.8), weigh(needs(0.8), last, 0.01))
-    assert weigh(needs(0.1), noisy, 0.01).cost < weigh(needs(0.1), last, 0.01).cost
+    assert not lacks_capacity(needs(0.1), estimate_cost(needs(0.1), last, 0.01))
+    assert lacks_capacity(needs(0.8), estimate_cost(needs(0.8), last, 0.01))
+    assert estimate_cost(needs(0.1), noisy, 0.01).cost < estimate_cost(needs(0.1), last, 0.01).cost
 
 
 def test_of_two_slots_the_last_one_does_more_than_it_costs_however_scarce_places_are():
     last = upstream("last", load=(1, 0, 2, 1.0))
-    assert not lacks_capacity(needs(1.0), weigh(needs(1.0), last, 0.01))
+    assert not lacks_capacity(needs(1.0), estimate_cost(needs(1.0), last, 0.01))
 
 
 def test_a_single_slot_and_a_free_one_cost_the_others_nothing():
-    assert cost_to_others(1, 0, 1.0) == cost_to_others(4, -1, 1.0) == 0.0
-    assert cost_to_others(4, 0, 1.0) > cost_to_others(4, 0, 0.3) > cost_to_others(2, 0, 0.3) > 0.0
+    assert cost_of_saturation(1, 0, 1.0) == cost_of_saturation(4, -1, 1.0) == 0.0
+    assert (
+        cost_of_saturation(4, 0, 1.0)
+        > cost_of_saturation(4, 0, 0.3)
+        > cost_of_saturation(2, 0, 0.3)
+        > 0.0
+    )
 
 
 def test_no_call_goes_into_a_queue_or_last_slot_on_an_old_word():
     last, free = upstream("last", load=(1, 0, 2, 1.0)), upstream("free", load=(0, 0, 2, 1.0))
-    for age, crowded in ((SEEN_LATELY / 2, False), (SEEN_LATELY * 2, True)):
-        assert lacks_capacity(CALL, weigh(CALL, last, age)) is crowded
-        assert not lacks_capacity(CALL, weigh(CALL, free, age))
+    for age, crowded in ((MAX_OCCUPANCY_AGE / 2, False), (MAX_OCCUPANCY_AGE * 2, True)):
+        assert lacks_capacity(CALL, estimate_cost(CALL, last, age)) is crowded
+        assert not lacks_capacity(CALL, estimate_cost(CALL, free, age))
     untold = upstream("untold", load=None)
     untold.evidence.began(OpenCall(0.0, 0.1))
     assert not lacks_capacity(
-        needs(0.0, 9.0), weigh(needs(0.0, 9.0), untold, 0.01)
+        needs(0.0, 9.0), estimate_cost(needs(0.0, 9.0), untold, 0.01)
     ), "no load report"
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -74,7 +74,7 @@
 
     def start(self):
         """Let the call be sent; return the attempt."""
-        attempt = Try(self.until(Send).weighed, self.clock.now())
+        attempt = Try(self.until(Send).estimate, self.clock.now())
         attempt.sent = True
         self.go_on(attempt)
         return attempt
--- a/sequoiabridge/tests/balancing/test_hedging.py
+++ b/sequoiabridge/tests/balancing/test_hedging.py
@@ -1,7 +1,7 @@
 """Second attempts: how many upstreams a call may be at, counting those on the way."""
 
 from ...balancing.call import Call, Ending, Try
-from ...balancing.cost_model import Weighed
+from ...balancing.cost_model import CostEstimate
 from ...balancing.hedging import Hedging
 from ...balancing.routes import Route, Target
 from ...timers import ManualClock
@@ -13,8 +13,8 @@
     call = Call(0.0)
     call.fall_under(Route("r", b"/", True, 1.0, 0.5, 2, 1, (Target("s", 1.0),)), 1.0)
     for number, (sent, ending) in enumerate(tries):
-        weighed = Weighed(upstream(f"u{number}"), 0.1, 0.1, 0.1, 0.1, 1.0, 0, 0.0, 0.0)
-        attempt = Try(weighed, 0.0)
+        estimate = CostEstimate(upstream(f"u{number}"), 0.1, 0.1, 0.1, 0.1, 1.0, 0, 0.0, 0.0)
+        attempt = Try(estimate, 0.0)
         attempt.sent, attempt.ending = sent, ending
         call.tries.append(attempt)
     return call
