--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -139,7 +139,7 @@
             reported=report.in_flight if report else 0,
             report_age=round(now - evidence.report_at, 3) if report else 0.0,
             latency_ms=round(evidence.latency * 1000, 3),
-            failures=evidence.failed_in_row,
+            failures=evidence.consecutive_failures,
             connections=evidence.connections,
             why=why,
         )
--- a/sequoiabridge/pipeline/returning.py
+++ b/sequoiabridge/pipeline/returning.py
@@ -71,10 +71,10 @@
         """Ask the upstreams that have failed a call since they were last asked."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
-            failed = [u for u in state.pool.undrained_upstreams() if u.failed_in_row]
+            failed = [u for u in state.pool.undrained_upstreams() if u.consecutive_failures]
             for evidence in failed[:MOST_ASKED]:
-                # `failed_at` is the time of the last outcome, which was a failure.
-                if evidence.failed_at > evidence.probed_at and state.probing.take_token():
+                # `last_outcome_at` is the time of the last outcome, which was a failure.
+                if evidence.last_outcome_at > evidence.probed_at and state.probing.take_token():
                     evidence.probed_at = now
                     await curio.spawn(self.ask, state, evidence.name, daemon=True)
 
--- a/sequoiabridge/policy/averages.py
+++ b/sequoiabridge/policy/averages.py
@@ -30,35 +30,43 @@
 
     Attributes:
         latency: Median of the upstreams' mean latencies, in seconds.
-        others: Mean work per slot that upstreams reported beside this daemon's own.
-        failures: Mean share of calls that failed.
-        known: Whether any latency was measured yet.
-        interval: Mean seconds between two calls of this daemon.
+        other_load: Mean work per slot that upstreams reported beside this daemon's own.
+        failure_share: Mean share of calls that failed.
+        latency_known: Whether any latency was measured yet.
+        call_interval: Mean seconds between two calls of this daemon.
     """
 
-    __slots__ = ("latency", "others", "failures", "due", "known", "interval", "called_at")
+    __slots__ = (
+        "latency",
+        "other_load",
+        "failure_share",
+        "outcomes_until_refresh",
+        "latency_known",
+        "call_interval",
+        "last_call_at",
+    )
 
     def __init__(self):
         self.latency = FIRST_LATENCY
-        self.others = 0.0
-        self.failures = 0.0
-        self.due = 0
-        self.known = False
-        self.interval = 0.0
-        self.called_at: float | None = None
-
-    def called(self, now: float) -> None:
+        self.other_load = 0.0
+        self.failure_share = 0.0
+        self.outcomes_until_refresh = 0
+        self.latency_known = False
+        self.call_interval = 0.0
+        self.last_call_at: float | None = None
+
+    def record_call(self, now: float) -> None:
         """Count a call of this daemon, for the mean gap between them."""
-        if self.called_at is not None:
-            gap = min(LONGEST_GAP, now - self.called_at)
-            self.interval += INTERVAL_GAIN * (gap - self.interval)
-        self.called_at = now
+        if self.last_call_at is not None:
+            gap = min(LONGEST_GAP, now - self.last_call_at)
+            self.call_interval += INTERVAL_GAIN * (gap - self.call_interval)
+        self.last_call_at = now
 
-    def count(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
+    def record_outcome(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
         """Count one more outcome; work the averages out anew once each upstream had about one."""
-        self.due -= 1
-        if self.due <= 0:
-            self.due = max(FEWEST_OUTCOMES, len(upstreams))
+        self.outcomes_until_refresh -= 1
+        if self.outcomes_until_refresh <= 0:
+            self.outcomes_until_refresh = max(FEWEST_OUTCOMES, len(upstreams))
             self.refresh(upstreams, now)
 
     def refresh(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
@@ -66,8 +74,8 @@
         latencies = [u.latency for u in upstreams if u.samples]
         if latencies:
             self.latency = median(latencies)
-        reports = [u.others / u.slots for u in upstreams if u.report is not None]
+        reports = [u.other_calls / u.slots for u in upstreams if u.report is not None]
         if reports:
-            self.others = sum(reports) / len(reports)
+            self.other_load = sum(reports) / len(reports)
         if upstreams:
-            self.failures = sum(u.failure_share(now) for u in upstreams) / len(upstreams)
+            self.failure_share = sum(u.failure_share(now) for u in upstreams) / len(upstreams)
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -65,12 +65,12 @@
         for candidate in untried(candidates, tried):
             factor = 1.0 + spread * draw()
             slots = candidate.slots
-            others = candidate.averages.others * slots
-            if candidate.others < others:
-                others = candidate.others
+            others = candidate.averages.other_load * slots
+            if candidate.other_calls < others:
+                others = candidate.other_calls
             # A bound that costs a fraction of the score: however old the report, others' work
             # counts as something between it and the average, and all other evidence adds.
-            least = (others + len(candidate.starts) + 1.0) / slots
+            least = (others + len(candidate.start_times) + 1.0) / slots
             if least * factor * rounding > lowest:
                 continue
             score = self.score(candidate, now) * factor
@@ -91,13 +91,13 @@
         """Return the upstream's cost for one more call; the least is chosen."""
         cost = upstream.load(now) + 1.0 / upstream.slots
         if upstream.samples and upstream.latency > SLOW_FROM * upstream.averages.latency:
-            cost *= max(1.0, upstream.slowness(now) / SLOW_FROM)
-        if upstream.starts:
-            late = upstream.overdue(now) - OVERDUE_FROM
+            cost *= max(1.0, upstream.latency_ratio(now) / SLOW_FROM)
+        if upstream.start_times:
+            late = upstream.overdue_ratio(now) - OVERDUE_FROM
             if late > 0.0:
                 cost += OVERDUE_COST * min(late, MOST_OVERDUE)
-        if upstream.failures:
-            more = upstream.failure_share(now) - upstream.averages.failures
+        if upstream.last_failure_share:
+            more = upstream.failure_share(now) - upstream.averages.failure_share
             if more > FAILURE_FROM:
                 cost += FAILURE_COST * more
         if upstream.shed_until > now:
@@ -120,8 +120,8 @@
             report = f"report {upstream.report.in_flight} of {age * 1000:.0f} ms ago"
         return (
             f"{report}, trust {upstream.trust:.2f}, own {upstream.in_flight}, "
-            f"latency {upstream.slowness(now):.1f}x the pool's, "
-            f"oldest call {upstream.overdue(now):.1f}x, "
+            f"latency {upstream.latency_ratio(now):.1f}x the pool's, "
+            f"oldest call {upstream.overdue_ratio(now):.1f}x, "
             f"failures {upstream.failure_share(now):.0%}"
         )
 
--- a/sequoiabridge/policy/ejection.py
+++ b/sequoiabridge/policy/ejection.py
@@ -62,19 +62,21 @@
     def should_eject(self, upstream: UpstreamEvidence, now: float) -> bool:
         """Return whether its failures or its latency stand out from its pool."""
         averages = upstream.averages
-        if upstream.failed_in_row >= FAILURES_IN_ROW:
+        if upstream.consecutive_failures >= FAILURES_IN_ROW:
             share = upstream.failure_share(now)
-            return share > max(FAILURE_LIMIT, FAILURE_RATIO * averages.failures)
+            return share > max(FAILURE_LIMIT, FAILURE_RATIO * averages.failure_share)
         if upstream.samples < FEWEST_SAMPLES:
             return False
-        slowness = upstream.slowness(now)
-        return slowness > SLOW_LIMIT or (slowness > 2.0 and upstream.overdue(now) > OVERDUE_LIMIT)
+        latency_ratio = upstream.latency_ratio(now)
+        return latency_ratio > SLOW_LIMIT or (
+            latency_ratio > 2.0 and upstream.overdue_ratio(now) > OVERDUE_LIMIT
+        )
 
     def eject(self, upstream: UpstreamEvidence, now: float, ejected: int, total: int) -> bool:
         """Eject it unless the cap forbids; `ejected` of `total` upstreams are out already."""
         if ejected >= self.allowed(total):
             return False
-        first = max(FIRST_EJECTION, FIRST_EJECTION_CALLS * upstream.averages.interval)
+        first = max(FIRST_EJECTION, FIRST_EJECTION_CALLS * upstream.averages.call_interval)
         length = min(LONGEST_EJECTION, first * 2**upstream.ejections)
         upstream.ejected_until = now + length * self.random.uniform(0.75, 1.25)
         upstream.ejections += 1
@@ -92,6 +94,6 @@
             upstream.on_trial = False
             upstream.ejections = 0
             upstream.samples = 0
-            upstream.failures = 0.0
+            upstream.last_failure_share = 0.0
             upstream.cold_since = now
         return False
--- a/sequoiabridge/policy/evidence.py
+++ b/sequoiabridge/policy/evidence.py
@@ -76,8 +76,8 @@
         ejected_until: Time before which it gets no work; 0.0 when it is not ejected.
         ejections: How often in a row it was ejected; sets the back-off.
         on_trial: It is back from an ejection and must first answer well, one call at a time.
-        starts: Starting times of this daemon's calls in flight, oldest first.
-        others: Work of other daemons, from the last report, in calls.
+        start_times: Starting times of this daemon's calls in flight, oldest first.
+        other_calls: Work of other daemons, from the last report, in calls.
         trust: 0 to 1, how far its reports agree with what its latency shows.
     """
 
@@ -96,20 +96,20 @@
         "ejections",
         "on_trial",
         "good_trials",
-        "starts",
+        "start_times",
         "averages",
         "report",
         "report_at",
-        "others",
+        "other_calls",
         "trust",
         "latency",
         "latency_at",
         "samples",
-        "failures",
-        "failed_at",
-        "failed_in_row",
+        "last_failure_share",
+        "last_outcome_at",
+        "consecutive_failures",
         "shed_until",
-        "sheds_in_row",
+        "consecutive_sheds",
         "suspected_by",
         "suspected",
         "probed_at",
@@ -125,19 +125,19 @@
         self.ejections = 0
         self.on_trial = False
         self.good_trials = 0
-        self.starts: list[float] = []
+        self.start_times: list[float] = []
         self.report: LoadReport | None = None
         self.report_at = float("-inf")
-        self.others = 0.0
+        self.other_calls = 0.0
         self.trust = 1.0
         self.latency = averages.latency
         self.latency_at = float("-inf")
         self.samples = 0
-        self.failures = 0.0
-        self.failed_at = float("-inf")
-        self.failed_in_row = 0
+        self.last_failure_share = 0.0
+        self.last_outcome_at = float("-inf")
+        self.consecutive_failures = 0
         self.shed_until = 0.0
-        self.sheds_in_row = 0
+        self.consecutive_sheds = 0
         self.suspected_by: dict[str, float] = {}
         self.suspected = False
         self.probed_at = float("-inf")
@@ -155,79 +155,83 @@
     @property
     def in_flight(self) -> int:
         """This daemon's own calls that are with the upstream."""
-        return len(self.starts)
+        return len(self.start_times)
 
-    def started(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Count one more call in flight."""
-        insort(self.starts, now)
+        insort(self.start_times, now)
 
-    def ended(self, now: float, elapsed: float) -> None:
+    def record_end(self, now: float, elapsed: float) -> None:
         """Count the call that started nearest to `now - elapsed` as ended."""
-        if len(self.starts) < 2:
-            self.starts.clear()
+        if len(self.start_times) < 2:
+            self.start_times.clear()
             return
         start = now - elapsed
-        later = bisect_left(self.starts, start)
-        if later == len(self.starts) or (
-            later and start - self.starts[later - 1] <= self.starts[later] - start
+        later = bisect_left(self.start_times, start)
+        if later == len(self.start_times) or (
+            later and start - self.start_times[later - 1] <= self.start_times[later] - start
         ):
             later -= 1
-        del self.starts[later]
+        del self.start_times[later]
 
     def load(self, now: float) -> float:
         """Return the estimated work at the upstream per slot, this daemon's calls included."""
-        average = self.averages.others * self.slots
+        average = self.averages.other_load * self.slots
         weight = self.trust * exp((self.report_at - now) / (REPORT_FADE * self.averages.latency))
-        if self.others < average and self.failures and self.failure_share(now) > IDLE_FAILURES:
+        if (
+            self.other_calls < average
+            and self.last_failure_share
+            and self.failure_share(now) > IDLE_FAILURES
+        ):
             weight = 0.0
-        others = average + (self.others - average) * weight
-        return (others + len(self.starts)) / self.slots
+        others = average + (self.other_calls - average) * weight
+        return (others + len(self.start_times)) / self.slots
 
-    def slowness(self, now: float) -> float:
+    def latency_ratio(self, now: float) -> float:
         """Return its mean latency as a multiple of the pool's; fades to 1 with age."""
         if not self.samples:
             return 1.0
-        fade = max(LATENCY_FADE, LATENCY_FADE_CALLS * self.averages.interval)
+        fade = max(LATENCY_FADE, LATENCY_FADE_CALLS * self.averages.call_interval)
         weight = exp((self.latency_at - now) / fade)
         return 1.0 + (self.latency / self.averages.latency - 1.0) * weight
 
     def failure_share(self, now: float) -> float:
         """Return the recent share of its calls that failed; fades to 0 with age."""
-        if not self.failures:
+        if not self.last_failure_share:
             return 0.0
-        fade = max(FAILURE_FADE, FAILURE_FADE_CALLS * self.averages.interval)
-        return self.failures * exp((self.failed_at - now) / fade)
+        fade = max(FAILURE_FADE, FAILURE_FADE_CALLS * self.averages.call_interval)
+        return self.last_failure_share * exp((self.last_outcome_at - now) / fade)
 
-    def overdue(self, now: float) -> float:
+    def overdue_ratio(self, now: float) -> float:
         """Return the age of its oldest call in flight as a multiple of the pool's latency."""
-        if not self.starts:
+        if not self.start_times:
             return 0.0
-        return (now - self.starts[0]) / self.averages.latency
+        return (now - self.start_times[0]) / self.averages.latency
 
-    def learn_latency(self, now: float, elapsed: float) -> None:
+    def record_latency(self, now: float, elapsed: float) -> None:
         """Take in the latency of one good answer."""
-        if not self.averages.known:
-            self.averages.latency, self.averages.known = elapsed, True
-        mean = self.averages.latency * self.slowness(now)
+        if not self.averages.latency_known:
+            self.averages.latency, self.averages.latency_known = elapsed, True
+        mean = self.averages.latency * self.latency_ratio(now)
         self.latency = mean + LATENCY_GAIN * (elapsed - mean)
         self.samples += 1
         self.latency_at = now
 
-    def learn_outcome(self, now: float, failed: bool) -> None:
+    def record_outcome(self, now: float, failed: bool) -> None:
         """Take in whether one call failed."""
         share = self.failure_share(now)
-        self.failures = share + FAILURE_GAIN * (failed - share)
-        self.failed_at = now
-        self.failed_in_row = self.failed_in_row + 1 if failed else 0
+        self.last_failure_share = share + FAILURE_GAIN * (failed - share)
+        self.last_outcome_at = now
+        self.consecutive_failures = self.consecutive_failures + 1 if failed else 0
 
-    def learn_report(self, now: float, report: LoadReport) -> None:
+    def record_report(self, now: float, report: LoadReport) -> None:
         """Take in the upstream's own word on its load, unless a newer one is known."""
         at = now - report.age
         if report.in_flight < 0 or at < self.report_at:
             return
         self.report = report
         self.report_at = at
-        self.others = max(0.0, float(report.in_flight - len(self.starts)))
+        self.other_calls = max(0.0, float(report.in_flight - len(self.start_times)))
 
     def dump(self, now: float) -> dict:
         """Describe the evidence for operators."""
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -112,7 +112,7 @@
             return f"draining, incarnation {upstream.draining}"
         if upstream.ejected_until > now:
             return f"ejected for {upstream.ejected_until - now:.2f} s more"
-        if upstream.on_trial and upstream.starts:
+        if upstream.on_trial and upstream.start_times:
             return "on trial with one call in flight"
         if upstream.on_trial and upstream.suspected:
             return "on trial, and other VMs found it bad just now"
@@ -120,8 +120,8 @@
 
     def record_send(self, evidence: UpstreamEvidence, now: float) -> None:
         """A call goes to the upstream."""
-        evidence.started(now)
-        self.averages.called(now)
+        evidence.record_start(now)
+        self.averages.record_call(now)
         if evidence.on_trial:
             self._refresh(now)
 
@@ -137,13 +137,13 @@
         if status >= 500:
             self.record_failure(evidence, now, Failure.ERROR, elapsed)
             return
-        evidence.ended(now, elapsed)
-        evidence.sheds_in_row = 0
-        evidence.learn_outcome(now, False)
-        evidence.learn_latency(now, elapsed)
-        self.averages.count(self.upstreams.values(), now)
+        evidence.record_end(now, elapsed)
+        evidence.consecutive_sheds = 0
+        evidence.record_outcome(now, False)
+        evidence.record_latency(now, elapsed)
+        self.averages.record_outcome(self.upstreams.values(), now)
         if report is not None:
-            evidence.learn_report(now, report)
+            evidence.record_report(now, report)
             weigh_trust(evidence, now)
         if evidence.on_trial:
             self._judge_trial(evidence, now, elapsed > TRIAL_LATENCY * self.averages.latency)
@@ -154,7 +154,7 @@
         self, evidence: UpstreamEvidence, now: float, failure: Failure, elapsed: float
     ) -> None:
         """An attempt ended without a usable answer."""
-        evidence.ended(now, elapsed)
+        evidence.record_end(now, elapsed)
         if failure in (Failure.CANCELLED, Failure.TIMEOUT):
             self._took_at_least(evidence, now, elapsed)
         if failure is Failure.SHED:
@@ -178,7 +178,7 @@
         upstream = self.upstreams.get(name)
         if upstream is None or age < 0.0:
             return
-        upstream.learn_report(now, LoadReport(in_flight, upstream.slots, age))
+        upstream.record_report(now, LoadReport(in_flight, upstream.slots, age))
         if suspected:
             suspect(upstream, sender, age, now)
         elif upstream.suspected_by.pop(sender, None) is None:
@@ -194,14 +194,14 @@
         slow = self.averages.latency * SUSPECT_SLOWNESS
         for upstream in self.upstreams.values():
             maybe_slow = upstream.samples and upstream.latency > slow
-            if upstream.starts or upstream.on_trial or maybe_slow:
+            if upstream.start_times or upstream.on_trial or maybe_slow:
                 yield upstream
 
     def record_probe(self, name: str, now: float, elapsed: float, report: LoadReport) -> None:
         """A probe was answered: a report like any other, but no proof that calls go well."""
         upstream = self.upstreams.get(name)
         if upstream is not None:
-            upstream.learn_report(now, report)
+            upstream.record_report(now, report)
             self.probed_lately.append(upstream)
 
     def drain(self, name: str, incarnation: int, now: float) -> bool:
@@ -223,7 +223,7 @@
         return {
             "chooser": type(self.chooser).__name__,
             "mean latency ms": round(self.averages.latency * 1000, 2),
-            "mean failures": round(self.averages.failures, 4),
+            "mean failures": round(self.averages.failure_share, 4),
             "ejections": self.ejector.count,
             "upstreams": {
                 u.name: {"state": self.why_unusable(u, now) or "in use", **u.dump(now)}
@@ -302,18 +302,18 @@
 
     def _took_at_least(self, upstream: UpstreamEvidence, now: float, elapsed: float) -> None:
         """No answer came in `elapsed` seconds: that counts as a latency if it is a long one."""
-        if elapsed > self.averages.latency * max(1.0, upstream.slowness(now)):
-            upstream.learn_latency(now, elapsed)
+        if elapsed > self.averages.latency * max(1.0, upstream.latency_ratio(now)):
+            upstream.record_latency(now, elapsed)
             if self.ejector.should_eject(upstream, now):
                 self._eject(upstream, now)
 
     def _shed(self, upstream: UpstreamEvidence, now: float) -> None:
-        pause = min(LONGEST_SHED_PAUSE, SHED_PAUSE * 2**upstream.sheds_in_row)
+        pause = min(LONGEST_SHED_PAUSE, SHED_PAUSE * 2**upstream.consecutive_sheds)
         upstream.shed_until = now + pause * self.random.uniform(0.75, 1.25)
-        upstream.sheds_in_row += 1
+        upstream.consecutive_sheds += 1
 
     def _failed(self, upstream: UpstreamEvidence, now: float) -> None:
-        upstream.learn_outcome(now, True)
-        self.averages.count(self.upstreams.values(), now)
+        upstream.record_outcome(now, True)
+        self.averages.record_outcome(self.upstreams.values(), now)
         if upstream.on_trial or self.ejector.should_eject(upstream, now):
             self._eject(upstream, now)
--- a/sequoiabridge/policy/suspicions.py
+++ b/sequoiabridge/policy/suspicions.py
@@ -26,8 +26,8 @@
     """Return whether this VM's own calls speak against the upstream; only that is told on."""
     return (
         upstream.on_trial
-        or upstream.overdue(now) > SUSPECT_OVERDUE
-        or (upstream.samples > 0 and upstream.slowness(now) > SUSPECT_SLOWNESS)
+        or upstream.overdue_ratio(now) > SUSPECT_OVERDUE
+        or (upstream.samples > 0 and upstream.latency_ratio(now) > SUSPECT_SLOWNESS)
     )
 
 
--- a/sequoiabridge/policy/trust.py
+++ b/sequoiabridge/policy/trust.py
@@ -16,8 +16,8 @@
 
 def weigh_trust(upstream: UpstreamEvidence, now: float) -> None:
     """Lower the trust in reports of little work from an upstream that answers slowly."""
-    says_idle = upstream.others / upstream.slots < upstream.averages.others
-    if says_idle and upstream.slowness(now) > LIE_LATENCY:
+    says_idle = upstream.other_calls / upstream.slots < upstream.averages.other_load
+    if says_idle and upstream.latency_ratio(now) > LIE_LATENCY:
         upstream.trust *= TRUST_LOSS
     else:
         upstream.trust = min(1.0, upstream.trust + TRUST_GAIN)
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -116,11 +116,11 @@
     state = bench.services.by_name["s"]
     straggler = state.pool.upstreams["u1"]
     bench.services.called(state, clock.now())
-    straggler.started(clock.now())
+    straggler.record_start(clock.now())
     clock.advance(2.0)
     look_at_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
-    straggler.ended(clock.now(), 2.0)
+    straggler.record_end(clock.now(), 2.0)
     clock.advance(3.0)
     look_at_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items[1:]] == [("u1", False)]
--- a/sequoiabridge/tests/policy/test_pool.py
+++ b/sequoiabridge/tests/policy/test_pool.py
@@ -137,8 +137,8 @@
     random = Random(3)
     _, now = run(pool, 400, lambda n: (random.choice((200, 200, 500)), random.random(), 3))
     for upstream in pool.usable:
-        upstream.starts = [now] * random.randrange(4)
-        upstream.others = random.random() * 4
+        upstream.start_times = [now] * random.randrange(4)
+        upstream.other_calls = random.random() * 4
         upstream.report_at = now - random.random()
     for _ in range(200):
         now += 0.003
@@ -155,9 +155,9 @@
     pool, _ = make(1)
     upstream = pool.choose(1.0)
     for start in (1.0, 2.0, 3.0, 2.5):
-        upstream.started(start)
+        upstream.record_start(start)
     left = []
     for elapsed in (7.9, 7.3, 0.0, 99.0):  # From the start at 2.0, 2.5, after the last, before 1.0.
-        upstream.ended(10.0, elapsed)
-        left.append(list(upstream.starts))
+        upstream.record_end(10.0, elapsed)
+        left.append(list(upstream.start_times))
     assert left == [[1.0, 2.5, 3.0], [1.0, 3.0], [1.0], []]
