--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -51,7 +51,7 @@
 from .relay.sender import Sender
 from .relay.sharing import Sharing
 from .relay.upstreams import UpstreamList
-from .relay.watchers import BEACON_EVERY, Watchers
+from .relay.watchers import HEARTBEAT_INTERVAL, Watchers
 from .selector import KeptSelector
 from .timers import SystemClock, Timers
 from .upstreams.connections import ConnectorLimits, HttpConnector
@@ -172,7 +172,7 @@
             self.clock,
             self.settings.vm.first_start,
         )
-        self.sharing.on_beacon = self.watchers.told
+        self.sharing.on_heartbeat = self.watchers.told
         self.sharing.on_hello = self.watchers.greeted
         self.sharing.channel.after_some = self.watchers.heard_some
         self.configuration.is_heard = lambda: self.watchers.is_current
@@ -284,7 +284,7 @@
         self.timers.every(SWEEP_EVERY, "idle connections", self.connector.sweep)
         self.timers.every(EXPIRE_EVERY, "lapsed upstreams", self.upstreams.expire)
         self.timers.every(EXPIRE_EVERY, "waiting lines", self.lines.flush)
-        self.timers.every(BEACON_EVERY, "beacons", self.watchers.beacon)
+        self.timers.every(HEARTBEAT_INTERVAL, "beacons", self.watchers.send_heartbeat)
         self.timers.every(COUNT_EVERY, "members", self._count_members)
         self.timers.every(LOOK_AT_SETTINGS, "settings", self.settings_watch.look)
 
--- a/sequoiabridge/relay/messages.py
+++ b/sequoiabridge/relay/messages.py
@@ -10,7 +10,7 @@
 from ..foreign import as_address, as_list, as_number, as_table, as_text, as_whole, parsed
 
 HELLO, SENT, LOAD, FAILED = "hello", "sent", "load", "failed"
-CRASHED, SURVIVED, BEACON = "crashed", "survived", "beacon"
+CRASHED, SURVIVED, HEARTBEAT = "crashed", "survived", "beacon"
 """First element of a datagram, a JSON list."""
 
 LARGEST = 1200
@@ -118,7 +118,7 @@
         return [SURVIVED, self.fingerprint]
 
 
-class Beacon:
+class Heartbeat:
     """A daemon follows the store: what it knows, by feed, and where that can be read.
 
     Attributes:
@@ -139,10 +139,10 @@
 
     def fields(self) -> list:
         """Return the datagram's elements."""
-        return [BEACON, self.vm, self.data_centre, self.address, self.versions, self.link]
+        return [HEARTBEAT, self.vm, self.data_centre, self.address, self.versions, self.link]
 
 
-Message = Hello | Sent | Reported | Failed | Crashed | Survived | Beacon
+Message = Hello | Sent | Reported | Failed | Crashed | Survived | Heartbeat
 
 
 def encoded(message: Message) -> bytes:
@@ -197,11 +197,11 @@
     return Survived(_name(fields, 0))
 
 
-def _beacon(fields: list) -> Beacon:
+def _decode_heartbeat(fields: list) -> Heartbeat:
     told = as_table(fields[3], "the versions")
     versions = {name: as_whole(told[name], "a version", 0, MOST_VERSION) for name in told}
     address = as_address(fields[2], "the address")
-    return Beacon(_name(fields, 0), _name(fields, 1), address, versions, _link(fields[4]))
+    return Heartbeat(_name(fields, 0), _name(fields, 1), address, versions, _link(fields[4]))
 
 
 READERS: dict[str, Callable[[list], Message]] = {
@@ -211,6 +211,6 @@
     FAILED: _failed,
     CRASHED: _crashed,
     SURVIVED: _survived,
-    BEACON: _beacon,
+    HEARTBEAT: _decode_heartbeat,
 }
 """Reads a datagram's elements after the first, by the first."""
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -17,7 +17,7 @@
 from ..timers import Clock
 from .channel import Channel
 from .members import Members
-from .messages import Beacon, Crashed, Failed, Hello, Message, Reported, Sent, Survived
+from .messages import Crashed, Failed, Heartbeat, Hello, Message, Reported, Sent, Survived
 from .upstreams import UpstreamList
 
 
@@ -30,7 +30,7 @@
         self.channel = Channel(self._heard)
         self.members: Members | None = None
         self.on_crash: Callable[[Crashed], object] = lambda message: None
-        self.on_beacon: Callable[[Beacon], None] = lambda message: None
+        self.on_heartbeat: Callable[[Heartbeat], None] = lambda message: None
         self.on_hello: Callable[[Hello], None] = lambda message: None
         self.on_survival: Callable[[Survived], object] = lambda message: None
 
@@ -69,8 +69,8 @@
         return upstream.near
 
     def _heard(self, message: Message) -> None:
-        if isinstance(message, Beacon):
-            self.on_beacon(message)
+        if isinstance(message, Heartbeat):
+            self.on_heartbeat(message)
             return
         if isinstance(message, Hello):
             if self.members is not None:
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -23,31 +23,29 @@
 from .decisions import DecisionLog
 from .feeds import LONGEST_WAIT, SENTINEL_WAIT, Follower
 from .members import Members
-from .messages import Beacon, Hello
+from .messages import Heartbeat, Hello
 from .peers import PeerReader
 
 WATCHERS_EACH = 2
 """Daemons of each data centre that follow the store; one may be cut off, and so may a whole data
 centre, since all of them are heard everywhere."""
 
-BEACON_EVERY = 0.3
-"""Seconds between two beacons of a watcher."""
+HEARTBEAT_INTERVAL = 0.3
+"""Seconds between two heartbeats of a watcher."""
 
 LOOK_EVERY = 0.3
 """Seconds between two looks at who is heard; news wakes a daemon at once. Waking up 150 times a
 second for nothing cost each of 97 daemons more processor time than its calls."""
 
 START_LOOK, STARTING = 0.05, 2.5
-"""The same in the first seconds of a daemon, when it waits for the first beacon."""
+"""The same in the first seconds of a daemon, when it waits for the first heartbeat."""
 
-BEACON_LOST = 1.5
-"""Seconds without a beacon after which a watcher is taken to be gone: five are lost in a row. Until
-then the other one of the data centre and those of others tell what is new."""
+HEARTBEAT_TIMEOUT = 1.5
+"""Seconds without a heartbeat after which a watcher counts as failed."""
 
 SURE = 0.4
-"""Seconds for which too few watchers must be missed before this daemon follows the store: one that
-has been held up has their beacons still unread. Without it, 62 of 97 daemons followed the store at
-some time in the first 12 s of a fleet, with 399 calls in all."""
+"""Seconds for which too few watchers must be missed before this daemon follows the store: a daemon
+that has been held up has their heartbeats still unread."""
 
 BEHIND = 0.4
 """Seconds for which a version may be known only from others before it is read from them: a watcher
@@ -76,9 +74,9 @@
 met before; only a question that was asked when this daemon was no sentinel yet waits so long."""
 
 FIRST_START_WAIT, RESTART_WAIT = 2.0, 0.35
-"""Seconds for which a daemon that need not follow the store waits for the first beacon before it
+"""Seconds for which a daemon that need not follow the store waits for the first heartbeat before it
 reads the store itself. Nobody calls when the whole fleet starts for the first time; after a restart
-calls are waiting, but a watcher is heard within the time between two beacons."""
+calls are waiting, but a watcher is heard within the time between two heartbeats."""
 
 
 class Watchers:
@@ -112,12 +110,12 @@
         self.clock = clock
         self.started = clock.now()
         self.wait = FIRST_START_WAIT if first_start else RESTART_WAIT
-        self.heard: dict[str, tuple[float, Beacon]] = {}
+        self.latest_heartbeats: dict[str, tuple[float, Heartbeat]] = {}
         self.behind_since: float | None = None
         self.missed_since: float | None = None
         self.watching = False
         self.lost_at = float("-inf")
-        self.beacons = 0
+        self.heartbeats_sent = 0
         self.announced = False
         self.news = curio.Event()
 
@@ -144,7 +142,7 @@
         if self._newest() is not None:
             await self.news.set()
 
-    def beacon(self) -> None:
+    def send_heartbeat(self) -> None:
         """Tell others what is known here, if it comes from the store; the timers call it.
 
         While the store does not answer, they hear that.
@@ -152,39 +150,39 @@
         Those of the own data centre hear it each time. The others hear it from the first watcher
         only and less often, since bytes between data centres cost.
         """
-        made = self._beacon()
+        made = self._own_heartbeat()
         if made is None:
             return
         self.channel.tell(made, self.members.near)
-        self.beacons += 1
-        if self.beacons % FAR_EACH == 0 and not self._before_me(self._lately()):
+        self.heartbeats_sent += 1
+        if self.heartbeats_sent % FAR_EACH == 0 and not self._before_me(self._lately()):
             self.channel.tell(made, self.members.far)
 
     def _announce(self) -> None:
         """Tell others at once when the store has been read for the first time; they may wait."""
-        made = None if self.announced else self._beacon()
+        made = None if self.announced else self._own_heartbeat()
         if made is not None and made.versions:
             self.announced = True
-            self.beacon()
+            self.send_heartbeat()
 
     def greeted(self, hello: Hello) -> None:
         """A daemon has just come: tell it at once what is known here."""
-        made = self._beacon()
+        made = self._own_heartbeat()
         if made is not None and made.versions:
             self.channel.tell(made, [hello.address])
 
-    def told(self, beacon: Beacon) -> None:
+    def told(self, heartbeat: Heartbeat) -> None:
         """Another daemon says which versions it knows, or that the store does not answer it."""
-        _, before = self.heard.get(beacon.vm, (0.0, beacon))
-        self.heard[beacon.vm] = (self.clock.now(), beacon)
-        if before.versions and not beacon.versions:
+        _, before = self.latest_heartbeats.get(heartbeat.vm, (0.0, heartbeat))
+        self.latest_heartbeats[heartbeat.vm] = (self.clock.now(), heartbeat)
+        if before.versions and not heartbeat.versions:
             self.store_lost()
 
     def store_lost(self) -> None:
         """The store was found not to answer: questions that wait in it are in doubt."""
         self.lost_at = self.clock.now()
 
-    def _beacon(self) -> Beacon | None:
+    def _own_heartbeat(self) -> Heartbeat | None:
         followers = self.followers
         if not all(follower.active for follower in followers.values()):
             return None
@@ -194,19 +192,19 @@
         if None in versions.values():
             return None
         me = self.members.me
-        return Beacon(me.vm, me.data_centre, self.reader.own_address, versions, me.link)
+        return Heartbeat(me.vm, me.data_centre, self.reader.own_address, versions, me.link)
 
-    def _fresh(self) -> list[Beacon]:
+    def _fresh(self) -> list[Heartbeat]:
         """Return what was heard lately from daemons that the store answers."""
         return answered(self._lately())
 
-    def _lately(self) -> list[Beacon]:
+    def _lately(self) -> list[Heartbeat]:
         """Return what was heard lately from daemons that follow the store, or try to."""
         now, here = self.clock.now(), self.members.me.data_centre
         return [
-            beacon
-            for at, beacon in self.heard.values()
-            if now - at <= (BEACON_LOST if beacon.data_centre == here else FAR_LOST)
+            heartbeat
+            for at, heartbeat in self.latest_heartbeats.values()
+            if now - at <= (HEARTBEAT_TIMEOUT if heartbeat.data_centre == here else FAR_LOST)
         ]
 
     async def _decide(self) -> None:
@@ -231,11 +229,11 @@
             return
         await self._watch(needed)
 
-    def _before_me(self, beacons: list[Beacon]) -> int:
-        """Return how many of those who sent beacons are here and come before this daemon."""
+    def _before_me(self, heartbeats: list[Heartbeat]) -> int:
+        """Return how many of those who sent heartbeats are here and come before this daemon."""
         me = self.members.me
         rank = rank_of(me)
-        return sum(b.data_centre == me.data_centre and rank_of(b) < rank for b in beacons)
+        return sum(b.data_centre == me.data_centre and rank_of(b) < rank for b in heartbeats)
 
     def _foremost(self) -> bool:
         """Return whether this daemon is among those that follow the store when all are well."""
@@ -296,24 +294,27 @@
             return
         await self._read(source)
 
-    def _newest(self) -> Beacon | None:
-        """Return a beacon that knows more than this daemon; near ones first."""
+    def _newest(self) -> Heartbeat | None:
+        """Return a heartbeat that knows more than this daemon; near ones first."""
         me = self.members.me
-        ahead = [beacon for beacon in self._fresh() if self._ahead(beacon)]
+        ahead = [heartbeat for heartbeat in self._fresh() if self._ahead(heartbeat)]
         # Each daemon has its own order, so that not all of them read from the same one.
         return min(
             ahead,
-            key=lambda beacon: (beacon.data_centre != me.data_centre, digest(me.vm + beacon.vm)),
+            key=lambda heartbeat: (
+                heartbeat.data_centre != me.data_centre,
+                digest(me.vm + heartbeat.vm),
+            ),
             default=None,
         )
 
-    def _ahead(self, beacon: Beacon) -> bool:
+    def _ahead(self, heartbeat: Heartbeat) -> bool:
         return any(
-            beacon.versions.get(name, 0) > known(follower)
+            heartbeat.versions.get(name, 0) > known(follower)
             for name, follower in self.followers.items()
         )
 
-    async def _read(self, source: Beacon) -> None:
+    async def _read(self, source: Heartbeat) -> None:
         try:
             for name, follower in self.followers.items():
                 if source.versions.get(name, 0) <= known(follower):
@@ -324,13 +325,13 @@
                 else:
                     follower.take_snapshot(found)
         except StoreUnavailable as error:
-            self.heard.pop(source.vm, None)
+            self.latest_heartbeats.pop(source.vm, None)
             self.decisions.event("peer-unread", peer=source.vm, why=str(error))
 
 
-def answered(beacons: list[Beacon]) -> list[Beacon]:
+def answered(heartbeats: list[Heartbeat]) -> list[Heartbeat]:
     """Return those of daemons that the store answers."""
-    return [beacon for beacon in beacons if beacon.versions]
+    return [heartbeat for heartbeat in heartbeats if heartbeat.versions]
 
 
 def known(follower: Follower) -> int:
@@ -338,7 +339,7 @@
     return -1 if follower.version is None else follower.version
 
 
-def rank_of(vm: Hello | Beacon) -> tuple[float, bytes]:
+def rank_of(vm: Hello | Heartbeat) -> tuple[float, bytes]:
     """Return a VM's place in the order in which the daemons of a data centre follow the store.
 
     Those with the widest links come first: on links of 5 Mbit/s, handing out a configuration of
