--- a/sequoiabridge/relay/channel.py
+++ b/sequoiabridge/relay/channel.py
@@ -8,7 +8,7 @@
 from curio.traps import _read_wait
 
 from ..logs import get_log
-from .messages import LARGEST, Message, decoded, encoded
+from .messages import MAX_DATAGRAM_BYTES, Message, decode_message, encode_message
 
 log = get_log("channel")
 
@@ -49,7 +49,7 @@
         """Send a message to each address; what cannot be sent at once is lost."""
         if self.sock is None:
             return
-        data = encoded(message)
+        data = encode_message(message)
         for address in addresses:
             host, _, port = address.rpartition(":")
             try:
@@ -66,7 +66,7 @@
             await _read_wait(self.sock)
             for _ in range(MOST_AT_ONCE):
                 try:
-                    data = self.sock.recv(LARGEST)
+                    data = self.sock.recv(MAX_DATAGRAM_BYTES)
                 except OSError:
                     break
                 self._take_in(data)
@@ -75,7 +75,7 @@
 
     def _take_in(self, data: bytes) -> None:
         self.received += 1
-        message = decoded(data)
+        message = decode_message(data)
         if message is None:
             self.unreadable += 1
             return
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -20,7 +20,7 @@
 from .attempt import Attempt
 from .call import RelayedCall
 from .decisions import DecisionLog
-from .messages import Crashed, Survived
+from .messages import RequestCrashed, RequestSurvived
 from .sharing import Sharing
 
 FEWEST_CRASHES = 3
@@ -75,18 +75,18 @@
         address = attempt.upstream.address
         if await self.connector.reachable(address, ALIVE_TIMEOUT):
             return
-        crashed = Crashed(fingerprint(call), attempt.upstream.lifetime)
+        crashed = RequestCrashed(fingerprint(call), attempt.upstream.lifetime)
         if self._heard_crash(crashed):
             self.sharing.tell_all(crashed)
 
     def _answered(self, call: RelayedCall) -> None:
         if not self.ledger.by_fingerprint:
             return
-        survived = Survived(fingerprint(call))
+        survived = RequestSurvived(fingerprint(call))
         if self._heard_survival(survived):
             self.sharing.tell_all(survived)
 
-    def _heard_crash(self, crashed: Crashed) -> bool:
+    def _heard_crash(self, crashed: RequestCrashed) -> bool:
         """Enter a crash; return whether it is news."""
         now = self.clock.now()
         news = self.ledger.record_crash(crashed.fingerprint, crashed.upstream, "", now, now)
@@ -100,7 +100,7 @@
             )
         return news
 
-    def _heard_survival(self, survived: Survived) -> bool:
+    def _heard_survival(self, survived: RequestSurvived) -> bool:
         """Enter that a suspected request was answered; return whether it was one."""
         return self.ledger.record_answer(survived.fingerprint, self.clock.now())
 
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -19,8 +19,7 @@
 from ..store.rows import Write
 from ..store.tables import Tables
 from .decisions import DecisionLog
-from .entry_errors import EntryErrorLog
-from .messages import MOST_LINK, Hello
+from .messages import MAX_LINK_MBPS, Hello
 
 TABLE = "daemons"
 
@@ -151,5 +150,5 @@
         as_text(vm, "its key"),
         as_address(where.get("address"), "address"),
         as_text(where.get("data_centre"), "data_centre"),
-        as_number(where.get("link", UNKNOWN_LINK), "link", 0.0, MOST_LINK),
+        as_number(where.get("link", UNKNOWN_LINK), "link", 0.0, MAX_LINK_MBPS),
     )
--- a/sequoiabridge/relay/messages.py
+++ b/sequoiabridge/relay/messages.py
@@ -13,18 +13,18 @@
 CRASHED, SURVIVED, HEARTBEAT = "crashed", "survived", "beacon"
 """First element of a datagram, a JSON list."""
 
-LARGEST = 1200
+MAX_DATAGRAM_BYTES = 1200
 """Bytes of a datagram at most, so that it travels in one packet."""
 
-MOST_LINK = 1e9
+MAX_LINK_MBPS = 1e9
 """Mbit/s that a daemon may claim for its link."""
 
-MOST_REQUESTS = 1_000_000
-MOST_SLOWDOWN = 1e6
+MAX_REQUESTS = 1_000_000
+MAX_SLOWDOWN = 1e6
 """Requests and slowdown that an upstream may be said to have; the users' have some dozens, and
 20."""
 
-MOST_VERSION = 2**53
+MAX_VERSION = 2**53
 """Largest version that JSON's numbers carry exactly."""
 
 ENCODER = json.JSONEncoder(separators=(",", ":"))
@@ -50,7 +50,7 @@
         return [HELLO, self.vm, self.address, self.data_centre, self.link]
 
 
-class Sent:
+class CallSent:
     """A daemon has sent a call to an upstream just now."""
 
     __slots__ = ("upstream",)
@@ -63,8 +63,8 @@
         return [SENT, self.upstream]
 
 
-class Reported:
-    """An upstream has told its load just now."""
+class LoadReport:
+    """An upstream has versions_table its load just now."""
 
     __slots__ = ("upstream", "load")
 
@@ -78,7 +78,7 @@
         return [LOAD, self.upstream, load.running, load.waiting, load.slots, load.slowdown]
 
 
-class Failed:
+class CallFailed:
     """An upstream has failed a call just now."""
 
     __slots__ = ("upstream",)
@@ -91,7 +91,7 @@
         return [FAILED, self.upstream]
 
 
-class Crashed:
+class RequestCrashed:
     """An upstream died while it had a request with this fingerprint."""
 
     __slots__ = ("fingerprint", "upstream")
@@ -105,7 +105,7 @@
         return [CRASHED, self.fingerprint, self.upstream]
 
 
-class Survived:
+class RequestSurvived:
     """A request with this fingerprint, suspected of crashing upstreams, was answered."""
 
     __slots__ = ("fingerprint",)
@@ -142,75 +142,77 @@
         return [HEARTBEAT, self.vm, self.data_centre, self.address, self.versions, self.link]
 
 
-Message = Hello | Sent | Reported | Failed | Crashed | Survived | Heartbeat
+Message = Hello | CallSent | LoadReport | CallFailed | RequestCrashed | RequestSurvived | Heartbeat
 
 
-def encoded(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Return a message as a datagram."""
     return ENCODER.encode(message.fields()).encode()
 
 
-def decoded(data: bytes) -> Message | None:
+def decode_message(data: bytes) -> Message | None:
     """Return the message of a datagram, None if it is none that this release knows."""
     try:
         fields = as_list(parsed(data), "the datagram")
-        reader = READERS.get(fields[0]) if fields and isinstance(fields[0], str) else None
-        return None if reader is None else reader(fields[1:])
+        decoder = DECODERS.get(fields[0]) if fields and isinstance(fields[0], str) else None
+        return None if decoder is None else decoder(fields[1:])
     except (BadEntry, IndexError):
         return None
 
 
-def _name(fields: list, place: int) -> str:
+def _text(fields: list, place: int) -> str:
     return as_text(fields[place], "a name")
 
 
 def _link(value: object) -> float:
-    return as_number(value, "the link", 0.0, MOST_LINK)
+    return as_number(value, "the link", 0.0, MAX_LINK_MBPS)
 
 
-def _hello(fields: list) -> Hello:
+def _decode_hello(fields: list) -> Hello:
     address = as_address(fields[1], "the address")
-    return Hello(_name(fields, 0), address, _name(fields, 2), _link(fields[3]))
+    return Hello(_text(fields, 0), address, _text(fields, 2), _link(fields[3]))
 
 
-def _sent(fields: list) -> Sent:
-    return Sent(_name(fields, 0))
+def _decode_call_sent(fields: list) -> CallSent:
+    return CallSent(_text(fields, 0))
 
 
-def _reported(fields: list) -> Reported:
+def _decode_load_report(fields: list) -> LoadReport:
     running, waiting, slots = (
-        as_whole(fields[place], "the load", 0, MOST_REQUESTS) for place in (1, 2, 3)
+        as_whole(fields[place], "the load", 0, MAX_REQUESTS) for place in (1, 2, 3)
     )
-    slowdown = as_number(fields[4], "the slowdown", 0.0, MOST_SLOWDOWN)
-    return Reported(_name(fields, 0), UpstreamLoad(running, waiting, slots, slowdown))
+    slowdown = as_number(fields[4], "the slowdown", 0.0, MAX_SLOWDOWN)
+    return LoadReport(_text(fields, 0), UpstreamLoad(running, waiting, slots, slowdown))
 
 
-def _failed(fields: list) -> Failed:
-    return Failed(_name(fields, 0))
+def _decode_call_failed(fields: list) -> CallFailed:
+    return CallFailed(_text(fields, 0))
 
 
-def _crashed(fields: list) -> Crashed:
-    return Crashed(_name(fields, 0), _name(fields, 1))
+def _decode_request_crashed(fields: list) -> RequestCrashed:
+    return RequestCrashed(_text(fields, 0), _text(fields, 1))
 
 
-def _survived(fields: list) -> Survived:
-    return Survived(_name(fields, 0))
+def _decode_request_survived(fields: list) -> RequestSurvived:
+    return RequestSurvived(_text(fields, 0))
 
 
 def _decode_heartbeat(fields: list) -> Heartbeat:
-    told = as_table(fields[3], "the versions")
-    versions = {name: as_whole(told[name], "a version", 0, MOST_VERSION) for name in told}
+    versions_table = as_table(fields[3], "the versions")
+    versions = {
+        name: as_whole(versions_table[name], "a version", 0, MAX_VERSION) for name in versions_table
+    }
     address = as_address(fields[2], "the address")
-    return Heartbeat(_name(fields, 0), _name(fields, 1), address, versions, _link(fields[4]))
+    return Heartbeat(_text(fields, 0), _text(fields, 1), address, versions, _link(fields[4]))
 
 
-READERS: dict[str, Callable[[list], Message]] = {
-    HELLO: _hello,
-    SENT: _sent,
-    LOAD: _reported,
-    FAILED: _failed,
-    CRASHED: _crashed,
-    SURVIVED: _survived,
+DECODERS: dict[str, Callable[[list], Message]] = {
+    HELLO: _decode_hello,
+    SENT: _decode_call_sent,
+    LOAD: _decode_load_report,
+    FAILED: _decode_call_failed,
+    CRASHED: _decode_request_crashed,
+    SURVIVED: _decode_request_survived,
     HEARTBEAT: _decode_heartbeat,
 }
 """Reads a datagram's elements after the first, by the first."""
--- a/sequoiabridge/relay/peers.py
+++ b/sequoiabridge/relay/peers.py
@@ -15,7 +15,7 @@
 from ..upstreams.connections import ConnectorLimits, HttpConnector
 from ..upstreams.fetch import fetch
 from .feeds import Follower
-from .messages import MOST_VERSION
+from .messages import MAX_VERSION
 
 PATH = b"/feeds/"
 """Path of the operators' port under which each feed's rows are read, by the feed's name."""
@@ -111,7 +111,7 @@
     try:
         found = as_table(parsed(zlib.decompress(data)), "the answer")
         rows = [_row(as_list(row, "a row")) for row in as_list(found.get("rows"), "rows")]
-        version = as_whole(found.get("version"), "version", 0, MOST_VERSION)
+        version = as_whole(found.get("version"), "version", 0, MAX_VERSION)
     except (BadEntry, zlib.error) as error:
         raise StoreUnavailable(f"A daemon gave rows that cannot be read: {error}.") from error
     kind = Rows if found.get("whole") is True else Changes
@@ -127,7 +127,7 @@
     if value is not None and not (isinstance(value, str) and is_latin(value)):
         raise BadEntry("a row's value is none")
     data = None if value is None else value.encode("latin-1")
-    return StoredRow(table, part, key, data, as_whole(version, "version", 0, MOST_VERSION))
+    return StoredRow(table, part, key, data, as_whole(version, "version", 0, MAX_VERSION))
 
 
 def is_latin(text: str) -> bool:
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -17,7 +17,16 @@
 from ..timers import Clock
 from .channel import Channel
 from .members import Members
-from .messages import Crashed, Failed, Heartbeat, Hello, Message, Reported, Sent, Survived
+from .messages import (
+    CallFailed,
+    CallSent,
+    Heartbeat,
+    Hello,
+    LoadReport,
+    Message,
+    RequestCrashed,
+    RequestSurvived,
+)
 from .upstreams import UpstreamList
 
 
@@ -29,27 +38,27 @@
         self.clock = clock
         self.channel = Channel(self._heard)
         self.members: Members | None = None
-        self.on_crash: Callable[[Crashed], object] = lambda message: None
+        self.on_crash: Callable[[RequestCrashed], object] = lambda message: None
         self.on_heartbeat: Callable[[Heartbeat], None] = lambda message: None
         self.on_hello: Callable[[Hello], None] = lambda message: None
-        self.on_survival: Callable[[Survived], object] = lambda message: None
+        self.on_survival: Callable[[RequestSurvived], object] = lambda message: None
 
     def sent(self, upstream: Upstream) -> None:
         """This VM sends a call."""
         upstream.evidence.sent()
         if self.members is not None and self._shared(upstream):
-            self.channel.tell(Sent(upstream.lifetime), self.members.told_of_calls)
+            self.channel.tell(CallSent(upstream.lifetime), self.members.told_of_calls)
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told this VM its load."""
         upstream.evidence.reported(load, self.clock.now())
         if self.members is not None and self._shared(upstream):
-            self.channel.tell(Reported(upstream.lifetime, load), self.members.told_of_calls)
+            self.channel.tell(LoadReport(upstream.lifetime, load), self.members.told_of_calls)
 
     def failed(self, upstream: Upstream) -> None:
         """An upstream failed a call of this VM."""
         upstream.evidence.failed(self.clock.now())
-        self.tell_all(Failed(upstream.lifetime))
+        self.tell_all(CallFailed(upstream.lifetime))
 
     def was_replaced(self, upstream: Upstream) -> None:
         """Another upstream answered at its address."""
@@ -77,18 +86,18 @@
                 self.members.heard(message)
             self.on_hello(message)
             return
-        if isinstance(message, Crashed):
+        if isinstance(message, RequestCrashed):
             self.on_crash(message)
             return
-        if isinstance(message, Survived):
+        if isinstance(message, RequestSurvived):
             self.on_survival(message)
             return
         upstream = self.upstreams.of_lifetime(message.upstream)
         if upstream is None:
             return
-        if isinstance(message, Sent):
+        if isinstance(message, CallSent):
             upstream.evidence.sent()
-        elif isinstance(message, Reported):
+        elif isinstance(message, LoadReport):
             upstream.evidence.reported(message.load, self.clock.now())
-        elif isinstance(message, Failed):
+        elif isinstance(message, CallFailed):
             upstream.evidence.failed(self.clock.now(), HEARSAY)
