--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -43,8 +43,8 @@
 from .relay.members import Members
 from .relay.messages import Hello
 from .relay.operators import OperatorPort
-from .relay.peers import PeerReader
-from .relay.probing import Prober
+from .relay.peer_feeds import PeerReader
+from .relay.probing import Probes
 from .relay.readiness import READY_LIMITS, SWEEP, Readiness, ReadyHandler
 from .relay.relay import Relay
 from .relay.reloading import SettingsWatch
--- a/sequoiabridge/relay/operators.py
+++ b/sequoiabridge/relay/operators.py
@@ -13,8 +13,7 @@
 from ..exceptions import ConfigurationError
 from ..logs import get_log
 from ..pipeline.exchange import Answer, BytesBody, Request
-from .peers import PATH as FEEDS_PATH
-from .peers import FeedAnswers
+from .peer_feeds import FEEDS_PATH, FeedResponses
 from .readiness import SWEEP
 
 if TYPE_CHECKING:
@@ -42,7 +41,7 @@
     def __init__(self, address: str, gateway: Gateway):
         self.address = address
         self.gateway = gateway
-        self.feeds = FeedAnswers(gateway.followers)
+        self.feeds = FeedResponses(gateway.followers)
 
     async def start(self) -> None:
         """Listen; a port that is taken is logged, since calls must not wait for it."""
--- a/sequoiabridge/relay/peers.py
+++ b/sequoiabridge/relay/peer_feeds.py
@@ -17,17 +17,17 @@
 from .feeds import Follower
 from .messages import MAX_VERSION
 
-PATH = b"/feeds/"
+FEEDS_PATH = b"/feeds/"
 """Path of the operators' port under which each feed's rows are read, by the feed's name."""
 
-TIMEOUT = 1.0
+READ_TIMEOUT = 1.0
 """Seconds for a reading. It mostly takes some milliseconds; 16 daemons that read a configuration of
 1,680 routes (16 KB compressed) from one VM on a link of 5 Mbit/s take 0.4 s together."""
 
-COMPRESSION = 3
+COMPRESSION_LEVEL = 3
 """Level of zlib: 294 KB of routes become 15 KB in 4 ms, 19 KB at level 1, 14 KB at level 6."""
 
-MOST_KEPT = 8
+MAX_CACHED_RESPONSES = 8
 """Encoded answers that are kept: all daemons of a data centre ask for the same one or two of each
 feed when something changes."""
 
@@ -53,20 +53,20 @@
         Raises:
             StoreUnavailable: There was no good answer.
         """
-        target = PATH + feed.encode()
+        target = FEEDS_PATH + feed.encode()
         if after is not None:
             target += b"/%d" % after
         try:
-            async with curio.timeout_after(TIMEOUT):
-                found = await fetch(self.connector, address, b"GET", target, TIMEOUT)
+            async with curio.timeout_after(READ_TIMEOUT):
+                found = await fetch(self.connector, address, b"GET", target, READ_TIMEOUT)
         except (UpstreamFailed, curio.TaskTimeout) as error:
             raise StoreUnavailable(f"{address} gave no answer: {error!r}.") from error
         if found.status != OK:
             raise StoreUnavailable(f"{address} does not know the {feed} ({found.status}).")
-        return decoded(found.body)
+        return decode_rows(found.body)
 
 
-class FeedAnswers:
+class FeedResponses:
     """What other daemons are given of the feeds; each answer is encoded once.
 
     Args:
@@ -75,7 +75,7 @@
 
     def __init__(self, followers: dict[str, Follower]):
         self.followers = followers
-        self.kept: OrderedDict[tuple[str, int | None, int], bytes] = OrderedDict()
+        self.cache: OrderedDict[tuple[str, int | None, int], bytes] = OrderedDict()
 
     def answer(self, name: str, after: int | None) -> bytes | None:
         """Return what is known of a feed after a version, or all of it; None if nothing is."""
@@ -83,26 +83,26 @@
         if follower is None or follower.version is None:
             return None
         key = (name, after, follower.version)
-        data = self.kept.get(key)
+        data = self.cache.get(key)
         if data is None:
-            data = self.kept[key] = encoded(follower.known_after(after))
-            if len(self.kept) > MOST_KEPT:
-                self.kept.popitem(last=False)
+            data = self.cache[key] = encode_rows(follower.known_after(after))
+            if len(self.cache) > MAX_CACHED_RESPONSES:
+                self.cache.popitem(last=False)
         return data
 
 
-def encoded(rows: Rows) -> bytes:
+def encode_rows(rows: Rows) -> bytes:
     """Return rows as compressed JSON for another daemon."""
     listed = [
         [row.table, row.part, row.key, row.value and row.value.decode("latin-1"), row.version]
         for row in rows.rows
     ]
     whole = not isinstance(rows, Changes)
-    said = {"version": rows.version, "whole": whole, "rows": listed}
-    return zlib.compress(json.dumps(said).encode(), COMPRESSION)
+    document = {"version": rows.version, "whole": whole, "rows": listed}
+    return zlib.compress(json.dumps(document).encode(), COMPRESSION_LEVEL)
 
 
-def decoded(data: bytes) -> Rows:
+def decode_rows(data: bytes) -> Rows:
     """Return the rows that another daemon gave.
 
     Raises:
@@ -110,7 +110,7 @@
     """
     try:
         found = as_table(parsed(zlib.decompress(data)), "the answer")
-        rows = [_row(as_list(row, "a row")) for row in as_list(found.get("rows"), "rows")]
+        rows = [_decode_row(as_list(row, "a row")) for row in as_list(found.get("rows"), "rows")]
         version = as_whole(found.get("version"), "version", 0, MAX_VERSION)
     except (BadEntry, zlib.error) as error:
         raise StoreUnavailable(f"A daemon gave rows that cannot be read: {error}.") from error
@@ -118,18 +118,18 @@
     return kind(rows, version)
 
 
-def _row(fields: list) -> StoredRow:
+def _decode_row(fields: list) -> StoredRow:
     if len(fields) != len(StoredRow.__slots__):
         raise BadEntry(f"a row has {len(fields)} fields")
     table, part, key, value, version = fields
     if not all(isinstance(name, str) for name in (table, part, key)):
         raise BadEntry("a row has no key")
-    if value is not None and not (isinstance(value, str) and is_latin(value)):
+    if value is not None and not (isinstance(value, str) and is_latin1(value)):
         raise BadEntry("a row's value is none")
     data = None if value is None else value.encode("latin-1")
     return StoredRow(table, part, key, data, as_whole(version, "version", 0, MAX_VERSION))
 
 
-def is_latin(text: str) -> bool:
+def is_latin1(text: str) -> bool:
     """Return whether each character of a text stands for one byte."""
     return all(ord(character) < 256 for character in text)
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -24,7 +24,7 @@
 from .feeds import LONGEST_WAIT, SENTINEL_WAIT, Follower
 from .members import Members
 from .messages import Heartbeat, Hello
-from .peers import PeerReader
+from .peer_feeds import PeerReader
 
 WATCHERS_EACH = 2
 """Daemons of each data centre that follow the store; one may be cut off, and so may a whole data
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -13,7 +13,7 @@
 from ...platform.feeds import UpstreamFeed
 from ...relay.entry_errors import EntryErrorLog
 from ...relay.messages import MAX_DATAGRAM_BYTES, decode_message
-from ...relay.peers import decoded as decoded_rows
+from ...relay.peer_feeds import decode_rows
 from ...relay.upstreams import UpstreamList
 from ...store.rows import Rows, StoredRow
 from ...timers import ManualClock
@@ -200,7 +200,7 @@
 def test_a_datagram_or_answer_from_anywhere_does_no_harm(data):
     decode_message(data)
     with pytest.raises(StoreUnavailable):
-        decoded_rows(data)
+        decode_rows(data)
 
 
 @pytest.mark.parametrize(
--- a/sequoiabridge/tests/relay/test_peers.py
+++ b/sequoiabridge/tests/relay/test_peer_feeds.py
@@ -3,7 +3,7 @@
 import json
 
 from ...relay.feeds import REMOVALS_KEPT, Feed, Follower
-from ...relay.peers import MOST_KEPT, FeedAnswers, decoded, encoded
+from ...relay.peer_feeds import MAX_CACHED_RESPONSES, FeedResponses, decode_rows, encode_rows
 from ...store.rows import Changes, Rows, StoredRow
 from ...timers import ManualClock
 from .fakes import decision_log
@@ -61,7 +61,7 @@
 
 def test_both_kinds_are_read_back_by_another_daemon():
     for made in (Rows([row("a", 1)], 3), Changes([row("a", 4, None), row("b", 4)], 4)):
-        again = decoded(encoded(made))
+        again = decode_rows(encode_rows(made))
         assert type(again) is type(made) and again.version == made.version
         assert keys(again.rows) == keys(made.rows)
 
@@ -86,7 +86,7 @@
 
 def test_a_configuration_of_many_routes_reaches_a_data_centre_over_a_narrow_link_in_time():
     readers, link_mbps, in_force = 16, 5.0, 2.5
-    data = encoded(Changes([large_configuration(1680)], 18))
+    data = encode_rows(Changes([large_configuration(1680)], 18))
     assert readers * len(data) * 8 / (link_mbps * 1_000_000) < in_force / 2
 
 
@@ -98,14 +98,14 @@
 
 def test_an_answer_is_encoded_once_for_all_that_ask_and_anew_for_a_new_version():
     follower = follower_of(Plain())
-    answers = FeedAnswers({"f": follower})
-    assert answers.answer("f", None) is None and answers.answer("other", None) is None
+    responses = FeedResponses({"f": follower})
+    assert responses.answer("f", None) is None and responses.answer("other", None) is None
     follower.take_snapshot(Rows([row("a", 1)], 3))
-    first = answers.answer("f", None)
-    assert answers.answer("f", None) is first
+    first = responses.answer("f", None)
+    assert responses.answer("f", None) is first
     follower.take_changes(Changes([row("b", 5)], 5))
-    assert keys(decoded(answers.answer("f", 3)).rows) == [("b", False)]
-    assert len(decoded(answers.answer("f", None)).rows) == 2
-    for after in range(3 * MOST_KEPT):
-        answers.answer("f", after)
-    assert len(answers.kept) == MOST_KEPT
+    assert keys(decode_rows(responses.answer("f", 3)).rows) == [("b", False)]
+    assert len(decode_rows(responses.answer("f", None)).rows) == 2
+    for after in range(3 * MAX_CACHED_RESPONSES):
+        responses.answer("f", after)
+    assert len(responses.cache) == MAX_CACHED_RESPONSES
