--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -172,9 +172,9 @@
             self.clock,
             self.settings.vm.first_start,
         )
-        self.sharing.on_heartbeat = self.watchers.told
-        self.sharing.on_hello = self.watchers.greeted
-        self.sharing.channel.after_some = self.watchers.heard_some
+        self.sharing.on_heartbeat = self.watchers.handle_heartbeat
+        self.sharing.on_hello = self.watchers.handle_hello
+        self.sharing.channel.after_batch = self.watchers.wake_if_behind
         self.configuration.is_heard = lambda: self.watchers.is_current
 
     def _build_fleet(self) -> None:
@@ -185,7 +185,7 @@
         address = f"{listen.fleet_ip}:{listen.fleet_ports[-1]}"
         me = Hello(vm.name, address, vm.data_centre, vm.link)
         self.members = Members(
-            me, self.store, self.decisions, self.random, self.sharing.greet, vm.first_start
+            me, self.store, self.decisions, self.random, self.sharing.send_hello, vm.first_start
         )
         self.sharing.members = self.members
 
@@ -321,7 +321,7 @@
             self.configuration.offer(table)
 
     def _store_lost(self) -> None:
-        self.watchers.store_lost()
+        self.watchers.note_store_unavailable()
 
     def _configured(self, table: RouteTable) -> None:
         """Let callers have what a configuration that came into force allows them."""
--- a/sequoiabridge/relay/channel.py
+++ b/sequoiabridge/relay/channel.py
@@ -12,7 +12,7 @@
 
 log = get_log("channel")
 
-MOST_AT_ONCE = 64
+MAX_DATAGRAMS_PER_BATCH = 64
 """Datagrams that are taken in before other tasks run."""
 
 
@@ -20,13 +20,13 @@
     """Sends and receives datagrams on one address.
 
     Attributes:
-        after_some: Called after some datagrams have been taken in, or None.
+        after_batch: Called after some datagrams have been taken in, or None.
         sent, received, unreadable: Counts of datagrams.
     """
 
     def __init__(self, on_message: Callable[[Message], None]):
         self.on_message = on_message
-        self.after_some: Callable[[], Awaitable[None]] | None = None
+        self.after_batch: Callable[[], Awaitable[None]] | None = None
         self.sock: socket.socket | None = None
         self.sent = 0
         self.received = 0
@@ -45,7 +45,7 @@
             return
         self.sock = sock
 
-    def tell(self, message: Message, addresses: Iterable[str]) -> None:
+    def send(self, message: Message, addresses: Iterable[str]) -> None:
         """Send a message to each address; what cannot be sent at once is lost."""
         if self.sock is None:
             return
@@ -64,16 +64,16 @@
             return
         while True:
             await _read_wait(self.sock)
-            for _ in range(MOST_AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_BATCH):
                 try:
                     data = self.sock.recv(MAX_DATAGRAM_BYTES)
                 except OSError:
                     break
-                self._take_in(data)
-            if self.after_some is not None:
-                await self.after_some()
+                self._receive(data)
+            if self.after_batch is not None:
+                await self.after_batch()
 
-    def _take_in(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self.received += 1
         message = decode_message(data)
         if message is None:
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -77,14 +77,14 @@
             return
         crashed = RequestCrashed(fingerprint(call), attempt.upstream.lifetime)
         if self._heard_crash(crashed):
-            self.sharing.tell_all(crashed)
+            self.sharing.broadcast(crashed)
 
     def _answered(self, call: RelayedCall) -> None:
         if not self.ledger.by_fingerprint:
             return
         survived = RequestSurvived(fingerprint(call))
         if self._heard_survival(survived):
-            self.sharing.tell_all(survived)
+            self.sharing.broadcast(survived)
 
     def _heard_crash(self, crashed: RequestCrashed) -> bool:
         """Enter a crash; return whether it is news."""
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -41,7 +41,7 @@
     """The other daemons that are known.
 
     Args:
-        greet: Sends a hello to an address.
+        send_hello: Sends a hello to an address.
         first_start: The whole fleet starts for the first time, so that this daemon has no row yet.
 
     Attributes:
@@ -57,14 +57,14 @@
         tables: Tables,
         decisions: DecisionLog,
         random: Random,
-        greet: Callable[[Hello, str], None],
+        send_hello: Callable[[Hello, str], None],
         first_start: bool,
     ):
         self.me = me
         self.tables = tables
         self.decisions = decisions
         self.random = random
-        self.greet = greet
+        self.send_hello = send_hello
         self.entry_errors = EntryErrorLog(decisions)
         self.first_start = first_start
         self.joined = False
@@ -81,7 +81,7 @@
         return len(self.others) + 1
 
     async def join(self) -> None:
-        """Write where this daemon is, learn where the others are, and greet them."""
+        """Write where this daemon is, learn where the others are, and send_hello them."""
         pause = FIRST_PAUSE
         while True:
             try:
@@ -103,7 +103,7 @@
         for other in found.rows:
             self._found(other.key, other.value)
         for address in self.all:
-            self.greet(self.me, address)
+            self.send_hello(self.me, address)
         self.joined = True
         self.decisions.event("joined", members=self.count, near=len(self.near))
 
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -36,7 +36,7 @@
     def __init__(self, upstreams: UpstreamList, clock: Clock):
         self.upstreams = upstreams
         self.clock = clock
-        self.channel = Channel(self._heard)
+        self.channel = Channel(self._handle)
         self.members: Members | None = None
         self.on_crash: Callable[[RequestCrashed], object] = lambda message: None
         self.on_heartbeat: Callable[[Heartbeat], None] = lambda message: None
@@ -46,38 +46,38 @@
     def sent(self, upstream: Upstream) -> None:
         """This VM sends a call."""
         upstream.evidence.sent()
-        if self.members is not None and self._shared(upstream):
-            self.channel.tell(CallSent(upstream.lifetime), self.members.told_of_calls)
+        if self.members is not None and self._is_shared(upstream):
+            self.channel.send(CallSent(upstream.lifetime), self.members.told_of_calls)
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told this VM its load."""
         upstream.evidence.reported(load, self.clock.now())
-        if self.members is not None and self._shared(upstream):
-            self.channel.tell(LoadReport(upstream.lifetime, load), self.members.told_of_calls)
+        if self.members is not None and self._is_shared(upstream):
+            self.channel.send(LoadReport(upstream.lifetime, load), self.members.told_of_calls)
 
     def failed(self, upstream: Upstream) -> None:
         """An upstream failed a call of this VM."""
         upstream.evidence.failed(self.clock.now())
-        self.tell_all(CallFailed(upstream.lifetime))
+        self.broadcast(CallFailed(upstream.lifetime))
 
     def was_replaced(self, upstream: Upstream) -> None:
         """Another upstream answered at its address."""
         self.upstreams.was_replaced(upstream)
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Tell all daemons."""
         if self.members is not None:
-            self.channel.tell(message, self.members.all)
+            self.channel.send(message, self.members.all)
 
-    def greet(self, hello: Hello, address: str) -> None:
+    def send_hello(self, hello: Hello, address: str) -> None:
         """Tell another daemon that this one is there."""
-        self.channel.tell(hello, [address])
+        self.channel.send(hello, [address])
 
-    def _shared(self, upstream: Upstream) -> bool:
+    def _is_shared(self, upstream: Upstream) -> bool:
         """Return whether the others of this data centre send to the upstream as well."""
         return upstream.near
 
-    def _heard(self, message: Message) -> None:
+    def _handle(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
             self.on_heartbeat(message)
             return
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -137,7 +137,7 @@
                 await self.news.wait()
             self.news.clear()
 
-    async def heard_some(self) -> None:
+    async def wake_if_behind(self) -> None:
         """Look at once if what was heard is news; called after datagrams were taken in."""
         if self._newest() is not None:
             await self.news.set()
@@ -153,10 +153,10 @@
         made = self._own_heartbeat()
         if made is None:
             return
-        self.channel.tell(made, self.members.near)
+        self.channel.send(made, self.members.near)
         self.heartbeats_sent += 1
         if self.heartbeats_sent % FAR_EACH == 0 and not self._before_me(self._lately()):
-            self.channel.tell(made, self.members.far)
+            self.channel.send(made, self.members.far)
 
     def _announce(self) -> None:
         """Tell others at once when the store has been read for the first time; they may wait."""
@@ -165,20 +165,20 @@
             self.announced = True
             self.send_heartbeat()
 
-    def greeted(self, hello: Hello) -> None:
+    def handle_hello(self, hello: Hello) -> None:
         """A daemon has just come: tell it at once what is known here."""
         made = self._own_heartbeat()
         if made is not None and made.versions:
-            self.channel.tell(made, [hello.address])
+            self.channel.send(made, [hello.address])
 
-    def told(self, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Another daemon says which versions it knows, or that the store does not answer it."""
         _, before = self.latest_heartbeats.get(heartbeat.vm, (0.0, heartbeat))
         self.latest_heartbeats[heartbeat.vm] = (self.clock.now(), heartbeat)
         if before.versions and not heartbeat.versions:
-            self.store_lost()
+            self.note_store_unavailable()
 
-    def store_lost(self) -> None:
+    def note_store_unavailable(self) -> None:
         """The store was found not to answer: questions that wait in it are in doubt."""
         self.lost_at = self.clock.now()
 
@@ -221,7 +221,7 @@
         elif self.missed_since is None:
             self.missed_since = self.clock.now()
             # A watcher that never got this daemon's greeting does not tell it anything.
-            self.channel.tell(self.members.me, self.members.near)
+            self.channel.send(self.members.me, self.members.near)
         for follower in self.followers.values():
             follower.patient = self.members.joined and not foremost
         missed_for = 0.0 if self.missed_since is None else self.clock.now() - self.missed_since
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -14,55 +14,55 @@
     log, _ = decision_log()
     known = UpstreamList("here", ManualClock(5.0), log, lambda u: None)
     known.update([record("u"), record("far", zone="there")], [], 1)
-    sharing, told = Sharing(known, ManualClock(5.0)), []
-    sharing.channel.tell = lambda message, to: told.extend((a, message) for a in to)
+    sharing, sent = Sharing(known, ManualClock(5.0)), []
+    sharing.channel.send = lambda message, to: sent.extend((a, message) for a in to)
     members = Members(Hello("me", "me:1", "here", 1.0), None, log, None, lambda *a: None, True)
     for number in range(peers):
         members.heard(Hello(f"p{number}", f"p{number}:1", "here", 1.0))
     members.heard(Hello("other", "other:1", "there", 1.0))
     sharing.members = members
-    return sharing, known, told
+    return sharing, known, sent
 
 
 def test_calls_and_loads_of_near_upstreams_are_told_to_the_peers_here():
-    sharing, known, told = fleet(3)
+    sharing, known, sent = fleet(3)
     sharing.sent(known.by_id["u"])
     sharing.reported(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
-    assert {address for address, _ in told} == {"p0:1", "p1:1", "p2:1"} and len(told) == 6
+    assert {address for address, _ in sent} == {"p0:1", "p1:1", "p2:1"} and len(sent) == 6
     sharing.sent(known.by_id["far"])
-    assert len(told) == 6
+    assert len(sent) == 6
 
 
 def test_in_a_large_data_centre_nobody_is_told_of_calls_but_all_of_failures():
-    sharing, known, told = fleet(MOST_PEERS + 1)
+    sharing, known, sent = fleet(MOST_PEERS + 1)
     sharing.sent(known.by_id["u"])
-    assert told == []
+    assert sent == []
     sharing.failed(known.by_id["u"])
-    assert len(told) == MOST_PEERS + 2
+    assert len(sent) == MOST_PEERS + 2
 
 
 def test_what_others_say_counts_like_what_was_seen_here():
     sharing, known, _ = fleet(1)
     evidence = known.by_id["u"].evidence
-    sharing._heard(LoadReport("u", UpstreamLoad(1, 0, 2, 7.0)))
-    sharing._heard(CallSent("u"))
+    sharing._handle(LoadReport("u", UpstreamLoad(1, 0, 2, 7.0)))
+    sharing._handle(CallSent("u"))
     assert evidence.load.slowdown == 7.0 and evidence.sent_since == 1
     before = evidence.failure_share(5.0)
-    sharing._heard(CallFailed("u"))
+    sharing._handle(CallFailed("u"))
     assert evidence.failure_share(5.0) > before
-    sharing._heard(CallSent("unknown"))
+    sharing._handle(CallSent("unknown"))
 
 
 def test_what_others_say_of_an_earlier_lifetime_does_not_count():
-    sharing, known, told = fleet(1)
+    sharing, known, sent = fleet(1)
     known.update([record("u", born=1000)], [], 2)
     known.update([record("u", born=2000)], [], 3)
     evidence = known.by_id["u"].evidence
     for late in ("u", "u@1000"):
-        sharing._heard(LoadReport(late, UpstreamLoad(1, 0, 2, 7.0)))
-        sharing._heard(CallFailed(late))
+        sharing._handle(LoadReport(late, UpstreamLoad(1, 0, 2, 7.0)))
+        sharing._handle(CallFailed(late))
     assert evidence.load is None and evidence.failure_share(5.0) < 0.05
-    sharing._heard(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
+    sharing._handle(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
     assert evidence.load.slowdown == 7.0
     sharing.sent(known.by_id["u"])
-    assert told[-1][1].upstream == "u@2000"
+    assert sent[-1][1].upstream == "u@2000"
--- a/sequoiabridge/tests/relay/test_watchers.py
+++ b/sequoiabridge/tests/relay/test_watchers.py
@@ -36,10 +36,10 @@
     """Takes what would be sent."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
-    def tell(self, message, addresses):
-        self.told += [(address, message) for address in addresses]
+    def send(self, message, addresses):
+        self.sent += [(address, message) for address in addresses]
 
 
 class Reader:
@@ -99,7 +99,7 @@
         clock.advance(1.0)
         for other in VMS[:2]:
             if other != vm:
-                made.told(heartbeat(other))
+                made.handle_heartbeat(heartbeat(other))
         step(made)
         assert follower.active == (place < 2), vm
 
@@ -113,17 +113,17 @@
 def test_another_one_follows_when_a_watcher_falls_silent():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[2], clock, rows(5))
-    made.told(heartbeat(VMS[0]))
-    made.told(heartbeat(VMS[1]))
+    made.handle_heartbeat(heartbeat(VMS[0]))
+    made.handle_heartbeat(heartbeat(VMS[1]))
     step(made)
     assert not follower.active
     clock.advance(HEARTBEAT_TIMEOUT - 0.1)
-    made.told(heartbeat(VMS[0]))
+    made.handle_heartbeat(heartbeat(VMS[0]))
     clock.advance(0.2)
     step(made)
     assert not follower.active, "its heartbeat may still lie unread"
     clock.advance(SURE)
-    made.told(heartbeat(VMS[0]))
+    made.handle_heartbeat(heartbeat(VMS[0]))
     step(made)
     assert follower.active
 
@@ -131,10 +131,10 @@
 def test_what_only_others_know_is_read_from_them_and_an_older_word_is_not():
     clock = ManualClock(10.0)
     made, _, taken, follower = watching(VMS[3], clock, rows(7))
-    made.told(heartbeat(VMS[0], 7))
+    made.handle_heartbeat(heartbeat(VMS[0], 7))
     step(made)
     assert made.reader.reads == [(f"{VMS[0]}:2", FEED)] and follower.version == 7
-    made.told(heartbeat(VMS[0], 6))
+    made.handle_heartbeat(heartbeat(VMS[0], 6))
     step(made)
     assert len(made.reader.reads) == 1 and len(taken) == 1
 
@@ -143,11 +143,11 @@
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[0], clock, rows(9))
     follower.take_snapshot(rows(4))
-    made.told(heartbeat(VMS[1], 9))
+    made.handle_heartbeat(heartbeat(VMS[1], 9))
     step(made)
     assert follower.active and follower.version == 4
     clock.advance(0.5)
-    made.told(heartbeat(VMS[1], 9))
+    made.handle_heartbeat(heartbeat(VMS[1], 9))
     step(made)
     assert follower.version == 9
 
@@ -156,36 +156,36 @@
     clock = ManualClock(10.0)
     made, wire, _, follower = watching(VMS[0], clock)
     made.send_heartbeat()
-    assert wire.told == [], "nothing is known yet"
+    assert wire.sent == [], "nothing is known yet"
     clock.advance(1.0)
     step(made)
     follower.take_snapshot(rows(4))
     made.send_heartbeat()
-    assert {address for address, _ in wire.told} == {f"{vm}:1" for vm in VMS[1:]}
+    assert {address for address, _ in wire.sent} == {f"{vm}:1" for vm in VMS[1:]}
     follower.lost = True
-    wire.told.clear()
+    wire.sent.clear()
     made.send_heartbeat()
-    assert len(wire.told) == len(VMS) - 1
-    assert all(message.versions == {} for _, message in wire.told), "only that it is lost"
+    assert len(wire.sent) == len(VMS) - 1
+    assert all(message.versions == {} for _, message in wire.sent), "only that it is lost"
 
 
 def test_other_data_centres_hear_from_the_first_watcher_alone_and_less_often():
     for vm, expected in ((VMS[0], 2), (VMS[1], 0)):
         clock = ManualClock(10.0)
         made, wire, _, follower = watching(vm, clock)
-        made.told(heartbeat(VMS[0])) if vm != VMS[0] else None
+        made.handle_heartbeat(heartbeat(VMS[0])) if vm != VMS[0] else None
         curio.run(follower.set_active, True)
         follower.take_snapshot(rows(5))
         for _ in range(8):
             made.send_heartbeat()
-        assert sum(address == "far:1" for address, _ in wire.told) == expected
+        assert sum(address == "far:1" for address, _ in wire.sent) == expected
 
 
 def test_a_daemon_that_hears_from_far_watchers_only_is_current_and_follows_by_itself():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[3], clock, rows(5))
     clock.advance(1.0)
-    made.told(heartbeat("far", 5, "there"))
+    made.handle_heartbeat(heartbeat("far", 5, "there"))
     assert made.is_current
     step(made)
     clock.advance(SURE)
@@ -217,7 +217,7 @@
 def test_a_peer_that_does_not_answer_is_not_asked_again_until_heard():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[3], clock, rows=None)
-    made.told(heartbeat(VMS[0], 7))
+    made.handle_heartbeat(heartbeat(VMS[0], 7))
     step(made)
     step(made)
     assert len(made.reader.reads) == 1 and follower.version is None
@@ -227,12 +227,12 @@
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[2], clock, rows(5))
     for vm in VMS[:2]:
-        made.told(heartbeat(vm))
+        made.handle_heartbeat(heartbeat(vm))
     step(made)
     clock.advance(2.0)
     step(made)
     for vm in VMS[:2]:
-        made.told(heartbeat(vm))
+        made.handle_heartbeat(heartbeat(vm))
     clock.advance(SURE)
     step(made)
     assert not follower.active
@@ -243,7 +243,7 @@
     made, wire, _, _ = watching(VMS[3], clock, rows(5))
     clock.advance(1.0)
     step(made)
-    greeted = {address for address, message in wire.told if isinstance(message, Hello)}
+    greeted = {address for address, message in wire.sent if isinstance(message, Hello)}
     assert greeted == {f"{vm}:1" for vm in VMS[:3]}
 
 
@@ -272,7 +272,7 @@
         clock = ManualClock(10.0)
         made, _, _, follower = watching(vm, clock, rows(5))
         if place:
-            made.told(heartbeat(VMS[0]))
+            made.handle_heartbeat(heartbeat(VMS[0]))
         verified(made)
         assert follower.longest_wait == (LONGEST_WAIT if place else SENTINEL_WAIT)
 
@@ -283,7 +283,9 @@
     made.followers["other"], made.followers[FEED] = follower, watching(VMS[0], clock)[3]
     for number, expected in enumerate((SENTINEL_WAIT, SENTINEL_WAIT, LONGEST_WAIT)):
         if number:
-            made.told(Heartbeat(f"w{number}", f"there-{number}", "w:2", {FEED: 5}, 2 * LINK))
+            made.handle_heartbeat(
+                Heartbeat(f"w{number}", f"there-{number}", "w:2", {FEED: 5}, 2 * LINK)
+            )
         verified(made)
         assert made.followers[FEED].longest_wait == expected
         assert follower.longest_wait == LONGEST_WAIT
@@ -292,7 +294,7 @@
 def test_the_second_watcher_asks_anew_when_it_becomes_the_first():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[1], clock, rows(5))
-    made.told(heartbeat(VMS[0]))
+    made.handle_heartbeat(heartbeat(VMS[0]))
     verified(made)
     taken_back = waiting(follower, clock.now())
     clock.advance(SENTINEL_WAIT + OVERDUE + 0.1)
@@ -303,16 +305,16 @@
 def test_questions_that_wait_are_asked_anew_once_when_a_watcher_nearby_loses_the_store():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[1], clock, rows(5))
-    made.told(heartbeat(VMS[0]))
+    made.handle_heartbeat(heartbeat(VMS[0]))
     verified(made)
     taken_back = waiting(follower, clock.now())
     clock.advance(0.3)
     for _ in range(3):
-        made.told(Heartbeat(VMS[0], "here", "a:2", {}, LINK))
+        made.handle_heartbeat(Heartbeat(VMS[0], "here", "a:2", {}, LINK))
         verified(made)
     assert taken_back == [10.0]
     waiting(follower, clock.now() + 0.1)
-    made.told(Heartbeat(VMS[0], "here", "a:2", {}, LINK))
+    made.handle_heartbeat(Heartbeat(VMS[0], "here", "a:2", {}, LINK))
     verified(made)
     assert follower.asked_at is not None, "the store has answered since"
 
@@ -325,9 +327,9 @@
     follower.lost = True
     for _ in range(8):
         made.send_heartbeat()
-    assert {message.versions == {} for _, message in wire.told} == {True}
-    assert sum(address == "far:1" for address, _ in wire.told) == 2
-    made.told(Heartbeat(VMS[1], "here", "b:2", {}, LINK))
+    assert {message.versions == {} for _, message in wire.sent} == {True}
+    assert sum(address == "far:1" for address, _ in wire.sent) == 2
+    made.handle_heartbeat(Heartbeat(VMS[1], "here", "b:2", {}, LINK))
     assert not made.is_current
 
 
@@ -338,7 +340,7 @@
         follower.take_snapshot(rows(4))
         for number in range(MOST_TRYING):
             first = hello(f"wide-{number}", link=2 * LINK)
-            made.told(Heartbeat(first.vm, "here", "w:2", {}, first.link))
+            made.handle_heartbeat(Heartbeat(first.vm, "here", "w:2", {}, first.link))
         made.members.others.clear()
         for other in range(MOST_TRYING):
             made.members.heard(hello(f"wide-{other}", link=2 * LINK))
@@ -351,8 +353,8 @@
     made, wire, _, follower = watching(VMS[0], ManualClock(10.0))
     curio.run(follower.set_active, True)
     made._announce()
-    assert wire.told == []
+    assert wire.sent == []
     follower.take_snapshot(rows(4))
     made._announce()
     made._announce()
-    assert len(wire.told) == len(VMS) - 1
+    assert len(wire.sent) == len(VMS) - 1
