--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -269,7 +269,7 @@
             await curio.spawn(follower.run(), daemon=True)
         await curio.spawn(self.watchers.run(), daemon=True)
         await self.operators.start()
-        self.sharing.channel.bind(self.members.me.address)
+        self.sharing.channel.bind(self.members.local.address)
         await curio.spawn(self.sharing.channel.run(), daemon=True)
         await curio.spawn(self.members.join(), daemon=True)
         self._subscribe()
@@ -344,7 +344,7 @@
 
     def _count_members(self) -> None:
         """Share the limit on health checks between the daemons that are known now."""
-        if self.members.others:
+        if self.members.peers:
             self.allowance.vms = self.members.count
 
     def _counted(self, failed: bool) -> None:
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -23,15 +23,15 @@
 
 TABLE = "daemons"
 
-FIRST_PAUSE, LONGEST_PAUSE = 0.5, 5.0
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.5, 5.0
 """Seconds before the store is asked again when it did not answer; doubles up to the longest. Calls
 are served without it."""
 
-UNKNOWN_LINK = 0.0
+DEFAULT_LINK_MBPS = 0.0
 """Bandwidth in Mbit/s that is assumed of a daemon that does not tell its own: others go first when
 the store is to be followed."""
 
-MOST_PEERS = 8
+MAX_SHARING_PEERS = 8
 """Other daemons of the own data centre up to which each is told of each call and load. With more,
 the datagrams would cost more processor time than the calls (32 peers: 40,000 a second in a data
 centre of the users' grown sites), and each daemon asks often enough for its few calls."""
@@ -53,14 +53,14 @@
 
     def __init__(
         self,
-        me: Hello,
+        local: Hello,
         tables: Tables,
         decisions: DecisionLog,
         random: Random,
         send_hello: Callable[[Hello, str], None],
         first_start: bool,
     ):
-        self.me = me
+        self.local = local
         self.tables = tables
         self.decisions = decisions
         self.random = random
@@ -68,78 +68,78 @@
         self.entry_errors = EntryErrorLog(decisions)
         self.first_start = first_start
         self.joined = False
-        self.failed = False
-        self.others: dict[str, Hello] = {}
-        self.near: list[str] = []
-        self.told_of_calls: list[str] = []
-        self.far: list[str] = []
-        self.all: list[str] = []
+        self.join_failed = False
+        self.peers: dict[str, Hello] = {}
+        self.near_addresses: list[str] = []
+        self.sharing_addresses: list[str] = []
+        self.far_addresses: list[str] = []
+        self.all_addresses: list[str] = []
 
     @property
     def count(self) -> int:
         """Return how many daemons there are, this one included."""
-        return len(self.others) + 1
+        return len(self.peers) + 1
 
     async def join(self) -> None:
         """Write where this daemon is, learn where the others are, and send_hello them."""
-        pause = FIRST_PAUSE
+        delay = FIRST_RETRY_DELAY
         while True:
             try:
-                await self._join()
+                await self._try_join()
                 return
             except StoreUnavailable as error:
-                self.failed = True
+                self.join_failed = True
                 self.decisions.event("join-failed", why=str(error))
-            await curio.sleep(pause * self.random.uniform(0.5, 1.0))
-            pause = min(LONGEST_PAUSE, 2 * pause)
+            await curio.sleep(delay * self.random.uniform(0.5, 1.0))
+            delay = min(MAX_RETRY_DELAY, 2 * delay)
 
-    async def _join(self) -> None:
-        row = self._row()
+    async def _try_join(self) -> None:
+        row = self._own_row()
         found = None if self.first_start else await self.tables.rows(TABLE)
         # Writing comes before reading: of two daemons that begin together, one must see the other.
         if found is None or not any(r.key == row.key and r.value == row.value for r in found.rows):
             await self.tables.transact([], [row])
             found = await self.tables.rows(TABLE)
         for other in found.rows:
-            self._found(other.key, other.value)
-        for address in self.all:
-            self.send_hello(self.me, address)
+            self._add_row(other.key, other.value)
+        for address in self.all_addresses:
+            self.send_hello(self.local, address)
         self.joined = True
-        self.decisions.event("joined", members=self.count, near=len(self.near))
+        self.decisions.event("joined", members=self.count, near=len(self.near_addresses))
 
-    def _row(self) -> Write:
-        me = self.me
+    def _own_row(self) -> Write:
+        me = self.local
         where = {"address": me.address, "data_centre": me.data_centre, "link": me.link}
         return Write(TABLE, "", me.vm, json.dumps(where).encode())
 
-    def _found(self, vm: str, value: bytes | None) -> None:
+    def _add_row(self, vm: str, value: bytes | None) -> None:
         try:
-            hello = hello_of(vm, value or b"")
+            hello = hello_from_row(vm, value or b"")
         except BadEntry as error:
             self.entry_errors.record(TABLE, [BadEntry(str(error), vm)])
             return
-        self.heard(hello)
+        self.add_peer(hello)
 
-    def heard(self, hello: Hello) -> None:
+    def add_peer(self, hello: Hello) -> None:
         """A daemon is there, as its row or itself says."""
-        if hello.vm == self.me.vm:
+        if hello.vm == self.local.vm:
             return
-        known = self.others.get(hello.vm)
+        known = self.peers.get(hello.vm)
         if known is not None and known.address == hello.address:
             return
-        self.others[hello.vm] = hello
-        self.all = [other.address for other in self.others.values()]
-        near = [o for o in self.others.values() if o.data_centre == self.me.data_centre]
-        self.near = [other.address for other in near]
-        self.told_of_calls = self.near if len(near) <= MOST_PEERS else []
-        self.far = [o.address for o in self.others.values() if o not in near]
+        self.peers[hello.vm] = hello
+        self.all_addresses = [other.address for other in self.peers.values()]
+        near = [o for o in self.peers.values() if o.data_centre == self.local.data_centre]
+        self.near_addresses = [other.address for other in near]
+        self.sharing_addresses = self.near_addresses if len(near) <= MAX_SHARING_PEERS else []
+        self.far_addresses = [o.address for o in self.peers.values() if o not in near]
 
     def dump(self) -> dict:
         """Describe the members for the state dump."""
-        return {vm: other.address for vm, other in self.others.items()}
+        return {vm: other.address for vm, other in self.peers.items()}
 
 
-def hello_of(vm: str, value: bytes) -> Hello:
+def hello_from_row(vm: str, value: bytes) -> Hello:
     """Return what a row of the daemons' table says.
 
     Raises:
@@ -150,5 +150,5 @@
         as_text(vm, "its key"),
         as_address(where.get("address"), "address"),
         as_text(where.get("data_centre"), "data_centre"),
-        as_number(where.get("link", UNKNOWN_LINK), "link", 0.0, MAX_LINK_MBPS),
+        as_number(where.get("link", DEFAULT_LINK_MBPS), "link", 0.0, MAX_LINK_MBPS),
     )
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -47,13 +47,13 @@
         """This VM sends a call."""
         upstream.evidence.sent()
         if self.members is not None and self._is_shared(upstream):
-            self.channel.send(CallSent(upstream.lifetime), self.members.told_of_calls)
+            self.channel.send(CallSent(upstream.lifetime), self.members.sharing_addresses)
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told this VM its load."""
         upstream.evidence.reported(load, self.clock.now())
         if self.members is not None and self._is_shared(upstream):
-            self.channel.send(LoadReport(upstream.lifetime, load), self.members.told_of_calls)
+            self.channel.send(LoadReport(upstream.lifetime, load), self.members.sharing_addresses)
 
     def failed(self, upstream: Upstream) -> None:
         """An upstream failed a call of this VM."""
@@ -67,7 +67,7 @@
     def broadcast(self, message: Message) -> None:
         """Tell all daemons."""
         if self.members is not None:
-            self.channel.send(message, self.members.all)
+            self.channel.send(message, self.members.all_addresses)
 
     def send_hello(self, hello: Hello, address: str) -> None:
         """Tell another daemon that this one is there."""
@@ -83,7 +83,7 @@
             return
         if isinstance(message, Hello):
             if self.members is not None:
-                self.members.heard(message)
+                self.members.add_peer(message)
             self.on_hello(message)
             return
         if isinstance(message, RequestCrashed):
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -153,10 +153,10 @@
         made = self._own_heartbeat()
         if made is None:
             return
-        self.channel.send(made, self.members.near)
+        self.channel.send(made, self.members.near_addresses)
         self.heartbeats_sent += 1
         if self.heartbeats_sent % FAR_EACH == 0 and not self._before_me(self._lately()):
-            self.channel.send(made, self.members.far)
+            self.channel.send(made, self.members.far_addresses)
 
     def _announce(self) -> None:
         """Tell others at once when the store has been read for the first time; they may wait."""
@@ -191,7 +191,7 @@
             versions = {name: follower.version for name, follower in followers.items()}
         if None in versions.values():
             return None
-        me = self.members.me
+        me = self.members.local
         return Heartbeat(me.vm, me.data_centre, self.reader.own_address, versions, me.link)
 
     def _fresh(self) -> list[Heartbeat]:
@@ -200,7 +200,7 @@
 
     def _lately(self) -> list[Heartbeat]:
         """Return what was heard lately from daemons that follow the store, or try to."""
-        now, here = self.clock.now(), self.members.me.data_centre
+        now, here = self.clock.now(), self.members.local.data_centre
         return [
             heartbeat
             for at, heartbeat in self.latest_heartbeats.values()
@@ -214,14 +214,14 @@
         enough = WATCHERS_EACH if fresh else MOST_TRYING
         needed = self._before_me(fresh) < WATCHERS_EACH and self._before_me(lately) < enough
         foremost = self._foremost()
-        if needed and waiting and not self.members.failed and not foremost:
+        if needed and waiting and not self.members.join_failed and not foremost:
             return
         if not needed:
             self.missed_since = None
         elif self.missed_since is None:
             self.missed_since = self.clock.now()
             # A watcher that never got this daemon's greeting does not tell it anything.
-            self.channel.send(self.members.me, self.members.near)
+            self.channel.send(self.members.local, self.members.near_addresses)
         for follower in self.followers.values():
             follower.patient = self.members.joined and not foremost
         missed_for = 0.0 if self.missed_since is None else self.clock.now() - self.missed_since
@@ -231,7 +231,7 @@
 
     def _before_me(self, heartbeats: list[Heartbeat]) -> int:
         """Return how many of those who sent heartbeats are here and come before this daemon."""
-        me = self.members.me
+        me = self.members.local
         rank = rank_of(me)
         return sum(b.data_centre == me.data_centre and rank_of(b) < rank for b in heartbeats)
 
@@ -239,8 +239,8 @@
         """Return whether this daemon is among those that follow the store when all are well."""
         if not self.members.joined:
             return False
-        me = self.members.me
-        near = [h for h in self.members.others.values() if h.data_centre == me.data_centre]
+        me = self.members.local
+        near = [h for h in self.members.peers.values() if h.data_centre == me.data_centre]
         return sum(rank_of(other) < rank_of(me) for other in near) < WATCHERS_EACH
 
     async def _watch(self, needed: bool) -> None:
@@ -256,7 +256,7 @@
         lately = self._lately()
         if not self.watching or self._before_me(lately):
             return False
-        me = self.members.me
+        me = self.members.local
         # Other data centres are told by their first watcher only.
         far = [b for b in lately if b.data_centre != me.data_centre]
         before = {b.data_centre for b in far if rank_of(b) < rank_of(me)}
@@ -296,7 +296,7 @@
 
     def _newest(self) -> Heartbeat | None:
         """Return a heartbeat that knows more than this daemon; near ones first."""
-        me = self.members.me
+        me = self.members.local
         ahead = [heartbeat for heartbeat in self._fresh() if self._ahead(heartbeat)]
         # Each daemon has its own order, so that not all of them read from the same one.
         return min(
--- a/sequoiabridge/tests/relay/test_members.py
+++ b/sequoiabridge/tests/relay/test_members.py
@@ -52,7 +52,7 @@
     start(table, "a", first_start=True)
     members, greeted = start(table, "b", first_start=True)
     assert table.calls == ["write", "read"] * 2
-    assert list(members.others) == ["a"] and greeted == [address_of("a")]
+    assert list(members.peers) == ["a"] and greeted == [address_of("a")]
 
 
 def test_a_daemon_that_starts_again_where_it_was_writes_nothing():
@@ -73,4 +73,4 @@
         start(table, vm, address=address)
         assert table.calls == ["read", "write", "read"]
     members, _ = start(table, "new")
-    assert members.others["a"].address == "10.9.9.9:1"
+    assert members.peers["a"].address == "10.9.9.9:1"
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -1,7 +1,7 @@
 """What daemons tell each other of calls: in small data centres all, in large ones nothing."""
 
 from ...balancing.load import UpstreamLoad
-from ...relay.members import MOST_PEERS, Members
+from ...relay.members import MAX_SHARING_PEERS, Members
 from ...relay.messages import CallFailed, CallSent, Hello, LoadReport
 from ...relay.sharing import Sharing
 from ...relay.upstreams import UpstreamList
@@ -18,8 +18,8 @@
     sharing.channel.send = lambda message, to: sent.extend((a, message) for a in to)
     members = Members(Hello("me", "me:1", "here", 1.0), None, log, None, lambda *a: None, True)
     for number in range(peers):
-        members.heard(Hello(f"p{number}", f"p{number}:1", "here", 1.0))
-    members.heard(Hello("other", "other:1", "there", 1.0))
+        members.add_peer(Hello(f"p{number}", f"p{number}:1", "here", 1.0))
+    members.add_peer(Hello("other", "other:1", "there", 1.0))
     sharing.members = members
     return sharing, known, sent
 
@@ -34,11 +34,11 @@
 
 
 def test_in_a_large_data_centre_nobody_is_told_of_calls_but_all_of_failures():
-    sharing, known, sent = fleet(MOST_PEERS + 1)
+    sharing, known, sent = fleet(MAX_SHARING_PEERS + 1)
     sharing.sent(known.by_id["u"])
     assert sent == []
     sharing.failed(known.by_id["u"])
-    assert len(sent) == MOST_PEERS + 2
+    assert len(sent) == MAX_SHARING_PEERS + 2
 
 
 def test_what_others_say_counts_like_what_was_seen_here():
--- a/sequoiabridge/tests/relay/test_watchers.py
+++ b/sequoiabridge/tests/relay/test_watchers.py
@@ -64,8 +64,8 @@
     me = hello(vm)
     members = Members(me, None, log, None, lambda *a: None, True)
     for other in VMS:
-        members.heard(hello(other))
-    members.heard(hello("far", "there"))
+        members.add_peer(hello(other))
+    members.add_peer(hello("far", "there"))
     members.joined = True
     taken = []
     follower = Follower(
@@ -209,7 +209,7 @@
 def test_a_daemon_that_cannot_learn_of_others_reads_the_store_at_once():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[3], clock, first_start=True)
-    made.members.joined, made.members.failed = False, True
+    made.members.joined, made.members.join_failed = False, True
     step(made)
     assert follower.active
 
@@ -341,9 +341,9 @@
         for number in range(MOST_TRYING):
             first = hello(f"wide-{number}", link=2 * LINK)
             made.handle_heartbeat(Heartbeat(first.vm, "here", "w:2", {}, first.link))
-        made.members.others.clear()
+        made.members.peers.clear()
         for other in range(MOST_TRYING):
-            made.members.heard(hello(f"wide-{other}", link=2 * LINK))
+            made.members.add_peer(hello(f"wide-{other}", link=2 * LINK))
         clock.advance(SURE)
         step(made)
         assert not follower.active, place
