--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -44,7 +44,7 @@
 from .relay.messages import Hello
 from .relay.operators import OperatorPort
 from .relay.peer_feeds import PeerReader
-from .relay.probing import Probes
+from .relay.probing import Prober
 from .relay.readiness import READY_LIMITS, SWEEP, Readiness, ReadyHandler
 from .relay.relay import Relay
 from .relay.reloading import SettingsWatch
--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -17,34 +17,34 @@
 from .decisions import DecisionLog
 from .entry_errors import EntryErrorLog
 
-LONGEST_WAIT = 25.0
+LONG_POLL_TIMEOUT = 25.0
 """Seconds that a question for changes waits in the store; it allows 30. Each question costs, a
 waiting one does not."""
 
-SENTINEL_WAIT = 2.0
+SENTINEL_POLL_TIMEOUT = 2.0
 """The same for the watchers that are to notice when the store falls silent: it then forgets what
 waits in it. Theirs is missed 2.6 s later at the latest, and all ask anew. Without it, all watchers
 waited for up to 26 s, with an old configuration in force."""
 
-GATHER = 0.5
+CHANGE_BATCH_INTERVAL = 0.5
 """Seconds between an answer and the next question, so that a burst of changes comes in one answer:
 entries of upstreams that have just started change with each heartbeat. With the beacon's 0.3 s a
 change is known everywhere within a second; it must be in force within 2."""
 
-FIRST_PAUSE, LONGEST_PAUSE = 0.1, 0.4
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 0.4
 """Seconds before a call that failed is made again; doubles up to the longest. A VM that was cut off
 must know of all that left meanwhile 3 seconds after it is back, 2 of which it may spend on
 waiting for lapsed entries."""
 
-REMOVALS_KEPT = 200
+MAX_REMOVALS = 200
 """Removed rows that are remembered for daemons that ask what changed; a day of the users' grown
 sites removes some dozens."""
 
-PATIENT_FACTOR = 10.0
-"""Times that pause for daemons that hear of the store's return from others: refused calls are paid
+SLOW_RETRY_FACTOR = 10.0
+"""Times that delay for daemons that hear of the store's return from others: refused calls are paid
 for too, and all daemons together made over 1,000 of them in 8 seconds."""
 
-UNUSABLE = (BadEntry, ValueError, KeyError, TypeError, AttributeError, ArithmeticError)
+DECODING_ERRORS = (BadEntry, ValueError, KeyError, TypeError, AttributeError, ArithmeticError)
 """What decoding raises for a row that some other writer wrote. Of the configuration, which the
 store takes only if it is valid, just the fields in use are decoded, unchecked."""
 
@@ -75,7 +75,7 @@
         return [problem.key for problem in self.problems]
 
     @property
-    def is_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Return whether it says anything."""
         return bool(self.entries or self.removed or self.problems)
 
@@ -84,7 +84,7 @@
     """Something in the store that can be read whole and followed.
 
     Attributes:
-        mirror: The rows as they were read last, by key, for other daemons.
+        rows_by_key: The rows as they were read last, by key, for other daemons.
 
     Hooks raise `StoreUnavailable`, and `changes` raises `HistoryLost` when a new snapshot is
     needed.
@@ -93,9 +93,9 @@
     name = "feed"
 
     def __init__(self) -> None:
-        self.mirror: dict[str, StoredRow] = {}
-        self.removals: deque[StoredRow] = deque(maxlen=REMOVALS_KEPT)
-        self.complete_from: int | None = None
+        self.rows_by_key: dict[str, StoredRow] = {}
+        self.removals: deque[StoredRow] = deque(maxlen=MAX_REMOVALS)
+        self.history_start: int | None = None
 
     @abstractmethod
     async def read_all(self) -> Rows:
@@ -109,41 +109,41 @@
     def decode(self, row: StoredRow) -> Entry | None:
         """Return a row's entry, None if it has none; raise `BadEntry` if it cannot be used."""
 
-    def replaced(self, rows: Rows) -> Update[Entry]:
+    def replace_rows(self, rows: Rows) -> Update[Entry]:
         """Take in all rows."""
         fresh = {row.key: row for row in rows.rows}
-        for key, row in self.mirror.items():
+        for key, row in self.rows_by_key.items():
             if key not in fresh:
-                self._removed(StoredRow(row.table, row.part, key, None, rows.version))
-        if self.complete_from is None:
-            self.complete_from = rows.version
-        self.mirror = fresh
-        return self._update(rows.version, self.mirror.values())
+                self._record_removal(StoredRow(row.table, row.part, key, None, rows.version))
+        if self.history_start is None:
+            self.history_start = rows.version
+        self.rows_by_key = fresh
+        return self._decode_rows(rows.version, self.rows_by_key.values())
 
-    def changed(self, changes: Changes) -> Update[Entry]:
+    def update_rows(self, changes: Changes) -> Update[Entry]:
         """Take in changes; the latest word on each key counts."""
         latest = {row.key: row for row in changes.rows}
         for key, row in latest.items():
             if row.value is not None:
-                self.mirror[key] = row
+                self.rows_by_key[key] = row
                 continue
-            self.mirror.pop(key, None)
-            self._removed(StoredRow(row.table, row.part, key, None, changes.version))
-        return self._update(changes.version, latest.values())
+            self.rows_by_key.pop(key, None)
+            self._record_removal(StoredRow(row.table, row.part, key, None, changes.version))
+        return self._decode_rows(changes.version, latest.values())
 
-    def since(self, after: int) -> list[StoredRow] | None:
+    def changes_since(self, after: int) -> list[StoredRow] | None:
         """Return the rows that changed after a version, None if that is not known any more."""
-        if self.complete_from is None or after < self.complete_from:
+        if self.history_start is None or after < self.history_start:
             return None
-        changed = [row for row in self.mirror.values() if row.version > after]
+        changed = [row for row in self.rows_by_key.values() if row.version > after]
         return changed + [row for row in self.removals if row.version > after]
 
-    def _removed(self, row: StoredRow) -> None:
-        if len(self.removals) == REMOVALS_KEPT:
-            self.complete_from = self.removals[0].version
+    def _record_removal(self, row: StoredRow) -> None:
+        if len(self.removals) == MAX_REMOVALS:
+            self.history_start = self.removals[0].version
         self.removals.append(row)
 
-    def _update(self, version: int, rows: Iterable[StoredRow]) -> Update[Entry]:
+    def _decode_rows(self, version: int, rows: Iterable[StoredRow]) -> Update[Entry]:
         update = Update(version)
         for row in rows:
             if row.value is None:
@@ -151,8 +151,8 @@
                 continue
             try:
                 entry = self.decode(row)
-            except UNUSABLE as error:
-                update.problems.append(BadEntry(said_of(error), row.key))
+            except DECODING_ERRORS as error:
+                update.problems.append(BadEntry(problem_text(error), row.key))
                 continue
             if entry is not None:
                 update.entries.append(entry)
@@ -164,15 +164,16 @@
 
     Args:
         on_snapshot, on_changes: Take in what was read.
-        on_lost, on_regained: Called when the store stops answering, and when it answers again.
+        on_store_lost: Called when the store stops answering.
+        on_store_recovered: Called when the store answers again.
 
     Attributes:
         version: The store's version that is known here, None before the first reading.
-        lost: True while the store does not answer.
-        active: The store is to be followed; else others do, and `take_snapshot` is called.
-        patient: Others ask often enough while the store is away, and tell when it is back.
-        longest_wait: Seconds that a question for changes may wait in the store.
-        asked_at: When the question was sent that waits in the store now; None if none does.
+        store_unavailable: True while the store does not answer.
+        active: The store is to be followed; else others do, and `apply_snapshot` is called.
+        slow_retries: Others ask often enough while the store is away, and tell when it is back.
+        poll_timeout: Seconds that a question for changes may wait in the store.
+        poll_sent_at: When the question was sent that waits in the store now; None if none does.
     """
 
     def __init__(
@@ -183,8 +184,8 @@
         decisions: DecisionLog,
         on_snapshot: Callable[[Update[Entry]], None],
         on_changes: Callable[[Update[Entry]], None],
-        on_lost: Callable[[], None],
-        on_regained: Callable[[], None],
+        on_store_lost: Callable[[], None],
+        on_store_recovered: Callable[[], None],
     ):
         self.feed = feed
         self.name = f"{feed.name}-feed"
@@ -193,18 +194,18 @@
         self.decisions = decisions
         self.on_snapshot = on_snapshot
         self.on_changes = on_changes
-        self.on_lost = on_lost
-        self.on_regained = on_regained
+        self.on_store_lost = on_store_lost
+        self.on_store_recovered = on_store_recovered
         self.version: int | None = None
-        self.lost = False
+        self.store_unavailable = False
         self.failures = 0
         self.active = False
-        self.patient = False
+        self.slow_retries = False
         self.activated = curio.Event()
-        self.longest_wait = LONGEST_WAIT
-        self.asked_at: float | None = None
-        self.pending: curio.Task | None = None
-        self.in_doubt = False
+        self.poll_timeout = LONG_POLL_TIMEOUT
+        self.poll_sent_at: float | None = None
+        self.poll_task: curio.Task | None = None
+        self.repoll_requested = False
         self.entry_errors = EntryErrorLog(decisions)
 
     async def set_active(self, active: bool) -> None:
@@ -213,41 +214,41 @@
         self.activated.clear()
         if active:
             await self.activated.set()
-        if not active and self.lost:
+        if not active and self.store_unavailable:
             # Others follow the store, so it is back.
-            self._answered(0)
+            self._record_answer(0)
 
-    async def ask_anew(self) -> None:
+    async def repoll(self) -> None:
         """Take back the question that waits in the store, and ask for an answer at once."""
-        self.in_doubt = True
-        if self.pending is not None:
-            await self.pending.cancel(blocking=False)
+        self.repoll_requested = True
+        if self.poll_task is not None:
+            await self.poll_task.cancel(blocking=False)
 
-    def take_snapshot(self, rows: Rows) -> None:
+    def apply_snapshot(self, rows: Rows) -> None:
         """Take in all rows as another daemon knows them, if they are newer."""
         if self.version is not None and rows.version <= self.version:
             return
-        update = self.feed.replaced(rows)
+        update = self.feed.replace_rows(rows)
         self.on_snapshot(update)
-        self._took_in(update)
+        self._record_update(update)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take in what changed since this daemon's version, as another daemon knows it."""
         if self.version is None or changes.version <= self.version:
             return
-        update = self.feed.changed(changes)
+        update = self.feed.update_rows(changes)
         self.on_changes(update)
-        self._took_in(update)
+        self._record_update(update)
 
-    def known_after(self, after: int | None) -> Rows | None:
+    def rows_after(self, after: int | None) -> Rows | None:
         """Return what is known here: `Changes` after a version, or all `Rows` where that is not
         known or no version is given; None before the first reading."""
         if self.version is None:
             return None
-        changed = None if after is None else self.feed.since(after)
+        changed = None if after is None else self.feed.changes_since(after)
         if changed is not None:
             return Changes(changed, self.version)
-        return Rows(list(self.feed.mirror.values()), self.version)
+        return Rows(list(self.feed.rows_by_key.values()), self.version)
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -255,53 +256,53 @@
             if not self.active:
                 await self.activated.wait()
             try:
-                pause = await self._step()
+                delay = await self._step()
             except HistoryLost:
-                pause = self._history_lost()
+                delay = self._history_lost()
             except StoreUnavailable as error:
-                pause = self._failed(error)
-            await curio.sleep(pause)
+                delay = self._record_failure(error)
+            await curio.sleep(delay)
 
     async def _step(self) -> float:
         """Read once; return the seconds until the next reading."""
         if self.version is None:
             rows = await self.feed.read_all()
-            self._answered(self.failures)
-            self.take_snapshot(rows)
+            self._record_answer(self.failures)
+            self.apply_snapshot(rows)
             return 0.0
         after = self.version
-        changes = await self._ask(after)
+        changes = await self._poll(after)
         if changes is None:
             return 0.0
-        self._answered(0)
+        self._record_answer(0)
         if after != self.version:
             # Another daemon was quicker with all rows: what came is older, or in them.
             return 0.0
-        update = self.feed.changed(changes)
-        if update.is_news:
+        update = self.feed.update_rows(changes)
+        if update.has_changes:
             self.on_changes(update)
-        self._took_in(update)
-        return GATHER if update.is_news else 0.0
+        self._record_update(update)
+        return CHANGE_BATCH_INTERVAL if update.has_changes else 0.0
 
-    async def _ask(self, after: int) -> Changes | None:
+    async def _poll(self, after: int) -> Changes | None:
         """Ask what changed; return None if the question was taken back."""
         # After a failure the store is asked for an answer at once: it tells that it is back.
-        at_once = self.lost or self.in_doubt
-        self.in_doubt = False
-        wait = 0.0 if at_once else self.longest_wait
-        self.asked_at = self.clock.now()
-        self.pending = await curio.spawn(self.feed.read_changes, after, wait)
+        return_at_once = self.store_unavailable or self.repoll_requested
+        self.repoll_requested = False
+        wait = 0.0 if return_at_once else self.poll_timeout
+        self.poll_sent_at = self.clock.now()
+        self.poll_task = await curio.spawn(self.feed.read_changes, after, wait)
         try:
-            return await self.pending.join()
+            return await self.poll_task.join()
         except curio.TaskError as error:
-            if self.in_doubt and isinstance(error.__cause__, curio.CancelledError):
+            if self.repoll_requested and isinstance(error.__cause__, curio.CancelledError):
                 return None
             raise error.__cause__ from None
         finally:
-            await self.pending.cancel()
-            self.pending = self.asked_at = None
+            await self.poll_task.cancel()
+            self.poll_task = self.poll_sent_at = None
 
-    def _took_in(self, update: Update[Entry]) -> None:
+    def _record_update(self, update: Update[Entry]) -> None:
         self.version = update.version
         self.entry_errors.record(self.feed.name, update.problems)
 
@@ -309,34 +310,34 @@
         """Read everything next; return the seconds until then: 0, unless it happens in a row."""
         self.decisions.event("history-lost", feed=self.feed.name, version=self.version)
         self.version = None
-        pause = 0.0 if not self.failures else FIRST_PAUSE * 2**self.failures
+        delay = 0.0 if not self.failures else FIRST_RETRY_DELAY * 2**self.failures
         self.failures += 1
-        return min(LONGEST_PAUSE, pause)
+        return min(MAX_RETRY_DELAY, delay)
 
-    def _failed(self, error: StoreUnavailable) -> float:
+    def _record_failure(self, error: StoreUnavailable) -> float:
         """Note a failure; return the seconds until the next try."""
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2**self.failures)
+        delay = min(MAX_RETRY_DELAY, FIRST_RETRY_DELAY * 2**self.failures)
         self.failures += 1
-        if not self.lost:
-            self.lost = True
+        if not self.store_unavailable:
+            self.store_unavailable = True
             self.decisions.event("store-lost", feed=self.feed.name, why=str(error))
-            self.on_lost()
-        if self.patient:
-            pause *= PATIENT_FACTOR
-        return pause * self.random.uniform(0.5, 1.0)
+            self.on_store_lost()
+        if self.slow_retries:
+            delay *= SLOW_RETRY_FACTOR
+        return delay * self.random.uniform(0.5, 1.0)
 
-    def _answered(self, failures: int) -> None:
+    def _record_answer(self, failures: int) -> None:
         self.failures = failures
-        if self.lost:
-            self.lost = False
+        if self.store_unavailable:
+            self.store_unavailable = False
             self.decisions.event("store-regained", feed=self.feed.name, version=self.version)
-            self.on_regained()
+            self.on_store_recovered()
 
     def dump(self) -> dict:
         """Describe the follower for the state dump."""
-        return {"version": self.version, "lost": self.lost, "failures": self.failures}
+        return {"version": self.version, "lost": self.store_unavailable, "failures": self.failures}
 
 
-def said_of(error: Exception) -> str:
+def problem_text(error: Exception) -> str:
     """Return what is wrong with an entry, for people."""
     return str(error) if isinstance(error, BadEntry) else repr(error)
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -19,6 +19,7 @@
 from ..store.rows import Write
 from ..store.tables import Tables
 from .decisions import DecisionLog
+from .entry_errors import EntryErrorLog
 from .messages import MAX_LINK_MBPS, Hello
 
 TABLE = "daemons"
--- a/sequoiabridge/relay/peer_feeds.py
+++ b/sequoiabridge/relay/peer_feeds.py
@@ -85,7 +85,7 @@
         key = (name, after, follower.version)
         data = self.cache.get(key)
         if data is None:
-            data = self.cache[key] = encode_rows(follower.known_after(after))
+            data = self.cache[key] = encode_rows(follower.rows_after(after))
             if len(self.cache) > MAX_CACHED_RESPONSES:
                 self.cache.popitem(last=False)
         return data
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -21,7 +21,7 @@
 from ..timers import Clock
 from .channel import Channel
 from .decisions import DecisionLog
-from .feeds import LONGEST_WAIT, SENTINEL_WAIT, Follower
+from .feeds import LONG_POLL_TIMEOUT, SENTINEL_POLL_TIMEOUT, Follower
 from .members import Members
 from .messages import Heartbeat, Hello
 from .peer_feeds import PeerReader
@@ -122,7 +122,7 @@
     @property
     def is_current(self) -> bool:
         """Return whether news would be heard, from the store or from those who follow it."""
-        following = all(f.active and not f.lost for f in self.followers.values())
+        following = all(f.active and not f.store_unavailable for f in self.followers.values())
         return following or bool(self._fresh())
 
     async def run(self) -> None:
@@ -187,7 +187,7 @@
         if not all(follower.active for follower in followers.values()):
             return None
         versions = {}
-        if not any(follower.lost for follower in followers.values()):
+        if not any(follower.store_unavailable for follower in followers.values()):
             versions = {name: follower.version for name, follower in followers.items()}
         if None in versions.values():
             return None
@@ -223,7 +223,7 @@
             # A watcher that never got this daemon's greeting does not tell it anything.
             self.channel.send(self.members.local, self.members.near_addresses)
         for follower in self.followers.values():
-            follower.patient = self.members.joined and not foremost
+            follower.slow_retries = self.members.joined and not foremost
         missed_for = 0.0 if self.missed_since is None else self.clock.now() - self.missed_since
         if needed and missed_for < SURE and not foremost and not self._unread():
             return
@@ -269,13 +269,13 @@
         now = self.clock.now()
         for name, follower in self.followers.items():
             short = sentinel and name == SENTINEL_FEED
-            follower.longest_wait = SENTINEL_WAIT if short else LONGEST_WAIT
-            asked_at = follower.asked_at
-            if follower.lost or asked_at is None:
+            follower.poll_timeout = SENTINEL_POLL_TIMEOUT if short else LONG_POLL_TIMEOUT
+            poll_sent_at = follower.poll_sent_at
+            if follower.store_unavailable or poll_sent_at is None:
                 continue
-            overdue = now - asked_at > follower.longest_wait + OVERDUE
-            if asked_at <= self.lost_at or overdue:
-                await follower.ask_anew()
+            overdue = now - poll_sent_at > follower.poll_timeout + OVERDUE
+            if poll_sent_at <= self.lost_at or overdue:
+                await follower.repoll()
 
     def _unread(self) -> bool:
         return any(follower.version is None for follower in self.followers.values())
@@ -321,9 +321,9 @@
                     continue
                 found = await self.reader.read(source.address, name, follower.version)
                 if isinstance(found, Changes):
-                    follower.take_changes(found)
+                    follower.apply_changes(found)
                 else:
-                    follower.take_snapshot(found)
+                    follower.apply_snapshot(found)
         except StoreUnavailable as error:
             self.latest_heartbeats.pop(source.vm, None)
             self.decisions.event("peer-unread", peer=source.vm, why=str(error))
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -126,7 +126,7 @@
         {"table": "servers", "key": "bad", "value": value, "ver": 2},
         {"table": "servers", "key": "i-1", "value": good, "ver": 1},
     ]
-    update = UpstreamFeed(None).replaced(Rows(client._rows({"rows": rows}), 2))
+    update = UpstreamFeed(None).replace_rows(Rows(client._rows({"rows": rows}), 2))
     assert [record.id for record in update.entries] == ["i-1"]
     assert update.unusable == ["bad"]
 
@@ -177,7 +177,7 @@
     latest: dict[str, int] = {}
     for version, (key, value) in enumerate(words, 1):
         stored = StoredRow("servers", "", key, None, version) if value is None else None
-        update = feed.changed(Rows([stored or row(value, key, version)], version))
+        update = feed.update_rows(Rows([stored or row(value, key, version)], version))
         known.update(update.entries, update.removed, version, update.unusable)
         if value is None or update.unusable:
             expected.pop(key, None)
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -55,11 +55,11 @@
         entry = {"address": "1.2.3.4:5", "info": info, "status": status}
         await store.put("servers", "i-1", entry)
         await store.put("servers", "i-2", {"address": 7})
-        found = feed.replaced(await feed.read_all())
+        found = feed.replace_rows(await feed.read_all())
         assert [(u.id, u.draining) for u in found.entries] == [("i-1", True)]
         assert len(found.problems) == 1
         await store.put("servers", "i-1", None)
-        changed = feed.changed(await feed.read_changes(found.version, 1.0))
+        changed = feed.update_rows(await feed.read_changes(found.version, 1.0))
         assert changed.removed == ["i-1"] and changed.entries == []
 
     with_store(test)
@@ -70,7 +70,7 @@
         await store.put("op", "other", {"x": 1})
         await store.put("op", "config", document(3))
         feed = ConfigurationFeed(client)
-        assert [t.version for t in feed.replaced(await feed.read_all()).entries] == [3]
+        assert [t.version for t in feed.replace_rows(await feed.read_all()).entries] == [3]
 
     with_store(test)
 
--- a/sequoiabridge/tests/relay/test_peer_feeds.py
+++ b/sequoiabridge/tests/relay/test_peer_feeds.py
@@ -2,7 +2,7 @@
 
 import json
 
-from ...relay.feeds import REMOVALS_KEPT, Feed, Follower
+from ...relay.feeds import MAX_REMOVALS, Feed, Follower
 from ...relay.peer_feeds import MAX_CACHED_RESPONSES, FeedResponses, decode_rows, encode_rows
 from ...store.rows import Changes, Rows, StoredRow
 from ...timers import ManualClock
@@ -28,8 +28,8 @@
 
 def known():
     feed = Plain()
-    feed.replaced(Rows([row("a", 1), row("b", 2)], 2))
-    feed.changed(Changes([row("c", 5), row("a", 6, None)], 6))
+    feed.replace_rows(Rows([row("a", 1), row("b", 2)], 2))
+    feed.update_rows(Changes([row("c", 5), row("a", 6, None)], 6))
     return feed
 
 
@@ -38,25 +38,25 @@
 
 
 def test_changes_after_a_version_have_new_and_removed_rows():
-    assert keys(known().since(2)) == [("a", True), ("c", False)]
-    assert keys(known().since(6)) == []
+    assert keys(known().changes_since(2)) == [("a", True), ("c", False)]
+    assert keys(known().changes_since(6)) == []
 
 
 def test_what_was_before_the_first_reading_is_not_known():
-    assert known().since(1) is None and Plain().since(0) is None
+    assert known().changes_since(1) is None and Plain().changes_since(0) is None
 
 
 def test_rows_that_a_second_reading_misses_count_as_removed():
     feed = known()
-    feed.replaced(Rows([row("c", 5)], 9))
-    assert keys(feed.since(6)) == [("b", True)]
+    feed.replace_rows(Rows([row("c", 5)], 9))
+    assert keys(feed.changes_since(6)) == [("b", True)]
 
 
 def test_forgotten_removals_make_older_versions_unknown():
     feed = known()
-    for number in range(REMOVALS_KEPT + 5):
-        feed.changed(Changes([row(f"x{number}", 10 + number, None)], 10 + number))
-    assert feed.since(6) is None and feed.since(10 + REMOVALS_KEPT) is not None
+    for number in range(MAX_REMOVALS + 5):
+        feed.update_rows(Changes([row(f"x{number}", 10 + number, None)], 10 + number))
+    assert feed.changes_since(6) is None and feed.changes_since(10 + MAX_REMOVALS) is not None
 
 
 def test_both_kinds_are_read_back_by_another_daemon():
@@ -100,10 +100,10 @@
     follower = follower_of(Plain())
     responses = FeedResponses({"f": follower})
     assert responses.answer("f", None) is None and responses.answer("other", None) is None
-    follower.take_snapshot(Rows([row("a", 1)], 3))
+    follower.apply_snapshot(Rows([row("a", 1)], 3))
     first = responses.answer("f", None)
     assert responses.answer("f", None) is first
-    follower.take_changes(Changes([row("b", 5)], 5))
+    follower.apply_changes(Changes([row("b", 5)], 5))
     assert keys(decode_rows(responses.answer("f", 3)).rows) == [("b", False)]
     assert len(decode_rows(responses.answer("f", None)).rows) == 2
     for after in range(3 * MAX_CACHED_RESPONSES):
--- a/sequoiabridge/tests/relay/test_watchers.py
+++ b/sequoiabridge/tests/relay/test_watchers.py
@@ -3,7 +3,7 @@
 import curio
 
 from ...exceptions import StoreUnavailable
-from ...relay.feeds import LONGEST_WAIT, SENTINEL_WAIT, Follower
+from ...relay.feeds import LONG_POLL_TIMEOUT, SENTINEL_POLL_TIMEOUT, Follower
 from ...relay.members import Members
 from ...relay.messages import Heartbeat, Hello
 from ...relay.watchers import (
@@ -19,7 +19,7 @@
 from ...store.rows import Rows, StoredRow
 from ...timers import ManualClock
 from .fakes import decision_log
-from .test_feeds import Scripted
+from .test_feeds import ScriptedFeed
 
 LINK = 100.0
 FEED = SENTINEL_FEED
@@ -69,7 +69,7 @@
     members.joined = True
     taken = []
     follower = Follower(
-        Scripted(), clock, None, log, taken.append, taken.append, lambda: None, lambda: None
+        ScriptedFeed(), clock, None, log, taken.append, taken.append, lambda: None, lambda: None
     )
     wire = Wire()
     made = Watchers(members, wire, {FEED: follower}, Reader(rows), log, clock, first_start)
@@ -142,7 +142,7 @@
 def test_a_watcher_whose_own_question_hangs_reads_from_another_after_a_while():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[0], clock, rows(9))
-    follower.take_snapshot(rows(4))
+    follower.apply_snapshot(rows(4))
     made.handle_heartbeat(heartbeat(VMS[1], 9))
     step(made)
     assert follower.active and follower.version == 4
@@ -159,10 +159,10 @@
     assert wire.sent == [], "nothing is known yet"
     clock.advance(1.0)
     step(made)
-    follower.take_snapshot(rows(4))
+    follower.apply_snapshot(rows(4))
     made.send_heartbeat()
     assert {address for address, _ in wire.sent} == {f"{vm}:1" for vm in VMS[1:]}
-    follower.lost = True
+    follower.store_unavailable = True
     wire.sent.clear()
     made.send_heartbeat()
     assert len(wire.sent) == len(VMS) - 1
@@ -175,7 +175,7 @@
         made, wire, _, follower = watching(vm, clock)
         made.handle_heartbeat(heartbeat(VMS[0])) if vm != VMS[0] else None
         curio.run(follower.set_active, True)
-        follower.take_snapshot(rows(5))
+        follower.apply_snapshot(rows(5))
         for _ in range(8):
             made.send_heartbeat()
         assert sum(address == "far:1" for address, _ in wire.sent) == expected
@@ -192,7 +192,7 @@
     step(made)
     assert follower.active
     clock.advance(FAR_LOST + 0.1)
-    follower.lost = True
+    follower.store_unavailable = True
     assert not made.is_current
 
 
@@ -251,11 +251,11 @@
     """Let a question wait in the store since `at`; return when those taken back were asked."""
     taken_back = []
 
-    async def ask_anew():
-        taken_back.append(follower.asked_at)
-        follower.asked_at = None
+    async def repoll():
+        taken_back.append(follower.poll_sent_at)
+        follower.poll_sent_at = None
 
-    follower.asked_at, follower.ask_anew = at, ask_anew
+    follower.poll_sent_at, follower.repoll = at, repoll
     return taken_back
 
 
@@ -274,21 +274,23 @@
         if place:
             made.handle_heartbeat(heartbeat(VMS[0]))
         verified(made)
-        assert follower.longest_wait == (LONGEST_WAIT if place else SENTINEL_WAIT)
+        assert follower.poll_timeout == (LONG_POLL_TIMEOUT if place else SENTINEL_POLL_TIMEOUT)
 
 
 def test_two_data_centres_notice_a_silent_store_and_other_feeds_wait_long():
     clock = ManualClock(10.0)
     made, _, _, follower = watching(VMS[0], clock, rows(5))
     made.followers["other"], made.followers[FEED] = follower, watching(VMS[0], clock)[3]
-    for number, expected in enumerate((SENTINEL_WAIT, SENTINEL_WAIT, LONGEST_WAIT)):
+    for number, expected in enumerate(
+        (SENTINEL_POLL_TIMEOUT, SENTINEL_POLL_TIMEOUT, LONG_POLL_TIMEOUT)
+    ):
         if number:
             made.handle_heartbeat(
                 Heartbeat(f"w{number}", f"there-{number}", "w:2", {FEED: 5}, 2 * LINK)
             )
         verified(made)
-        assert made.followers[FEED].longest_wait == expected
-        assert follower.longest_wait == LONGEST_WAIT
+        assert made.followers[FEED].poll_timeout == expected
+        assert follower.poll_timeout == LONG_POLL_TIMEOUT
 
 
 def test_the_second_watcher_asks_anew_when_it_becomes_the_first():
@@ -297,7 +299,7 @@
     made.handle_heartbeat(heartbeat(VMS[0]))
     verified(made)
     taken_back = waiting(follower, clock.now())
-    clock.advance(SENTINEL_WAIT + OVERDUE + 0.1)
+    clock.advance(SENTINEL_POLL_TIMEOUT + OVERDUE + 0.1)
     verified(made)
     assert taken_back == [10.0]
 
@@ -316,15 +318,15 @@
     waiting(follower, clock.now() + 0.1)
     made.handle_heartbeat(Heartbeat(VMS[0], "here", "a:2", {}, LINK))
     verified(made)
-    assert follower.asked_at is not None, "the store has answered since"
+    assert follower.poll_sent_at is not None, "the store has answered since"
 
 
 def test_a_watcher_that_the_store_does_not_answer_says_so_and_is_not_current():
     clock = ManualClock(10.0)
     made, wire, _, follower = watching(VMS[0], clock, rows(5))
     curio.run(follower.set_active, True)
-    follower.take_snapshot(rows(4))
-    follower.lost = True
+    follower.apply_snapshot(rows(4))
+    follower.store_unavailable = True
     for _ in range(8):
         made.send_heartbeat()
     assert {message.versions == {} for _, message in wire.sent} == {True}
@@ -337,7 +339,7 @@
     for place, vm in enumerate(VMS):
         clock = ManualClock(10.0)
         made, _, _, follower = watching(vm, clock, rows(5))
-        follower.take_snapshot(rows(4))
+        follower.apply_snapshot(rows(4))
         for number in range(MOST_TRYING):
             first = hello(f"wide-{number}", link=2 * LINK)
             made.handle_heartbeat(Heartbeat(first.vm, "here", "w:2", {}, first.link))
@@ -354,7 +356,7 @@
     curio.run(follower.set_active, True)
     made._announce()
     assert wire.sent == []
-    follower.take_snapshot(rows(4))
+    follower.apply_snapshot(rows(4))
     made._announce()
     made._announce()
     assert len(wire.sent) == len(VMS) - 1
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -206,7 +206,7 @@
     async def test(scene):
         scene.store.faults.refuse = 10**6
         await scene.store.cut()
-        await scene.until(lambda: scene.gateway.followers["configuration"].lost)
+        await scene.until(lambda: scene.gateway.followers["configuration"].store_unavailable)
         assert (await scene.call(READ)).status == 200
         await scene.store.put("op", "config", document(9, [path("/new/", "idempotent", "reads")]))
         scene.store.faults.refuse = 0
@@ -223,7 +223,7 @@
         scene.store.faults.silent = True
         await scene.store.put("op", "config", document(2))
         await scene.add("r9", "reads")
-        await scene.until(lambda: any(f.lost for f in followers))
+        await scene.until(lambda: any(f.store_unavailable for f in followers))
         scene.store.faults.silent = False
         await scene.until(lambda: scene.gateway.configuration.version == 2)
         await scene.until(lambda: "r9" in scene.gateway.upstreams.by_id)
@@ -369,7 +369,7 @@
             await scene.relist("r0")
             await scene.until(lambda born=born: upstreams["r0"].record.born == born)
             guard._heard_crash(RequestCrashed("print", upstreams["r0"].lifetime))
-        assert "print" in guard.ledger.stopped
+        assert "print" in guard.ledger.blocked_fingerprints
 
     play(test, reads=1)
 
