--- a/sequoiabridge/commands/experiment.py
+++ b/sequoiabridge/commands/experiment.py
@@ -1,4 +1,4 @@
-"""`sequoiactl experiment`: what a change of the decisions is worth in a scene, by the model."""
+"""`sequoiactl experiment`: simulates a scene to compare changes of the balancing decisions."""
 
 import csv
 import sys
@@ -13,7 +13,10 @@
 from .tables import table
 
 MAX_JOBS = 64
+"""Maximum number of parallel processes."""
+
 ORACLE = "oracle"
+"""Strategy whose score is the bound for all others."""
 
 
 def experiment(
@@ -27,21 +30,23 @@
     csv_file: Path | None = None,
     jobs: int = 4,
 ) -> int:
-    """Play a scene with the daemon's own decisions, as they are and changed, and compare.
+    """Simulate a scene with the daemon's decisions, unchanged and changed, and compare the results.
 
     Args:
-        scene: File of the scene; some are in examples/scenes.
-        seeds: Plays of each way to decide.
-        set: Limits to change, as module.NAME=VALUE.
-        without: Mechanisms to switch off, each in a row of its own.
-        players: Other ways to choose, to compare with.
-        plot: Picture of the share in time over time; needs matplotlib.
-        csv_file: File for the figures of each play.
-        jobs: Processes at a time.
+        scene: Scene file; examples are in examples/scenes.
+        seeds: Number of runs of each trial.
+        set: Constants to change, as module.NAME=VALUE.
+        without: Mechanisms to disable, each in a trial of its own.
+        players: Other balancing strategies to compare with.
+        plot: File for a plot of the share in time over time; needs matplotlib.
+        csv_file: File for the results of each run.
+        jobs: Number of parallel processes.
     """
     trials = build_trials(set or [], without or [], players or [])
     if not 1 <= jobs <= MAX_JOBS or seeds < 1:
-        raise ExperimentError(f"jobs are 1 to {MAX_JOBS}, seeds 1 at least: change the number")
+        raise ExperimentError(
+            f"--jobs must be from 1 to {MAX_JOBS}, --seeds at least 1: change the number"
+        )
     loaded_scene = load_scene(scene)
     run_trials(loaded_scene, trials, seeds, jobs, show_progress)
     columns = ["", *REPORTED_FIELDS, "to oracle"]
@@ -54,13 +59,13 @@
 
 
 def build_trials(sets: list[str], without: list[str], players: list[str]) -> list[Trial]:
-    """Return the trials that the arguments ask for; the decisions as they are come first.
+    """Return the trials for the arguments: first the unchanged decisions, last the oracle.
 
     Raises:
-        ExperimentError: Some name is not known; all such names are in the message.
+        ExperimentError: A name is unknown; the message lists all that are.
     """
     unknown = [name for name in players if name not in STRATEGIES]
-    problems = [f"no player {name!r}: name one of {', '.join(STRATEGIES)}" for name in unknown]
+    problems = [f"unknown player {name!r}: use one of {', '.join(STRATEGIES)}" for name in unknown]
     trials = [Trial(OWN)]
     for name, arguments in [
         *((" ".join(sets), (sets, [])) for _ in range(bool(sets))),
@@ -78,7 +83,7 @@
 
 
 def build_rows(trials: list[Trial]) -> list[list[str]]:
-    """Return a row for each trial: its means, and how far its worth is from the oracle's."""
+    """Return a row for each trial: its means, and the oracle's worth minus its own."""
     oracle_worth = trials[-1].mean("worth").value
     return [
         [trial.name, *(str(trial.mean(name)) for name in REPORTED_FIELDS)]
@@ -88,7 +93,7 @@
 
 
 def write_csv(path: Path, trials: list[Trial]) -> None:
-    """Write the figures of each play.
+    """Write the results of each run.
 
     Raises:
         SequoiaError: The file cannot be written.
@@ -103,10 +108,12 @@
                         [trial.name, seed, *(getattr(result, n) for n in REPORTED_FIELDS)]
                     )
     except OSError as error:
-        raise SequoiaError(f"{path} cannot be written ({error}): name another file.") from error
+        raise SequoiaError(
+            f"Cannot write the results to {path} ({error}): choose another file."
+        ) from error
 
 
 def show_progress(done: int, total: int) -> None:
-    """Show how far the plays are, if somebody looks on."""
+    """Show the progress of the runs on standard error if it is a terminal."""
     if sys.stderr.isatty():
-        print(f"\r{done} of {total} plays", end="\n" if done == total else "", file=sys.stderr)
+        print(f"\r{done} of {total} runs", end="\n" if done == total else "", file=sys.stderr)
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -1,4 +1,4 @@
-"""Limits and mechanisms of the decisions that an experiment may set or switch off, by name."""
+"""Constants of `balancing` that an experiment can override, and mechanisms that it can disable."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
     "prior_wait",
     "refusals",
 )
-"""Modules of `balancing` whose named limits can be set."""
+"""Modules of `balancing` whose constants can be overridden."""
 
 NEVER = 1e9
-"""Stands for a time or a factor that nothing reaches."""
+"""A time in seconds, or a factor, that is never reached."""
 
 WITHOUT: dict[str, dict[str, float]] = {
     "asking": {"chooser.MOST_ASKED": 0},
@@ -41,20 +41,25 @@
     "coming-back-at-once": {"refusals.SHORT_RETRY_AFTER": RETRY_AFTER},
     "far-cost": {"chooser.GAIN": -NEVER},
 }
-"""What switches each mechanism off. Sharing of words is a scene's `words_lost`."""
+"""Overrides that disable each mechanism. To disable messages between VMs, set `words_lost` in the
+scene."""
 
 
 class ExperimentError(SequoiaError):
-    """An experiment names something that cannot be changed; the message says what can."""
+    """An argument of an experiment is not valid; the message says which values are."""
 
     exit_code = 2
 
 
 def parse_overrides(sets: list[str], without: list[str]) -> dict[str, float]:
-    """Return the limits to set, by name, from `NAME=VALUE` texts and names of mechanisms.
+    """Return the values of the constants to override, by `module.NAME`.
+
+    Args:
+        sets: Overrides as `module.NAME=VALUE`.
+        without: Mechanisms to disable; keys of `WITHOUT`.
 
     Raises:
-        ExperimentError: Some cannot be; all of them are named.
+        ExperimentError: An argument is not valid; the message lists all that are not.
     """
     overrides: dict[str, float] = {}
     problems: list[str] = []
@@ -69,14 +74,14 @@
         if mechanism in WITHOUT:
             overrides.update(WITHOUT[mechanism])
         else:
-            problems.append(f"no mechanism {mechanism!r}: name one of {', '.join(WITHOUT)}")
+            problems.append(f"unknown mechanism {mechanism!r}: use one of {', '.join(WITHOUT)}")
     if problems:
         raise ExperimentError("; ".join(problems))
     return overrides
 
 
 def tunable_constants() -> dict[str, float]:
-    """Return all limits that can be set, by name."""
+    """Return the values of all constants that can be overridden, by `module.NAME`."""
     constants: dict[str, float] = {}
     for module in MODULES:
         for name, value in vars(_import_balancing_module(module)).items():
@@ -86,7 +91,7 @@
 
 
 def apply_overrides(overrides: dict[str, float]) -> None:
-    """Set limits in this process; a whole number stays one."""
+    """Set constants in this process. A constant of type int stays one if the value is whole."""
     known = tunable_constants()
     for name, value in overrides.items():
         module, _, constant = name.partition(".")
@@ -96,11 +101,11 @@
 
 def _check_override(name: str, value: str) -> str:
     if name not in tunable_constants():
-        return f"no limit {name!r}: name one as module.NAME, such as chooser.HOLD_SHARE"
+        return f"unknown constant {name!r}: use module.NAME, such as chooser.HOLD_SHARE"
     try:
         float(value)
     except ValueError:
-        return f"{name}: {value!r} is no number"
+        return f"{name}: {value!r} is not a number"
     return ""
 
 
--- a/sequoiabridge/experiment/play.py
+++ b/sequoiabridge/experiment/play.py
@@ -1,4 +1,4 @@
-"""Plays a scene once: builds what it describes, lets calls and faults come, returns the figures."""
+"""One simulation run of a scene: builds the model, starts requests and faults, returns results."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from .vm import ModelVm
 
 DRAIN_SECONDS = 12.0
-"""Seconds beyond the last call in which neighbours still change; callers have left by then."""
+"""Time after the last arrival for which the neighbour load keeps changing; all callers have timed
+out by then."""
 
 
 class Simulation:
-    """One play of a scene with one seed and one way to choose upstreams."""
+    """One run of a scene, with a seed and a balancing strategy."""
 
     def __init__(self, scene: Scene, seed: int, strategy: str):
         self.scene = scene
@@ -38,7 +39,7 @@
         self.callers = Callers(self.vms, self.scheduler, Random(f"{seed}/callers"))
 
     def run(self) -> RunResult:
-        """Run to the end."""
+        """Run to the end and return the results."""
         scene = self.scene
         for upstream in self.upstreams:
             upstream.redraw_neighbours(scene.seconds + DRAIN_SECONDS)
@@ -85,7 +86,7 @@
         self.callers.rate_factor /= factor
 
     def _start_upstream_fault(self, fault: Fault) -> None:
-        """Let a fault of upstreams begin, and end in its time."""
+        """Start a fault on a share of the upstreams and schedule its end."""
         name, value, normal = {
             "slow": ("fault_slowdown", fault.factor, 1.0),
             "shed": ("shed_share", fault.factor, 0.0),
@@ -97,5 +98,5 @@
 
 
 def simulate(scene: Scene, seed: int, strategy: str) -> RunResult:
-    """Return the figures of one play."""
+    """Return the results of one run."""
     return Simulation(scene, seed, strategy).run()
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -1,4 +1,4 @@
-"""Ways to choose an upstream: the daemon's own, simple ones to compare with, and an oracle."""
+"""Balancing strategies: the daemon's own, simple baselines to compare with, and an oracle."""
 
 from __future__ import annotations
 
@@ -15,24 +15,30 @@
 from .upstream import ModelUpstream
 
 OWN = "own"
+"""The daemon's own strategy."""
+
 ORACLE_HOLD_FACTOR = 1.6
-"""Times its work before its target up to which the oracle holds a call."""
+"""The oracle holds a call until this multiple of its work time is left before its target."""
 
 ORACLE_POLL_SECONDS = 0.005
-"""Seconds between two looks of the oracle for room."""
+"""Interval at which the oracle checks a held call for free capacity."""
 
 ORACLE_SHED_COST = 3.0
-"""Times its work that the oracle would rather take than be refused for sure."""
+"""Cost of an upstream that rejects all calls, as a multiple of the work time of a call."""
 
 NO_HEDGE_QUEUE = 1
-"""Queue at which no second attempt is made: players that see no queue would make one each time."""
+"""Queue position in the estimates of the baselines. Calls are not hedged to an upstream with a
+queue."""
 
 PROBE_POOL_SIZE = 5
-"""Upstreams that the probe pool asks before each call."""
+"""Number of upstreams that the probe pool probes before each call."""
 
 
 class BaselineChooser(Chooser):
-    """Sends each call at once to the upstream that `pick` names; holds and refuses nothing."""
+    """Sends each call to the upstream that `pick` returns, a random one by default.
+
+    Calls are neither held nor refused.
+    """
 
     models: dict[str, ModelUpstream]
 
@@ -48,10 +54,10 @@
         if not untried:
             return None
         sample = yield from self.shortlist(untried)
-        return self.as_weighed(call, self.pick(call, sample))
+        return self.as_estimate(call, self.pick(call, sample))
 
     def shortlist(self, upstreams: list[Upstream]) -> Steps[list[Upstream]]:
-        """Return the upstreams to choose between."""
+        """Return the upstreams to pick from."""
         yield from ()
         return upstreams
 
@@ -59,14 +65,14 @@
         """Return the upstream to send to."""
         return self.random.choice(upstreams)
 
-    def as_weighed(self, call: Call, upstream: Upstream) -> CostEstimate:
-        """Return an upstream as if it had been weighed."""
+    def as_estimate(self, call: Call, upstream: Upstream) -> CostEstimate:
+        """Return an estimate for an upstream with placeholder values."""
         work = self.costs.work(call)
         return CostEstimate(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE, 0.0, 0.0)
 
 
 class PowerOfTwoChoices(BaselineChooser):
-    """The one of two by chance that has fewer of this VM's own calls."""
+    """Picks the one of two random upstreams with fewer calls of this VM in flight."""
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         pair = self.random.sample(upstreams, min(2, len(upstreams)))
@@ -74,7 +80,7 @@
 
 
 class LeastOutstanding(BaselineChooser):
-    """The one with the fewest of this VM's own calls."""
+    """Picks the upstream with the fewest calls of this VM in flight."""
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         shuffled = self.random.sample(upstreams, len(upstreams))
@@ -82,7 +88,7 @@
 
 
 class ProbePool(BaselineChooser):
-    """Asks some by chance before each call; takes the one with the least load times slowness."""
+    """Probes random upstreams before each call; picks the lowest product of load and slowdown."""
 
     def shortlist(self, upstreams: list[Upstream]) -> Steps[list[Upstream]]:
         sample = self.random.sample(upstreams, min(PROBE_POOL_SIZE, len(upstreams)))
@@ -100,15 +106,19 @@
 
 
 class Oracle(BaselineChooser):
-    """Knows all queues and speeds at the moment: the bound for whoever cannot see the future.
+    """Reads the current queue and speed of all upstreams; a bound for what is possible without
+    knowing the future.
 
-    It never fills an upstream so far that this does less than before. A call that would be late
-    leaves the last room of each upstream to others, and is refused where there is no more.
+    It never fills an upstream beyond its peak throughput. A call that would be late leaves the last
+    free capacity of each upstream to other calls, and is refused if there is no more.
     """
 
     def place(self, call: Call) -> Steps[CostEstimate | None]:
-        """Return the best upstream as soon as one has room; None, to refuse the call, once it
-        could not be in time and would take room from others."""
+        """Return the best upstream as soon as one has capacity.
+
+        Return None, which refuses the call, if it can no longer be in time and no upstream has
+        capacity to spare.
+        """
         latest = call.target_at - ORACLE_HOLD_FACTOR * self.costs.work(call)
         while True:
             best = yield from self.choose(call)
@@ -123,6 +133,7 @@
         return min(upstreams, key=self._cost)
 
     def _has_capacity(self, model: ModelUpstream, spare: int = 0) -> bool:
+        """Return whether one more call and `spare` others get slots without loss of throughput."""
         service, occupied = model.service, len(model.running) + len(model.waiting) + 1 + spare
         if occupied > service.slots:
             return False
@@ -153,7 +164,7 @@
 
 
 def chooser_factory(name: str, models: dict[str, ModelUpstream]) -> Callable[..., Chooser]:
-    """Return what makes a VM's chooser."""
+    """Return a function that creates the chooser of a VM."""
     strategy = STRATEGIES[name]
 
     def make(candidates: Candidates, costs: Costs, vm) -> Chooser:
--- a/sequoiabridge/experiment/scene.py
+++ b/sequoiabridge/experiment/scene.py
@@ -1,4 +1,4 @@
-"""A scene: what there is, how many callers come, and what goes wrong when. Read from TOML."""
+"""Scenes: the simulated system, its load and its faults, read from TOML files."""
 
 from __future__ import annotations
 
@@ -8,27 +8,35 @@
 from ..exceptions import SequoiaError
 
 SECONDS_RANGE = (0.1, 3600.0)
+"""Bounds of times."""
+
 COUNT_RANGE = (1, 1000)
+"""Bounds of numbers of VMs, data centres, upstreams and slots."""
+
 SHARE_RANGE = (0.0, 1.0)
+"""Bounds of shares, latencies and spreads."""
+
 FACTOR_RANGE = (0.0, 1000.0)
+"""Bounds of factors, rates and costs."""
 
 
 class SceneError(SequoiaError):
-    """A scene cannot be played; the message names each fault and its remedy."""
+    """A scene is not valid; the message names each problem and its remedy."""
 
     exit_code = 2
 
 
 class Service:
-    """Upstreams of one kind; times in seconds.
+    """A service and its upstreams; times in seconds.
 
     Attributes:
-        upstreams: How many there are, shared evenly between the data centres.
-        slots: Calls that each runs at a time.
-        queue: Calls that wait at each at most; one more is refused.
-        full_from: Share of slots above which all calls there take `full_factor` times as long.
-        noisy_share, noisy_factor, noisy_every: Neighbours make work take `noisy_factor` times as
-            long for that share of time; that is drawn anew every so many seconds.
+        upstreams: Number of upstreams, spread evenly over the data centres.
+        slots: Number of calls that an upstream runs at a time.
+        queue: Maximum number of calls in the queue of an upstream; further ones are rejected.
+        full_from: Share of busy slots above which all calls at an upstream take `full_factor` times
+            as long.
+        noisy_share, noisy_factor, noisy_every: Share of time in which neighbours prolong work, the
+            factor by which they do, and the mean interval at which this is drawn.
     """
 
     __slots__ = (
@@ -45,13 +53,16 @@
 
 
 class CallKind:
-    """Calls of one kind; times in seconds.
+    """A kind of call; times in seconds.
 
     Attributes:
-        per_second: How many come from all callers.
-        work, spread: Median of the work time, and the spread of its logarithm.
-        worth, late_worth: What an answer earns in time and after.
-        tries: How often a caller comes back after the first time.
+        per_second: Mean arrival rate from all callers.
+        work, spread: Median of the work time, and the standard deviation of its logarithm.
+        target: Latency up to which an answer is in time.
+        deadline: Longest time that a caller waits, its retries included.
+        timeout: Timeout of the route.
+        worth, late_worth: Worth of an answer in time, and of a late one.
+        tries: Maximum number of retries by a caller.
     """
 
     __slots__ = (
@@ -72,38 +83,39 @@
 
 
 class Fault:
-    """Something that goes wrong at `at` seconds for `seconds`.
+    """A fault that begins at the simulated time `at` and lasts for `seconds`.
 
     Attributes:
-        kind: One of `FAULTS`.
-        share: Share of the upstreams, callers or VMs that it concerns.
-        factor: How strong it is.
+        kind: A key of `FAULTS`.
+        share: Share of the upstreams, callers or VMs that it affects.
+        factor: Strength of the fault; see `FAULTS`.
     """
 
     __slots__ = ("kind", "at", "seconds", "share", "factor")
 
 
 FAULTS = {
-    "burst": "`factor` times as many calls",
-    "slow": "a share of the upstreams works `factor` times as long",
-    "shed": "a share of the upstreams refuses `factor` (0 to 1) of the calls",
-    "dark": "a share of the upstreams answers nothing",
-    "abuse": "a share of the callers comes back at once, `factor` times more often",
-    "restart": "a share of the VMs loses all that it knows at `at`",
-    "deaf": "a share of the VMs neither hears nor tells others anything",
+    "burst": "calls arrive at `factor` times the rate",
+    "slow": "work takes `factor` times as long on a share of the upstreams",
+    "shed": "a share of the upstreams rejects `factor` (0 to 1) of the calls",
+    "dark": "a share of the upstreams answers neither calls nor probes",
+    "abuse": "a share of the callers ignores Retry-After and makes `factor` times more retries",
+    "restart": "a share of the VMs restarts at `at` and loses what it learned",
+    "deaf": "a share of the VMs exchanges no messages with peers",
 }
+"""Effect of each kind of fault."""
 
 
 class Scene:
-    """What is played.
+    """A scene to simulate.
 
     Attributes:
-        seconds: How long calls come.
-        vms, data_centres: How many there are.
-        near, far: Seconds one way inside a data centre and between two.
-        words_lost: Share of the words between VMs that are lost.
-        probes_per_second: Health checks that an upstream may get a second from all VMs.
-        far_megabyte: What moving a megabyte between data centres costs, in answers in time.
+        seconds: Duration of the arrivals of calls.
+        vms, data_centres: Number of VMs and of data centres.
+        near, far: One-way latency in seconds, within a data centre and between two.
+        words_lost: Share of the messages between VMs that are lost.
+        probes_per_second: Maximum rate of probes to an upstream, from all VMs together.
+        far_megabyte: Cost of a megabyte between data centres, in answers in time.
     """
 
     __slots__ = (
@@ -162,19 +174,21 @@
         "factor": (1.0, FACTOR_RANGE),
     },
 }
-"""Default (None where a number must be given) and bounds of each number."""
+"""Default, None if the number is required, and bounds of each number."""
 
 
 def load_scene(path: Path) -> Scene:
-    """Return the scene of a file.
+    """Return the scene that a TOML file describes.
 
     Raises:
-        SceneError: It cannot be played; all faults are named.
+        SceneError: The file cannot be read or is not valid; the message names all problems.
     """
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise SceneError(f"{path}: cannot be read ({error}). Name a scene's file.") from error
+        raise SceneError(
+            f"{path}: cannot be read ({error}). Give the path of a scene file."
+        ) from error
     return parse_scene(text, path.stem)
 
 
@@ -182,12 +196,12 @@
     """Return the scene that a TOML text describes.
 
     Raises:
-        SceneError: It cannot be played; all faults are named.
+        SceneError: The text is not valid; the message names all problems.
     """
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise SceneError(f"{name}: no TOML: {error}. Mend that line.") from error
+        raise SceneError(f"{name}: invalid TOML: {error}. Correct that line.") from error
     problems: list[str] = []
     scene = _parse_table(Scene, document, name, problems, {"service", "kind", "fault"})
     scene.name = name
@@ -207,7 +221,7 @@
 ) -> list:
     tables = document.get(key, [])
     if not isinstance(tables, list) or not all(isinstance(table, dict) for table in tables):
-        problems.append(f"{key} is no list of tables: write [[{key}]]")
+        problems.append(f"{key} is not an array of tables: write [[{key}]]")
         return []
     return [
         _parse_table(scene_type, table, f"{key} {index}", problems, other_keys)
@@ -218,10 +232,15 @@
 def _parse_table(
     scene_type: type, table: dict, where: str, problems: list[str], other_keys: set[str]
 ):
-    """Return an object of a kind with its numbers from a table."""
+    """Return an object of `scene_type` with the values of a table; append what is wrong with them.
+
+    Args:
+        where: Names the table in messages.
+        other_keys: Keys that are allowed beside the numbers.
+    """
     parsed, numbers = scene_type(), NUMBER_FIELDS[scene_type]
     for unknown in sorted(set(table) - set(numbers) - other_keys):
-        problems.append(f"{where}: {unknown} is not known: leave it out")
+        problems.append(f"{where}: unknown key {unknown}: remove it")
     for name, (default, (low, high)) in numbers.items():
         value = table.get(name, default)
         if value is None:
@@ -237,12 +256,14 @@
 def _validate(scene: Scene, problems: list[str]) -> None:
     names = [service.name for service in scene.services]
     if not scene.services or not scene.kinds:
-        problems.append("a scene needs a [[service]] and a [[kind]] at least: add them")
+        problems.append("a scene needs at least one [[service]] and one [[kind]]: add them")
     for kind in scene.kinds:
         if kind.service not in names:
-            problems.append(f"kind {kind.name!r}: no service {kind.service!r}: name one of {names}")
+            problems.append(
+                f"kind {kind.name!r}: unknown service {kind.service!r}: use one of {names}"
+            )
         if not isinstance(kind.idempotent, bool):
-            problems.append(f"kind {kind.name!r}: idempotent is true or false")
+            problems.append(f"kind {kind.name!r}: idempotent must be true or false")
     for fault in scene.faults:
         if fault.kind not in FAULTS:
-            problems.append(f"no fault {fault.kind!r}: name one of {', '.join(FAULTS)}")
+            problems.append(f"unknown fault {fault.kind!r}: use one of {', '.join(FAULTS)}")
--- a/sequoiabridge/experiment/upstream.py
+++ b/sequoiabridge/experiment/upstream.py
@@ -1,4 +1,4 @@
-"""A modelled upstream: slots, a queue, neighbours, a knee, faults. Work goes on at its speed."""
+"""Simulated upstream with slots, a queue, noisy neighbours, overload and faults."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from .scheduler import Scheduler
 
 DONE_THRESHOLD_SECONDS = 1e-9
-"""Seconds of work below which a job is done."""
+"""Remaining work up to which a job counts as done; allows for rounding errors."""
 
 
 class Job:
     """A call at an upstream.
 
     Attributes:
-        remaining: Seconds of work that it still needs where nothing slows it.
-        deadline: When the upstream stops work, since its caller has left.
-        on_end: Called with the status of the answer; 0 if it was not run.
+        remaining: Seconds of work left, at full speed.
+        deadline: Simulated time at which its caller gives up and the upstream stops the work.
+        on_end: Called with the status of the answer; 0 if the upstream did not run the call.
     """
 
     __slots__ = ("remaining", "deadline", "on_end")
@@ -32,13 +32,15 @@
 
 
 class ModelUpstream:
-    """One upstream.
+    """One simulated upstream.
 
     Attributes:
-        fault_slowdown: How many times longer work takes there because of a fault.
-        shed_share: Share of the calls that it refuses.
-        unresponsive: It answers nothing.
-        neighbour_slowdown: How many times longer work takes because of neighbours; it reports it.
+        fault_slowdown: Factor by which a fault prolongs work; not in the load report.
+        shed_share: Share of the calls that it rejects.
+        unresponsive: Answers neither calls nor probes.
+        neighbour_slowdown: Factor by which neighbours prolong work; in the load report.
+        advanced_at: Simulated time up to which the work of the running jobs is done.
+        generation: Changes with each new schedule; completions of older ones are ignored.
     """
 
     def __init__(
@@ -59,13 +61,13 @@
         self.generation = 0
 
     def load(self) -> UpstreamLoad:
-        """Return what it says of its load."""
+        """Return its load report."""
         return UpstreamLoad(
             len(self.running), len(self.waiting), self.service.slots, self.neighbour_slowdown
         )
 
     def redraw_neighbours(self, until: float) -> None:
-        """Draw anew whether neighbours slow it; again and again until a time."""
+        """Draw the neighbour load at random, now and then repeatedly until `until`."""
         is_noisy = self.random.random() < self.service.noisy_share
         self._advance()
         self.neighbour_slowdown = self.service.noisy_factor if is_noisy else 1.0
@@ -75,13 +77,13 @@
             self.scheduler.call_later(pause, self.redraw_neighbours, until)
 
     def set_fault(self, name: str, value: float) -> None:
-        """Begin or end a fault."""
+        """Set the attribute `name`, which begins or ends a fault."""
         self._advance()
         setattr(self, name, value)
         self._schedule()
 
     def submit(self, job: Job) -> None:
-        """A call comes."""
+        """Queue a call; reject it if the queue is full or a fault makes the upstream shed calls."""
         if self.unresponsive:
             return
         full = len(self.running) + len(self.waiting) >= self.service.slots + self.service.queue
@@ -93,7 +95,7 @@
         self._schedule()
 
     def cancel(self, job: Job) -> None:
-        """Its caller has closed the connection: the work on it ends."""
+        """Drop a call whose connection was closed."""
         self._advance()
         if job in self.running:
             self.running.remove(job)
@@ -102,7 +104,7 @@
         self._schedule()
 
     def slowdown(self) -> float:
-        """Return how many times longer work takes there now."""
+        """Return the factor by which work takes longer now."""
         full = len(self.running) > self.service.full_from * self.service.slots
         return (
             self.fault_slowdown
@@ -111,7 +113,7 @@
         )
 
     def _advance(self) -> None:
-        """Do the work that was done since it was looked at last."""
+        """Account for the work done since the last update."""
         now = self.scheduler.now()
         done = (now - self.advanced_at) / self.slowdown()
         for job in self.running:
@@ -119,7 +121,7 @@
         self.advanced_at = now
 
     def _schedule(self) -> None:
-        """Fill free slots, and come back when the next job is done."""
+        """Fill free slots from the queue and schedule the next completion."""
         while self.waiting and len(self.running) < self.service.slots:
             job = self.waiting.popleft()
             if job.deadline <= self.scheduler.now():
@@ -134,6 +136,7 @@
             )
 
     def _complete_jobs(self, generation: int) -> None:
+        """Answer the jobs that are done or past their deadline."""
         if generation != self.generation:
             return
         self._advance()
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -1,4 +1,4 @@
-"""A modelled VM: the daemon's decisions, with simulated time and words in place of a network."""
+"""Simulated VM: runs the daemon's decisions on simulated time and a simulated network."""
 
 from __future__ import annotations
 
@@ -25,15 +25,19 @@
 from .upstream import Job, ModelUpstream
 
 RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_FLOOR = 0.2, 10.0, 60.0
-"""Repeats for each call, seconds that they are counted over, and those allowed beside them."""
+"""Retry budget of a service in the fleet: retries for each call, the window that they are counted
+over, and retries in a window on top of these."""
 
 
 class ModelCall(Call):
-    """A call on its way through a VM.
+    """A call on its way through a simulated VM.
 
     Attributes:
-        work: Seconds of work that it needs.
-        on_answer: Called with the status of the answer and the pause that a refusal tells.
+        work: Seconds of work at full speed.
+        on_answer: Called with the status of the answer and the Retry-After of a refusal in seconds.
+        steps: Remaining steps of its dispatch; None before it begins and after it ends.
+        jobs: The job of each attempt that runs.
+        generation: Changes with each step; wake-ups for older ones are ignored.
     """
 
     __slots__ = ("work", "on_answer", "steps", "jobs", "generation")
@@ -48,7 +52,11 @@
 
 
 class StaticUpstreams(UpstreamSource):
-    """The upstreams that a VM knows of: all, from the start."""
+    """A fixed list of all upstreams.
+
+    Args:
+        data_centre: Data centre of the VM; its upstreams are near.
+    """
 
     def __init__(self, models: list[ModelUpstream], data_centre: int):
         self.models = {model.id: model for model in models}
@@ -74,15 +82,16 @@
 
 
 class ModelVm(News):
-    """One VM.
+    """One simulated VM.
 
     Args:
-        make_chooser: Makes its way to choose upstreams.
+        make_chooser: Creates its chooser, anew after each restart.
 
     Attributes:
-        peers: The other VMs of its data centre, which hear of its calls.
-        isolated: It neither hears nor tells anything.
-        probes_sent: Health checks that it sent.
+        peers: The other VMs of its data centre.
+        isolated: Neither sends messages to peers nor receives any.
+        probes_sent: Number of probes sent.
+        dispatches: The current dispatch, last, and those of before each restart.
     """
 
     def __init__(
@@ -108,7 +117,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin with nothing known."""
+        """Discard everything learned and start anew."""
         self.upstreams = StaticUpstreams(self.models, self.data_centre)
         self.allowance = ProbeAllowance(self.scene.probes_per_second)
         self.allowance.vms = self.scene.vms
@@ -125,19 +134,23 @@
         self.dispatches.append(self.dispatch)
 
     def accept(self, call: ModelCall, caller_timeout: float) -> None:
-        """A call has come whose route is known already."""
+        """Start a call, whose route is set already."""
         call.fall_under(call.route, caller_timeout)
         call.has_waited(self.patience.waited(call.route.name, caller_timeout))
         call.steps = self.dispatch.way(call)
         self._advance(call, None)
 
     def abandon(self, call: ModelCall) -> None:
-        """The caller has left."""
+        """End a call, if it still runs, because its caller gave up."""
         if call.steps is not None:
             self._close(call)
 
     def _advance(self, call: ModelCall, result: Try | None) -> None:
-        """Take the next step of a call."""
+        """Run the dispatch of a call up to its next step.
+
+        Args:
+            result: Attempt that came of the last step, if any.
+        """
         call.generation += 1
         try:
             step = call.steps.send(result)
@@ -267,7 +280,7 @@
             self._resume_later(call, 0.0, attempt)
 
     def _cancel(self, call: ModelCall, attempt: Try) -> None:
-        """Close the connection of an attempt: the upstream drops the work."""
+        """Close the connection of an attempt, so that the upstream drops its job."""
         if attempt.ending is not None:
             return
         attempt.ending, attempt.ended_at = Ending.CANCELLED, self.scheduler.now()
@@ -292,10 +305,10 @@
         )
 
     def was_replaced(self, upstream: Upstream) -> None:
-        """Nothing is replaced in the model."""
+        """Do nothing: no address of the model passes to another upstream."""
 
     def _share_with_peers(self, upstream: Upstream, update: Callable[[Upstream], None]) -> None:
-        """Let the others of the data centre know, unless the word is lost."""
+        """Apply an update at each peer after the network latency, unless the message is lost."""
         if self.isolated or not upstream.near:
             return
         for peer in self.peers:
--- a/sequoiabridge/tests/experiment/test_gains.py
+++ b/sequoiabridge/tests/experiment/test_gains.py
@@ -1,7 +1,7 @@
-"""Each gain of the decisions, by replaying the load that it answers on the model.
+"""Each mechanism must improve the score of a simulated load that it is meant for.
 
-A margin over several seeds is asked for, half of what was measured or less; a mechanism that is
-switched off, or turned round, loses it.
+The tests guard against a mechanism that is disabled or inverted. The required margins are at most
+half of those measured.
 """
 
 import pytest
@@ -42,11 +42,11 @@
 seconds = 4.0
 factor = 2.0
 """
-"""A burst on upstreams of four slots that are 1.7 times slower when full."""
+"""A burst on upstreams of four slots, which take 1.7 times as long per call when full."""
 
 
-def worths(scene, seeds=3, **trials):
-    """Return the mean worth of each trial, by name; each is a mechanism to switch off, or None."""
+def mean_worths(scene, seeds=3, **trials):
+    """Return the mean worth by trial; the value of a trial is a mechanism to disable, or None."""
     made = [
         Trial(n, overrides=parse_overrides([], [off] if off else [])) for n, off in trials.items()
     ]
@@ -54,13 +54,13 @@
     return {trial.name: trial.mean("worth").value for trial in made}
 
 
-def test_a_burst_does_not_fill_upstreams_so_far_that_they_do_less():
-    found = worths(CROWDED, own=None, fill_up="others")
-    assert found["own"] > found["fill_up"] + 0.08
+def test_burst_does_not_fill_upstreams_beyond_peak_throughput():
+    worth = mean_worths(CROWDED, own=None, fill_up="others")
+    assert worth["own"] > worth["fill_up"] + 0.08
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_play_repeats(seed):
+def test_runs_with_the_same_seed_are_equal(seed):
     from ...experiment.play import simulate
 
     scene = parse_scene(CROWDED.replace("seconds = 12.0", "seconds = 4.0"), "test")
@@ -68,13 +68,13 @@
     assert (first.worth, first.in_time_by_window) == (again.worth, again.in_time_by_window)
 
 
-REFUSING = CROWDED.replace("seconds = 12.0", "seconds = 10.0").replace(
+SHEDDING = CROWDED.replace("seconds = 12.0", "seconds = 10.0").replace(
     'kind = "burst"\nat = 3.0\nseconds = 4.0\nfactor = 2.0',
     'kind = "shed"\nat = 1.0\nseconds = 8.0\nfactor = 0.55',
 )
-"""All upstreams refuse 55 calls in 100 for no reason, while they have places."""
+"""All upstreams reject 55% of the calls by fault, although they have free slots."""
 
 
-def test_who_was_refused_by_fault_alone_is_in_time_more_often_if_told_to_come_at_once():
-    found = worths(REFUSING, 8, own=None, later="coming-back-at-once")
-    assert found["own"] > found["later"] + 0.01
+def test_short_retry_after_gains_worth_if_upstreams_reject_by_fault():
+    worth = mean_worths(SHEDDING, 8, own=None, later="coming-back-at-once")
+    assert worth["own"] > worth["later"] + 0.01
--- a/sequoiabridge/tests/experiment/test_model.py
+++ b/sequoiabridge/tests/experiment/test_model.py
@@ -1,4 +1,4 @@
-"""The model itself: upstreams work at their speed, scenes and names are checked, words travel."""
+"""The simulation: upstreams, messages between VMs, and checks of scenes and arguments."""
 
 from pathlib import Path
 from random import Random
@@ -19,7 +19,7 @@
 SCENES = Path(__file__).parents[3] / "examples" / "scenes"
 
 
-def upstream(slots=2, queue=1, full_factor=2.0):
+def make_upstream(slots=2, queue=1, full_factor=2.0):
     scheduler = Scheduler()
     scene = parse_scene(CROWDED, "test")
     (service,) = scene.services
@@ -27,52 +27,58 @@
     return ModelUpstream("u", 0, service, scheduler, Random(1)), scheduler
 
 
-def jobs(model, scheduler, works, deadline=99.0):
-    """Send jobs at once; return when each ended, and how."""
+def run_jobs(model, scheduler, works, deadline=99.0):
+    """Submit jobs at the same time; return when each ended, in seconds, and its status."""
     ended = {}
 
-    def over(number):
+    def on_end(number):
         return lambda status: ended.update({number: (round(scheduler.now(), 6), status)})
 
     for number, work in enumerate(works):
-        model.submit(Job(work, deadline, over(number)))
+        model.submit(Job(work, deadline, on_end(number)))
     scheduler.run()
     return ended
 
 
-def test_calls_run_side_by_side_and_a_full_upstream_is_slower_for_all():
-    model, scheduler = upstream()
-    assert jobs(model, scheduler, [1.0]) == {0: (1.0, 200)}
-    model, scheduler = upstream()
-    assert jobs(model, scheduler, [1.0, 1.0]) == {0: (2.0, 200), 1: (2.0, 200)}
-    model, scheduler = upstream()
-    # Together until the first is done after 1 s, then the other one at full speed.
-    assert jobs(model, scheduler, [0.5, 1.0]) == {0: (1.0, 200), 1: (1.5, 200)}
+def test_full_upstream_is_slower_for_all_running_calls():
+    model, scheduler = make_upstream()
+    assert run_jobs(model, scheduler, [1.0]) == {0: (1.0, 200)}
+    model, scheduler = make_upstream()
+    assert run_jobs(model, scheduler, [1.0, 1.0]) == {0: (2.0, 200), 1: (2.0, 200)}
+    model, scheduler = make_upstream()
+    # Both share the upstream until the first ends at 1 s; the other then runs at full speed.
+    assert run_jobs(model, scheduler, [0.5, 1.0]) == {0: (1.0, 200), 1: (1.5, 200)}
 
 
-def test_one_more_than_slots_and_queue_is_refused_and_a_dropped_one_frees_its_slot():
-    model, scheduler = upstream(full_factor=1.0)
-    ended = jobs(model, scheduler, [1.0, 1.0, 1.0, 1.0])
+def test_full_queue_rejects_calls_and_cancelled_call_frees_its_slot():
+    model, scheduler = make_upstream(full_factor=1.0)
+    ended = run_jobs(model, scheduler, [1.0, 1.0, 1.0, 1.0])
     assert ended == {3: (0.0, 0), 0: (1.0, 200), 1: (1.0, 200), 2: (2.0, 200)}
-    model, scheduler = upstream(slots=1, full_factor=1.0)
+    model, scheduler = make_upstream(slots=1, full_factor=1.0)
     first = Job(9.0, 99.0, lambda status: None)
     model.submit(first)
     scheduler.call_later(1.0, model.cancel, first)
-    assert jobs(model, scheduler, [1.0]) == {0: (2.0, 200)}
+    assert run_jobs(model, scheduler, [1.0]) == {0: (2.0, 200)}
 
 
-def test_neighbours_and_faults_change_the_speed_of_work_that_has_begun():
-    model, scheduler = upstream(slots=4, full_factor=1.0)
+def test_fault_changes_the_speed_of_running_work():
+    model, scheduler = make_upstream(slots=4, full_factor=1.0)
     scheduler.call_later(0.5, model.set_fault, "fault_slowdown", 4.0)
-    assert jobs(model, scheduler, [1.0]) == {0: (2.5, 200)}
+    assert run_jobs(model, scheduler, [1.0]) == {0: (2.5, 200)}
 
 
-def test_all_that_is_wrong_with_a_scene_is_said_at_once():
+def test_all_problems_of_a_scene_are_reported_together():
     text = "vms = 0\nmoon = 1\n[[service]]\nname = 's'\n[[kind]]\nname = 'k'\nservice = 'x'\n"
-    with pytest.raises(SceneError) as found:
+    with pytest.raises(SceneError) as raised:
         parse_scene(text + "[[fault]]\nkind = 'rain'\nat = 1\n", "bad")
-    for part in ("vms is 0", "moon", "upstreams is missing", "no service 'x'", "no fault 'rain'"):
-        assert part in str(found.value)
+    for part in (
+        "vms is 0",
+        "moon",
+        "upstreams is missing",
+        "unknown service 'x'",
+        "unknown fault 'rain'",
+    ):
+        assert part in str(raised.value)
     with pytest.raises(SceneError):
         parse_scene("= 1", "bad")
     with pytest.raises(SceneError):
@@ -80,21 +86,21 @@
 
 
 @pytest.mark.parametrize("path", sorted(SCENES.glob("*.toml")), ids=lambda path: path.stem)
-def test_the_scenes_that_ship_can_be_read(path):
+def test_example_scenes_are_valid(path):
     assert load_scene(path).kinds
 
 
-def test_limits_and_mechanisms_are_known_by_name_and_all_mistakes_are_said_at_once():
+def test_all_invalid_overrides_are_reported_together():
     assert parse_overrides(["chooser.HOLD_SHARE=0.5"], []) == {"chooser.HOLD_SHARE": 0.5}
-    with pytest.raises(ExperimentError) as found:
+    with pytest.raises(ExperimentError) as raised:
         parse_overrides(["no.SUCH=1", "chooser.HOLD_SHARE=long"], ["magic"])
     for part in ("no.SUCH", "'long'", "'magic'"):
-        assert part in str(found.value)
+        assert part in str(raised.value)
     known = tunable_constants()
     assert all(name in known for changes in WITHOUT.values() for name in changes)
 
 
-def test_what_is_set_is_set_in_the_decisions_themselves(monkeypatch):
+def test_overrides_change_the_constants_of_balancing(monkeypatch):
     from ...balancing import chooser
 
     monkeypatch.setattr(chooser, "HOLD_SHARE", HOLD_SHARE)
@@ -102,7 +108,7 @@
     assert chooser.HOLD_SHARE == 0.5
 
 
-def test_peers_of_a_data_centre_hear_of_calls_and_a_deaf_vm_does_not():
+def test_messages_reach_peers_of_the_data_centre_but_no_isolated_vm():
     simulation = Simulation(parse_scene(CROWDED, "test"), 1, "own")
     sender, receiver = simulation.vms[0], simulation.vms[2]
     near = next(u for u in sender.upstreams.by_id.values() if u.near)
@@ -116,18 +122,18 @@
     assert receiver.upstreams.by_id[near.id].evidence.sent_since == 1
 
 
-def test_an_upstream_that_fell_silent_is_not_asked_again_before_its_pause_is_over():
+def test_unresponsive_upstream_is_not_probed_again_before_its_backoff_ends():
     simulation = Simulation(parse_scene(CROWDED, "test"), 1, "own")
     vm, scheduler = simulation.vms[0], simulation.scheduler
-    silent = next(iter(vm.upstreams.by_id.values()))
-    vm.upstreams.models[silent.id].unresponsive = True
-    scheduler.call_later(5.0, vm._probe, silent, None)
+    unresponsive = next(iter(vm.upstreams.by_id.values()))
+    vm.upstreams.models[unresponsive.id].unresponsive = True
+    scheduler.call_later(5.0, vm._probe, unresponsive, None)
     scheduler.run()
-    assert scheduler.now() > 5.0 and silent.evidence.is_silent(scheduler.now())
-    assert not silent.evidence.may_be_asked(scheduler.now())
+    assert scheduler.now() > 5.0 and unresponsive.evidence.is_silent(scheduler.now())
+    assert not unresponsive.evidence.may_be_asked(scheduler.now())
 
 
-def test_figures_weigh_what_was_earned():
+def test_results_count_requests_by_outcome():
     good, late, lost = (RequestRecord("k", float(n), 1.0, 0.5) for n in range(3))
     good.mark_served(0.4, 0.1)
     late.mark_served(2.0, 0.1)
@@ -137,15 +143,24 @@
     assert str(Mean([1.0, 3.0])) == "2.000 ±1.960"
 
 
-def test_the_tool_plays_a_scene_and_names_each_mistake(tmp_path, capsys):
+def test_command_runs_a_scene_and_names_each_invalid_argument(tmp_path, capsys):
     scene = tmp_path / "short.toml"
     scene.write_text(CROWDED.replace("seconds = 12.0", "seconds = 1.0"))
-    table = tmp_path / "figures.csv"
-    arguments = ["experiment", str(scene), "--seeds", "2", "--jobs", "2", "--csv-file", str(table)]
+    csv_file = tmp_path / "figures.csv"
+    arguments = [
+        "experiment",
+        str(scene),
+        "--seeds",
+        "2",
+        "--jobs",
+        "2",
+        "--csv-file",
+        str(csv_file),
+    ]
     assert main([*arguments, "--without", "holding"]) == 0
-    shown = capsys.readouterr().out
-    assert "without holding" in shown and "oracle" in shown
-    assert len(table.read_text().splitlines()) == 1 + 3 * 2
+    output = capsys.readouterr().out
+    assert "without holding" in output and "oracle" in output
+    assert len(csv_file.read_text().splitlines()) == 1 + 3 * 2
     assert main([*arguments, "--without", "magic", "--players", "nobody"]) == 2
-    told = capsys.readouterr().err
-    assert "magic" in told and "nobody" in told
+    errors = capsys.readouterr().err
+    assert "magic" in errors and "nobody" in errors
