--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -4,7 +4,7 @@
 
 from abc import ABC, abstractmethod
 
-from .call import Call, Ending, Try
+from .call import Call, CallAttempt, Ending
 from .load import UpstreamLoad
 from .route_stats import Costs
 from .upstream import Upstream
@@ -42,7 +42,7 @@
         self.news = news
         self.endings: dict[str, int] = {}
 
-    def ended(self, call: Call, attempt: Try) -> None:
+    def ended(self, call: Call, attempt: CallAttempt) -> None:
         """Take in one attempt."""
         ending, now = attempt.ending, attempt.ended_at
         self.endings[ending.value] = self.endings.get(ending.value, 0) + 1
@@ -53,7 +53,7 @@
         usual = estimate.expected_duration / evidence.pace_now(now)
         if attempt.load is not None:
             self.news.reported(upstream, attempt.load)
-        if ending is Ending.ANSWERED and attempt.is_good:
+        if ending is Ending.ANSWERED and attempt.is_success:
             evidence.succeeded(now)
             if not met_neighbour(attempt):
                 evidence.measured(seconds / usual, now)
@@ -63,13 +63,13 @@
                 evidence.measured(seconds / usual, now)
         elif ending is Ending.RESTARTED:
             return
-        elif attempt.other_upstream:
+        elif attempt.wrong_upstream:
             self.news.was_replaced(upstream)
         elif attempt.error is None:
             self.news.failed(upstream)
 
 
-def met_neighbour(attempt: Try) -> bool:
+def met_neighbour(attempt: CallAttempt) -> bool:
     """Return whether other work slowed the upstream down after the call was sent there."""
     load = attempt.load
     return load is not None and load.slowdown > NEIGHBOUR * attempt.estimate.slowdown
--- a/sequoiabridge/balancing/call.py
+++ b/sequoiabridge/balancing/call.py
@@ -10,7 +10,7 @@
 from .routes import Route
 from .upstream import Upstream
 
-FIRST_FAILURE = 500
+MIN_FAILURE_STATUS = 500
 """Status from which an answer is a failure."""
 
 
@@ -34,7 +34,7 @@
 PROVEN_NOT_RUN = frozenset({Ending.NOT_SENT, Ending.NOT_RUN})
 
 
-class Try:
+class CallAttempt:
     """One attempt at a call, as the decisions see it; times in seconds on the daemon's clock.
 
     Attributes:
@@ -61,10 +61,10 @@
         "error",
         "status",
         "size",
-        "is_long",
+        "is_streamed",
         "load",
-        "other_upstream",
-        "check_at",
+        "wrong_upstream",
+        "next_check_at",
     )
 
     def __init__(self, estimate: CostEstimate, started: float):
@@ -77,10 +77,10 @@
         self.error: SequoiaError | None = None
         self.status = 0
         self.size = 0
-        self.is_long = False
+        self.is_streamed = False
         self.load: UpstreamLoad | None = None
-        self.other_upstream = False
-        self.check_at = 0.0
+        self.wrong_upstream = False
+        self.next_check_at = 0.0
 
     @property
     def upstream(self) -> Upstream:
@@ -93,14 +93,14 @@
         return self.sent and self.ending not in PROVEN_NOT_RUN
 
     @property
-    def is_good(self) -> bool:
+    def is_success(self) -> bool:
         """Return whether the upstream's answer is no failure."""
-        return 0 < self.status < FIRST_FAILURE
+        return 0 < self.status < MIN_FAILURE_STATUS
 
     @property
     def is_final(self) -> bool:
         """Return whether its answer is the call's, whatever other upstreams might say."""
-        return self.is_good or (self.status > 0 and self.is_long)
+        return self.is_success or (self.status > 0 and self.is_streamed)
 
 
 class Call:
@@ -126,15 +126,15 @@
     __slots__ = (
         "arrived",
         "deadline",
-        "waited",
-        "target_at",
+        "prior_wait",
+        "late_at",
         "route",
         "service",
         "length",
         "replayable",
         "body_seconds",
-        "tries",
-        "open",
+        "attempts",
+        "open_attempts",
         "fallback",
         "considered",
         "note",
@@ -143,50 +143,50 @@
     def __init__(self, arrived: float):
         self.arrived = arrived
         self.deadline = arrived
-        self.waited = 0.0
-        self.target_at = arrived
+        self.prior_wait = 0.0
+        self.late_at = arrived
         self.route: Route | None = None
         self.service = ""
         self.length = 0
         self.replayable = True
         self.body_seconds = 0.0
-        self.tries: list[Try] = []
-        self.open: list[Try] = []
-        self.fallback: Try | None = None
+        self.attempts: list[CallAttempt] = []
+        self.open_attempts: list[CallAttempt] = []
+        self.fallback: CallAttempt | None = None
         self.considered: list[CostEstimate] = []
         self.note = ""
 
-    def fall_under(self, route: Route, patience: float | None) -> None:
+    def apply_route(self, route: Route, caller_timeout: float | None) -> None:
         """Take in the route's terms, and the seconds that the caller waits if it told them."""
         self.route = route
-        longest = route.timeout
-        if patience is not None:
-            longest = min(longest, patience)
-        self.deadline = self.arrived + longest
-        self.target_at = self.arrived + min(route.target_latency, longest)
+        timeout = route.timeout
+        if caller_timeout is not None:
+            timeout = min(timeout, caller_timeout)
+        self.deadline = self.arrived + timeout
+        self.late_at = self.arrived + min(route.target_latency, timeout)
 
-    def has_waited(self, seconds: float) -> None:
+    def add_prior_wait(self, seconds: float) -> None:
         """Take in that the caller has waited before: its answer is late sooner."""
-        self.waited = seconds
-        self.target_at -= seconds
+        self.prior_wait = seconds
+        self.late_at -= seconds
 
     @property
-    def may_have_run(self) -> int:
+    def possible_runs(self) -> int:
         """Return how many upstreams may have run it, or may be running it."""
-        return sum(one.may_have_run for one in self.tries)
+        return sum(one.may_have_run for one in self.attempts)
 
     @property
-    def may_run_at(self) -> int:
+    def possible_or_pending_runs(self) -> int:
         """Return how many upstreams may have run it or may yet, those still being connected to
         included."""
-        return sum(one.may_have_run or one.ending is None for one in self.tries)
+        return sum(one.may_have_run or one.ending is None for one in self.attempts)
 
     @property
-    def reached(self) -> bool:
+    def was_sent(self) -> bool:
         """Return whether it has reached an upstream at all, so that another send is a repeat."""
-        return any(one.sent for one in self.tries)
+        return any(one.sent for one in self.attempts)
 
     @property
-    def tried(self) -> set[str]:
+    def tried_ids(self) -> set[str]:
         """Return the ids of the upstreams that it was sent to."""
-        return {one.upstream.id for one in self.tries}
+        return {one.upstream.id for one in self.attempts}
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -66,7 +66,7 @@
         until = call.arrived + call.body_seconds + HOLD_SHARE * call.route.target_latency
         best = yield from self.choose(call)
         full = best is not None and self.lacks_capacity(call, best)
-        if not call.waited:
+        if not call.prior_wait:
             self.overload.record(call.service, full, self.clock.now())
         while full:
             if self.clock.now() >= until:
@@ -83,7 +83,7 @@
     def choose(self, call: Call) -> Steps[CostEstimate | None]:
         """Return the best upstream that the call was not sent to yet, None if there is none."""
         neighbours = self.candidates.of_service(call.service)
-        tried = call.tried
+        tried = call.tried_ids
         near = [upstream for upstream in neighbours.near if upstream.id not in tried]
         far = [upstream for upstream in neighbours.far if upstream.id not in tried]
         yield from self._ask(near)
@@ -110,7 +110,7 @@
     def _needs(self, call: Call) -> CallRequirements:
         return CallRequirements(
             self.costs.work(call),
-            call.target_at - self.clock.now(),
+            call.late_at - self.clock.now(),
             call.route.target_latency,
             self.costs.far_cost(call),
             call.deadline - self.clock.now(),
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -10,7 +10,7 @@
 
 from ..timers import Clock
 from .attempt_recorder import Learning
-from .call import Call, Try
+from .call import Call, CallAttempt
 from .chooser import Chooser
 from .cost_model import CostEstimate
 from .hedging import Hedging
@@ -58,7 +58,7 @@
         self.hedges = 0
         self.retries = 0
 
-    def way(self, call: Call) -> Steps[Try]:
+    def way(self, call: Call) -> Steps[CallAttempt]:
         """Return the attempt whose answer is the call's.
 
         Raises:
@@ -75,7 +75,7 @@
             if attempt is None:
                 yield from self._look(call)
                 continue
-            call.open.remove(attempt)
+            call.open_attempts.remove(attempt)
             self.learning.ended(call, attempt)
             if attempt.is_final:
                 return attempt
@@ -83,7 +83,7 @@
                 call.fallback = attempt
             if attempt.error is not None:
                 raise attempt.error
-            if call.open or (yield from self._again(call)):
+            if call.open_attempts or (yield from self._again(call)):
                 continue
             if call.fallback is not None:
                 return call.fallback
@@ -98,8 +98,8 @@
 
     def _start(self, call: Call, estimate: CostEstimate) -> Steps[None]:
         attempt = yield Send(estimate)
-        call.tries.append(attempt)
-        call.open.append(attempt)
+        call.attempts.append(attempt)
+        call.open_attempts.append(attempt)
         self.hedging.begin(call, attempt)
 
     def _again(self, call: Call) -> Steps[bool]:
@@ -110,7 +110,7 @@
         if estimate is None or self.chooser.lacks_capacity(call, estimate):
             call.note = "no other upstream has a place"
             return False
-        if call.reached and not self._budget(call).take(self.clock.now()):
+        if call.was_sent and not self._budget(call).take(self.clock.now()):
             call.note = "the budget of repeats is spent"
             return False
         self.retries += 1
@@ -118,16 +118,16 @@
         return True
 
     def _may_repeat(self, call: Call) -> bool:
-        ran = call.may_have_run
+        ran = call.possible_runs
         if ran and not call.route.idempotent:
             call.note = "it may have run"
-        elif ran >= call.route.max_attempts or len(call.tries) >= MOST_SENDS:
+        elif ran >= call.route.max_attempts or len(call.attempts) >= MOST_SENDS:
             call.note = "no attempt left"
-        elif not call.replayable and call.reached:
+        elif not call.replayable and call.was_sent:
             call.note = "its body has been passed on"
         elif call.deadline - self.clock.now() < LEAST_TIME:
             call.note = "no time left"
-        elif call.reached and not self._budget(call).has(self.clock.now()):
+        elif call.was_sent and not self._budget(call).has(self.clock.now()):
             call.note = "the budget of repeats is spent"
         else:
             return True
@@ -135,13 +135,13 @@
 
     def _look(self, call: Call) -> Steps[None]:
         """See how open attempts do; let another upstream try too if they do badly."""
-        for attempt in list(call.open):
+        for attempt in list(call.open_attempts):
             if attempt.upstream.is_over:
                 yield CancelAttempt(attempt)
-            elif attempt.check_at <= self.clock.now():
+            elif attempt.next_check_at <= self.clock.now():
                 yield from self._hedge(call, attempt)
 
-    def _hedge(self, call: Call, attempt: Try) -> Steps[None]:
+    def _hedge(self, call: Call, attempt: CallAttempt) -> Steps[None]:
         budget = self._budget(call)
         if not budget.has(self.clock.now()):
             self.hedging.look_later(call, attempt)
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from ..timers import Clock
-from .call import Call, Try
+from .call import Call, CallAttempt
 from .chooser import Chooser
 from .cost_model import CostEstimate
 from .route_stats import Costs
@@ -42,23 +42,23 @@
         self.costs = costs
         self.clock = clock
 
-    def begin(self, call: Call, attempt: Try) -> None:
+    def begin(self, call: Call, attempt: CallAttempt) -> None:
         """Set when a new attempt is looked at first."""
         target = call.route.target_latency
         wait = max(FIRST_LOOK * attempt.estimate.expected_duration, LEAST_LOOK * target)
-        attempt.check_at = attempt.started + min(wait, target)
+        attempt.next_check_at = attempt.started + min(wait, target)
 
     def next_look(self, call: Call) -> float:
         """Return when to look at the running attempts; the deadline if no second one is allowed."""
         if not self._allowed(call):
             return call.deadline
-        return min((attempt.check_at for attempt in call.open), default=call.deadline)
+        return min((attempt.next_check_at for attempt in call.open_attempts), default=call.deadline)
 
-    def look_later(self, call: Call, attempt: Try) -> None:
+    def look_later(self, call: Call, attempt: CallAttempt) -> None:
         """Set when an attempt is looked at again."""
-        attempt.check_at = self.clock.now() + LOOK_EVERY * call.route.target_latency
+        attempt.next_check_at = self.clock.now() + LOOK_EVERY * call.route.target_latency
 
-    def better(self, call: Call, attempt: Try) -> Steps[CostEstimate | None]:
+    def better(self, call: Call, attempt: CallAttempt) -> Steps[CostEstimate | None]:
         """Return an upstream that should try the call too, None if the first does well enough."""
         self.look_later(call, attempt)
         if not self._allowed(call):
@@ -82,9 +82,9 @@
 
     def _allowed(self, call: Call) -> bool:
         repeatable = call.route.idempotent and call.replayable
-        return repeatable and call.may_run_at < call.route.max_attempts
+        return repeatable and call.possible_or_pending_runs < call.route.max_attempts
 
-    def _time_left(self, call: Call, attempt: Try) -> float:
+    def _time_left(self, call: Call, attempt: CallAttempt) -> float:
         """Return the seconds that an attempt is expected to need still; infinite if it is stuck."""
         evidence, now = attempt.upstream.evidence, self.clock.now()
         if evidence.is_silent(now):
--- a/sequoiabridge/balancing/refusals.py
+++ b/sequoiabridge/balancing/refusals.py
@@ -28,7 +28,7 @@
 
 def timed_out(call: Call) -> Refusal:
     """Return the refusal of a call whose time is up."""
-    if call.may_have_run:
+    if call.possible_runs:
         message = "No upstream answered in time. Whether the request ran is not known."
         return Refusal(504, Outcome.UNKNOWN, Reason.TIMEOUT, message)
     message = "No upstream took the request in time; it did not run. Come back later."
@@ -41,7 +41,7 @@
     Args:
         crowding: Share of new calls of the service that lately found no place.
     """
-    if call.may_have_run:
+    if call.possible_runs:
         message = f"The upstream gave no usable answer ({why}). The request may have run."
         return Refusal(502, Outcome.UNKNOWN, Reason.UPSTREAM_FAILED, message)
     message = "No upstream took the request; it did not run. Come back later."
@@ -58,6 +58,6 @@
 def internal_error(call: Call) -> Refusal:
     """Return the refusal that stands for a fault of the daemon's own."""
     message = "The daemon failed at this request. Tell its operator the request's id."
-    if call.may_have_run:
+    if call.possible_runs:
         return Refusal(500, Outcome.UNKNOWN, Reason.INTERNAL, message)
     return Refusal(503, Outcome.NOT_RUN, Reason.INTERNAL, message, RETRY_AFTER)
--- a/sequoiabridge/balancing/route_stats.py
+++ b/sequoiabridge/balancing/route_stats.py
@@ -4,7 +4,7 @@
 
 from math import exp, log
 
-from .call import Call, Try
+from .call import Call, CallAttempt
 
 FIRST_WORK_SHARE = 0.35
 """Share of its target latency that a call's work is taken to need before any was measured; the
@@ -57,7 +57,7 @@
         size = call.length + self._of(call).answer
         return size / MEGABYTE * self.far_megabyte
 
-    def measured(self, call: Call, attempt: Try) -> None:
+    def measured(self, call: Call, attempt: CallAttempt) -> None:
         """An attempt at a call was answered well.
 
         Its work is learned only if it had a slot at once on an upstream that nothing slowed.
--- a/sequoiabridge/balancing/steps.py
+++ b/sequoiabridge/balancing/steps.py
@@ -8,7 +8,7 @@
 from collections.abc import Generator, Sequence
 from typing import TypeVar
 
-from .call import Try
+from .call import CallAttempt
 from .cost_model import CostEstimate
 from .upstream import Upstream
 
@@ -67,12 +67,12 @@
 
     __slots__ = ("attempt",)
 
-    def __init__(self, attempt: Try):
+    def __init__(self, attempt: CallAttempt):
         self.attempt = attempt
 
 
 Step = Probe | BackgroundProbe | Sleep | Send | Wait | CancelAttempt
 
 Result = TypeVar("Result")
-Steps = Generator[Step, Try | None, Result]
+Steps = Generator[Step, CallAttempt | None, Result]
 """A decision that returns a `Result` after some steps."""
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -50,7 +50,7 @@
 
     def choose(self, call: Call) -> Steps[CostEstimate | None]:
         upstreams = self.candidates.upstreams.of_service(call.service)
-        untried = [upstream for upstream in upstreams if upstream.id not in call.tried]
+        untried = [upstream for upstream in upstreams if upstream.id not in call.tried_ids]
         if not untried:
             return None
         sample = yield from self.shortlist(untried)
@@ -119,7 +119,7 @@
         Return None, which refuses the call, if it can no longer be in time and no upstream has
         capacity to spare.
         """
-        latest = call.target_at - ORACLE_HOLD_FACTOR * self.costs.work(call)
+        latest = call.late_at - ORACLE_HOLD_FACTOR * self.costs.work(call)
         while True:
             best = yield from self.choose(call)
             is_late = self.clock.now() > latest
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from ..balancing.attempt_recorder import Learning, News
-from ..balancing.call import Call, Ending, Try
+from ..balancing.call import Call, CallAttempt, Ending
 from ..balancing.candidates import Candidates, UpstreamSource
 from ..balancing.chooser import Chooser
 from ..balancing.dispatch import Dispatch
@@ -47,7 +47,7 @@
         self.work = work
         self.on_answer = on_answer
         self.steps = None
-        self.jobs: dict[Try, Job] = {}
+        self.jobs: dict[CallAttempt, Job] = {}
         self.generation = 0
 
 
@@ -135,8 +135,8 @@
 
     def accept(self, call: ModelCall, caller_timeout: float) -> None:
         """Start a call, whose route is set already."""
-        call.fall_under(call.route, caller_timeout)
-        call.has_waited(self.patience.waited(call.route.name, caller_timeout))
+        call.apply_route(call.route, caller_timeout)
+        call.add_prior_wait(self.patience.waited(call.route.name, caller_timeout))
         call.steps = self.dispatch.way(call)
         self._advance(call, None)
 
@@ -145,7 +145,7 @@
         if call.steps is not None:
             self._close(call)
 
-    def _advance(self, call: ModelCall, result: Try | None) -> None:
+    def _advance(self, call: ModelCall, result: CallAttempt | None) -> None:
         """Run the dispatch of a call up to its next step.
 
         Args:
@@ -168,7 +168,7 @@
     def _close(self, call: ModelCall) -> None:
         call.steps = None
         call.generation += 1
-        for attempt in call.open:
+        for attempt in call.open_attempts:
             self._cancel(call, attempt)
             if attempt.ending is Ending.CANCELLED:
                 self.dispatch.learning.ended(call, attempt)
@@ -189,15 +189,15 @@
         else:
             self._wait(call, step.until)
 
-    def _resume_later(self, call: ModelCall, seconds: float, result: Try | None) -> None:
+    def _resume_later(self, call: ModelCall, seconds: float, result: CallAttempt | None) -> None:
         self.scheduler.call_later(seconds, self._resume, call, call.generation, result)
 
-    def _resume(self, call: ModelCall, generation: int, result: Try | None) -> None:
+    def _resume(self, call: ModelCall, generation: int, result: CallAttempt | None) -> None:
         if call.generation == generation and call.steps is not None:
             self._advance(call, result)
 
     def _wait(self, call: ModelCall, until: float) -> None:
-        ended = [attempt for attempt in call.open if attempt.ending is not None]
+        ended = [attempt for attempt in call.open_attempts if attempt.ending is not None]
         if ended:
             self._resume_later(call, 0.0, ended[0])
         else:
@@ -243,9 +243,9 @@
     def _probe_timed_out(self, upstream: Upstream) -> None:
         upstream.evidence.ignored_probe(self.scheduler.now())
 
-    def _send(self, call: ModelCall, step: Send) -> Try:
+    def _send(self, call: ModelCall, step: Send) -> CallAttempt:
         upstream, now = step.estimate.upstream, self.scheduler.now()
-        attempt = Try(step.estimate, now)
+        attempt = CallAttempt(step.estimate, now)
         attempt.sent = True
         open_call = OpenCall(now, step.estimate.expected_duration)
         upstream.evidence.began(open_call)
@@ -266,7 +266,12 @@
         return attempt
 
     def _ended(
-        self, call: ModelCall, attempt: Try, open_call: OpenCall, status: int, model: ModelUpstream
+        self,
+        call: ModelCall,
+        attempt: CallAttempt,
+        open_call: OpenCall,
+        status: int,
+        model: ModelUpstream,
     ) -> None:
         if attempt.ending is not None:
             return
@@ -279,7 +284,7 @@
         if call.steps is not None:
             self._resume_later(call, 0.0, attempt)
 
-    def _cancel(self, call: ModelCall, attempt: Try) -> None:
+    def _cancel(self, call: ModelCall, attempt: CallAttempt) -> None:
         """Close the connection of an attempt, so that the upstream drops its job."""
         if attempt.ending is not None:
             return
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from ..balancing.call import Ending, Try
+from ..balancing.call import CallAttempt, Ending
 from ..balancing.cost_model import CostEstimate
 from ..balancing.upstream_stats import OpenCall
 from ..exceptions import CallerGone, Refusal, UpstreamFailed
@@ -30,7 +30,7 @@
 few milliseconds, a lost packet comes again after 0.2 s."""
 
 
-class Attempt(Try):
+class Attempt(CallAttempt):
     """One attempt; `run` never raises for what an upstream did, but sets `ending`.
 
     Attributes:
@@ -139,7 +139,7 @@
     async def _judge(self, answer: Answer) -> None:
         metadata = self.metadata
         if metadata.other_upstream:
-            self.other_upstream = True
+            self.wrong_upstream = True
             self._end(Ending.NOT_RUN, "another upstream has its address")
         elif metadata.not_run:
             self._end(Ending.NOT_RUN, f"refused with {answer.status}")
@@ -155,7 +155,7 @@
         self.answer = answer
         self.status = answer.status
         self.size = answer.length or 0
-        self.is_long = not isinstance(answer.body, BytesBody | None)
+        self.is_streamed = not isinstance(answer.body, BytesBody | None)
 
     async def _failed(self, error: UpstreamFailed) -> None:
         self.sent = self.sent and error.sent
@@ -167,7 +167,7 @@
         A long answer that is on its way to the caller gives it back itself.
         """
         connection, self.connection = self.connection, None
-        if connection is None or self.is_long:
+        if connection is None or self.is_streamed:
             return
         if self.ending in (Ending.CANCELLED, Ending.RESTARTED):
             await connection.close()
--- a/sequoiabridge/relay/call.py
+++ b/sequoiabridge/relay/call.py
@@ -36,7 +36,7 @@
     def fall_under_version(self, route: Route, version: int) -> None:
         """Take in the terms of its route in a version of the configuration."""
         self.version = version
-        self.fall_under(route, self.metadata.timeout)
+        self.apply_route(route, self.metadata.timeout)
 
     def body_came(self, now: float) -> None:
         """Its body is in memory, or as much of it as is taken in before it is sent."""
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -90,7 +90,7 @@
         if call is None:
             return
         now = self.clock.now()
-        in_time = clean and answer.status < 300 and now <= call.target_at
+        in_time = clean and answer.status < 300 and now <= call.late_at
         route = call.route.name if call.route else NO_ROUTE
         self.counters.route(route).count_call(answer.status, now - call.arrived, in_time)
         if call.refusal is not None:
@@ -99,7 +99,7 @@
 
     async def _relay(self, call: RelayedCall) -> Answer:
         call.fall_under_version(self._route(call), self.configuration.version)
-        call.has_waited(self.patience.waited(call.route.name, call.metadata.timeout))
+        call.add_prior_wait(self.patience.waited(call.route.name, call.metadata.timeout))
         call.service = self.splitter.service_for(call.route)
         limit = self.configuration.table.limits.max_body
         await take_body(call.request, limit, call.deadline - self.clock.now())
@@ -152,8 +152,8 @@
             "outcome": "answered" if clean else "cut-off",
             "left_ms": round((call.deadline - now) * 1000),
         }
-        if call.waited:
-            row["waited_ms"] = round(call.waited * 1000)
+        if call.prior_wait:
+            row["waited_ms"] = round(call.prior_wait * 1000)
         if call.body_seconds > 0.001:
             row["body_ms"] = round(call.body_seconds * 1000, 1)
         if call.refusal is not None:
@@ -162,6 +162,6 @@
             row["why"] = str(call.refusal)
         if call.note:
             row["note"] = call.note
-        row["attempts"] = [attempt.row() for attempt in call.tries]
+        row["attempts"] = [attempt.row() for attempt in call.attempts]
         row["considered"] = [estimate.row() for estimate in call.considered]
         return row
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from ..balancing.call import Ending, Try
+from ..balancing.call import CallAttempt, Ending
 from ..balancing.cost_model import CostEstimate
 from ..balancing.dispatch import Dispatch
 from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
@@ -58,7 +58,7 @@
             return await self._follow(call, race)
         finally:
             await race.cancel()
-            for attempt in call.open:
+            for attempt in call.open_attempts:
                 if attempt.ending is Ending.CANCELLED:
                     self.dispatch.learning.ended(call, attempt)
 
@@ -72,7 +72,7 @@
                 return end.value.answer
             found = await self._take(call, race, step)
 
-    async def _take(self, call: RelayedCall, race: Race, step: Step) -> Try | None:
+    async def _take(self, call: RelayedCall, race: Race, step: Step) -> CallAttempt | None:
         if isinstance(step, Probe):
             await self.prober.probe_all(step.upstreams, step.timeout)
         elif isinstance(step, BackgroundProbe):
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ...balancing.attempt_recorder import Learning, News
-from ...balancing.call import Call, Ending, Try
+from ...balancing.call import Call, CallAttempt, Ending
 from ...balancing.candidates import Candidates
 from ...balancing.chooser import Chooser
 from ...balancing.dispatch import Dispatch
@@ -52,7 +52,7 @@
         )
         self.call = Call(self.clock.now())
         route = Route("r", b"/", idempotent, 2.0, 0.5, max_attempts, 1, (Target("s", 1.0),))
-        self.call.fall_under(route, 2.0)
+        self.call.apply_route(route, 2.0)
         self.call.service = "s"
         self.way = self.dispatch.way(self.call)
         self.step = next(self.way)
@@ -74,7 +74,7 @@
 
     def start(self):
         """Let the call be sent; return the attempt."""
-        attempt = Try(self.until(Send).estimate, self.clock.now())
+        attempt = CallAttempt(self.until(Send).estimate, self.clock.now())
         attempt.sent = True
         self.go_on(attempt)
         return attempt
@@ -94,7 +94,7 @@
     walk = Walk()
     first = walk.start()
     second = walk.start()
-    assert walk.call.open == [first, second]
+    assert walk.call.open_attempts == [first, second]
     second.ending, second.status = Ending.ANSWERED, 200
     assert walk.end(first, Ending.BROKEN) is None
     assert isinstance(walk.step, Wait), "it waits for the one that is open in its eyes"
@@ -108,7 +108,7 @@
     assert refused.value.status == 502
     walk = Walk(idempotent=False)
     walk.end(walk.start(), Ending.NOT_RUN)
-    assert walk.start().upstream.id != walk.call.tries[0].upstream.id
+    assert walk.start().upstream.id != walk.call.attempts[0].upstream.id
 
 
 def test_an_attempt_whose_upstream_started_again_is_given_up():
--- a/sequoiabridge/tests/balancing/test_hedging.py
+++ b/sequoiabridge/tests/balancing/test_hedging.py
@@ -1,6 +1,6 @@
 """Second attempts: how many upstreams a call may be at, counting those on the way."""
 
-from ...balancing.call import Call, Ending, Try
+from ...balancing.call import Call, CallAttempt, Ending
 from ...balancing.cost_model import CostEstimate
 from ...balancing.hedging import Hedging
 from ...balancing.routes import Route, Target
@@ -11,12 +11,12 @@
 def call_with(*tries):
     """Return a call of at most two attempts with attempts that are (sent, ending)."""
     call = Call(0.0)
-    call.fall_under(Route("r", b"/", True, 1.0, 0.5, 2, 1, (Target("s", 1.0),)), 1.0)
+    call.apply_route(Route("r", b"/", True, 1.0, 0.5, 2, 1, (Target("s", 1.0),)), 1.0)
     for number, (sent, ending) in enumerate(tries):
         estimate = CostEstimate(upstream(f"u{number}"), 0.1, 0.1, 0.1, 0.1, 1.0, 0, 0.0, 0.0)
-        attempt = Try(estimate, 0.0)
+        attempt = CallAttempt(estimate, 0.0)
         attempt.sent, attempt.ending = sent, ending
-        call.tries.append(attempt)
+        call.attempts.append(attempt)
     return call
 
 
