--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -47,20 +47,20 @@
         ending, now = attempt.ending, attempt.ended_at
         self.endings[ending.value] = self.endings.get(ending.value, 0) + 1
         upstream, estimate = attempt.upstream, attempt.estimate
-        evidence = upstream.evidence
+        stats = upstream.stats
         seconds = now - attempt.started
         # What was expected without regard to the upstream's own slowness.
-        usual = estimate.expected_duration / evidence.pace_now(now)
+        usual = estimate.expected_duration / stats.latency_ratio_at(now)
         if attempt.load is not None:
             self.news.reported(upstream, attempt.load)
         if ending is Ending.ANSWERED and attempt.is_success:
-            evidence.succeeded(now)
+            stats.record_success(now)
             if not met_neighbour(attempt):
-                evidence.measured(seconds / usual, now)
+                stats.record_latency_ratio(seconds / usual, now)
             self.costs.measured(call, attempt)
         elif ending is Ending.CANCELLED:
             if seconds > usual:
-                evidence.measured(seconds / usual, now)
+                stats.record_latency_ratio(seconds / usual, now)
         elif ending is Ending.RESTARTED:
             return
         elif attempt.wrong_upstream:
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -13,7 +13,7 @@
 from .route_stats import Costs
 from .steps import BackgroundProbe, Probe, Sleep, Steps
 from .upstream import Upstream
-from .upstream_stats import PROMPT
+from .upstream_stats import PROBE_WAIT
 
 MOST_ASKED = 5
 """Upstreams that are asked before a call. In trials on the users' sites, asking 3 kept 0.978 of
@@ -98,14 +98,14 @@
         """Ask some of them, by chance; those that lately did not answer are not waited for."""
         now = self.clock.now()
         for upstream in upstreams:
-            if upstream.evidence.may_be_asked(now):
+            if upstream.stats.is_probe_due(now):
                 yield BackgroundProbe(upstream)
-        answering = [u for u in upstreams if not u.evidence.is_silent(now)]
-        answering = [u for u in answering if now - u.evidence.load_at > FRESH]
+        answering = [u for u in upstreams if not u.stats.is_unresponsive(now)]
+        answering = [u for u in answering if now - u.stats.load_reported_at > FRESH]
         if len(answering) > MOST_ASKED:
             answering = self.random.sample(answering, MOST_ASKED)
         if answering:
-            yield Probe(answering, PROMPT)
+            yield Probe(answering, PROBE_WAIT)
 
     def _needs(self, call: Call) -> CallRequirements:
         return CallRequirements(
--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -194,10 +194,10 @@
 
 def estimate_cost(call: CallRequirements, upstream: Upstream, now: float) -> CostEstimate:
     """Return what sending `call` to `upstream` now is likely to cost."""
-    evidence = upstream.evidence
-    report_age = now - evidence.load_at
+    stats = upstream.stats
+    report_age = now - stats.load_reported_at
     slowdown, queue_position = _load(upstream, report_age)
-    processing_time = call.work * slowdown * evidence.pace_now(now)
+    processing_time = call.work * slowdown * stats.latency_ratio_at(now)
     if now < upstream.warm_at:
         processing_time *= COLD_START_FACTOR
     slots = max(1, upstream.record.slots)
@@ -207,7 +207,7 @@
         1.0 + REMAINING_WORK_SHARE * max(0, queue_position) / slots
     )
     late_probability = exceed_probability(expected_duration, call.time_to_target)
-    failure = evidence.failure_share(now)
+    failure = stats.failure_rate(now)
     cost = failure + (1.0 - failure) * LATE_COST * late_probability
     cost += DURATION_COST * expected_duration / call.target_latency
     displacement_cost = 0.0
@@ -222,12 +222,12 @@
         )
     saturation_cost = cost_of_saturation(slots, queue_position, call.overload_ratio)
     cost += saturation_cost
-    cost += OVERDUE_COST * evidence.overdue(now)
+    cost += OVERDUE_COST * stats.overdue_calls(now)
     if not upstream.near:
         cost += call.transfer_cost
-    if not evidence.healthy:
+    if not stats.healthy:
         cost += UNHEALTHY_COST
-    if evidence.is_silent(now):
+    if stats.is_unresponsive(now):
         cost += UNRESPONSIVE_COST
     return CostEstimate(
         upstream,
@@ -276,14 +276,14 @@
 
     0 means that it gets the last free slot, a negative number that some slots stay free.
     """
-    evidence, slots = upstream.evidence, max(1, upstream.record.slots)
-    load = evidence.load
+    stats, slots = upstream.stats, max(1, upstream.record.slots)
+    load = stats.load
     if load is None:
-        return DEFAULT_SLOWDOWN, len(evidence.open_calls) - slots + 1
+        return DEFAULT_SLOWDOWN, len(stats.open_calls) - slots + 1
     busy = load.running + load.waiting
     if report_age <= MAX_SLOWDOWN_AGE:
-        return load.slowdown, busy + evidence.sent_since - slots + 1
-    return DEFAULT_SLOWDOWN, max(busy, len(evidence.open_calls)) - slots + 1
+        return load.slowdown, busy + stats.sent_since_report - slots + 1
+    return DEFAULT_SLOWDOWN, max(busy, len(stats.open_calls)) - slots + 1
 
 
 def lacks_capacity(call: CallRequirements, best: CostEstimate) -> bool:
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -12,7 +12,7 @@
 from .cost_model import CostEstimate
 from .route_stats import Costs
 from .steps import Probe, Steps
-from .upstream_stats import PROMPT
+from .upstream_stats import PROBE_WAIT
 
 FIRST_LOOK = 1.3
 """Times its expected duration after which a call is looked at first: work times spread by a third
@@ -63,9 +63,9 @@
         self.look_later(call, attempt)
         if not self._allowed(call):
             return None
-        evidence = attempt.upstream.evidence
-        if not evidence.is_silent(self.clock.now()):
-            yield Probe([attempt.upstream], PROMPT)
+        stats = attempt.upstream.stats
+        if not stats.is_unresponsive(self.clock.now()):
+            yield Probe([attempt.upstream], PROBE_WAIT)
         left = self._time_left(call, attempt)
         if left <= 0.0:
             return None
@@ -86,11 +86,13 @@
 
     def _time_left(self, call: Call, attempt: CallAttempt) -> float:
         """Return the seconds that an attempt is expected to need still; infinite if it is stuck."""
-        evidence, now = attempt.upstream.evidence, self.clock.now()
-        if evidence.is_silent(now):
+        stats, now = attempt.upstream.stats, self.clock.now()
+        if stats.is_unresponsive(now):
             return float("inf")
-        slowdown = evidence.load.slowdown if evidence.load else attempt.estimate.slowdown
-        duration = self.costs.work(call) * max(1.0, slowdown) * max(1.0, evidence.pace_now(now))
+        slowdown = stats.load.slowdown if stats.load else attempt.estimate.slowdown
+        duration = (
+            self.costs.work(call) * max(1.0, slowdown) * max(1.0, stats.latency_ratio_at(now))
+        )
         taken = now - attempt.started
         if taken > ALIVE * max(duration, attempt.estimate.expected_duration):
             return float("inf")
--- a/sequoiabridge/balancing/upstream.py
+++ b/sequoiabridge/balancing/upstream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .upstream_stats import Evidence
+from .upstream_stats import UpstreamStats
 
 
 class UpstreamRecord:
@@ -65,10 +65,10 @@
         is_over: It has started again: nothing that was sent to this lifetime will be answered.
     """
 
-    __slots__ = ("record", "evidence", "near", "warm_at", "replaced", "leaves_at", "is_over")
+    __slots__ = ("record", "stats", "near", "warm_at", "replaced", "leaves_at", "is_over")
 
     def __init__(self, record: UpstreamRecord, near: bool, now: float):
-        self.evidence = Evidence()
+        self.stats = UpstreamStats()
         self.near = near
         self.replaced = False
         self.is_over = False
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -11,7 +11,7 @@
 from ..balancing.route_stats import Costs
 from ..balancing.steps import Probe, Sleep, Steps
 from ..balancing.upstream import Upstream
-from ..balancing.upstream_stats import PROMPT
+from ..balancing.upstream_stats import PROBE_WAIT
 from .upstream import ModelUpstream
 
 OWN = "own"
@@ -76,7 +76,7 @@
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         pair = self.random.sample(upstreams, min(2, len(upstreams)))
-        return min(pair, key=lambda upstream: len(upstream.evidence.open_calls))
+        return min(pair, key=lambda upstream: len(upstream.stats.open_calls))
 
 
 class LeastOutstanding(BaselineChooser):
@@ -84,7 +84,7 @@
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         shuffled = self.random.sample(upstreams, len(upstreams))
-        return min(shuffled, key=lambda upstream: len(upstream.evidence.open_calls))
+        return min(shuffled, key=lambda upstream: len(upstream.stats.open_calls))
 
 
 class ProbePool(BaselineChooser):
@@ -92,12 +92,12 @@
 
     def shortlist(self, upstreams: list[Upstream]) -> Steps[list[Upstream]]:
         sample = self.random.sample(upstreams, min(PROBE_POOL_SIZE, len(upstreams)))
-        yield Probe(sample, PROMPT)
+        yield Probe(sample, PROBE_WAIT)
         return sample
 
     def pick(self, call: Call, upstreams: list[Upstream]) -> Upstream:
         def load(upstream: Upstream) -> float:
-            report = upstream.evidence.load
+            report = upstream.stats.load
             if report is None:
                 return float("inf")
             return report.slowdown * (1.0 + (report.running + report.waiting) / report.slots)
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -18,7 +18,7 @@
 from ..balancing.route_stats import Costs
 from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
 from ..balancing.upstream import Upstream, UpstreamRecord
-from ..balancing.upstream_stats import ANSWER_LIMIT, HEARSAY, OpenCall
+from ..balancing.upstream_stats import PEER_FAILURE_WEIGHT, PROBE_TIMEOUT, OpenCall
 from ..exceptions import Refusal
 from .scene import Scene
 from .scheduler import Scheduler
@@ -223,17 +223,17 @@
 
     def _probe(self, upstream: Upstream, on_report: Callable[[], None] | None) -> None:
         self.probes_sent += 1
-        upstream.evidence.asked(self.scheduler.now())
+        upstream.stats.record_probe_sent(self.scheduler.now())
         model, latency = self.upstreams.models[upstream.id], self._one_way_latency(upstream)
         if model.unresponsive:
-            self.scheduler.call_later(ANSWER_LIMIT, self._probe_timed_out, upstream)
+            self.scheduler.call_later(PROBE_TIMEOUT, self._probe_timed_out, upstream)
             return
 
         def answer() -> None:
             self.scheduler.call_later(latency, receive, model.load())
 
         def receive(load: UpstreamLoad) -> None:
-            upstream.evidence.answered_probe(True)
+            upstream.stats.record_probe_answer(True)
             self.reported(upstream, load)
             if on_report is not None:
                 on_report()
@@ -241,16 +241,16 @@
         self.scheduler.call_later(latency, answer)
 
     def _probe_timed_out(self, upstream: Upstream) -> None:
-        upstream.evidence.ignored_probe(self.scheduler.now())
+        upstream.stats.record_probe_failure(self.scheduler.now())
 
     def _send(self, call: ModelCall, step: Send) -> CallAttempt:
         upstream, now = step.estimate.upstream, self.scheduler.now()
         attempt = CallAttempt(step.estimate, now)
         attempt.sent = True
         open_call = OpenCall(now, step.estimate.expected_duration)
-        upstream.evidence.began(open_call)
-        upstream.evidence.sent()
-        self._share_with_peers(upstream, lambda entry: entry.evidence.sent())
+        upstream.stats.add_open_call(open_call)
+        upstream.stats.record_send()
+        self._share_with_peers(upstream, lambda entry: entry.stats.record_send())
         model, latency = self.upstreams.models[upstream.id], self._one_way_latency(upstream)
         job = Job(
             call.work,
@@ -275,7 +275,7 @@
     ) -> None:
         if attempt.ending is not None:
             return
-        attempt.upstream.evidence.ended(open_call)
+        attempt.upstream.stats.remove_open_call(open_call)
         attempt.ended_at = self.scheduler.now()
         attempt.load = model.load()
         attempt.status = status
@@ -289,8 +289,8 @@
         if attempt.ending is not None:
             return
         attempt.ending, attempt.ended_at = Ending.CANCELLED, self.scheduler.now()
-        evidence = attempt.upstream.evidence
-        evidence.ended(next(o for o in evidence.open_calls if o.started == attempt.started))
+        stats = attempt.upstream.stats
+        stats.remove_open_call(next(o for o in stats.open_calls if o.started == attempt.started))
         model = self.upstreams.models[attempt.upstream.id]
         self.scheduler.call_later(
             self._one_way_latency(attempt.upstream), model.cancel, call.jobs.pop(attempt)
@@ -298,15 +298,16 @@
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
         now = self.scheduler.now()
-        upstream.evidence.reported(load, now)
+        upstream.stats.record_load_report(load, now)
         self._share_with_peers(
-            upstream, lambda entry: entry.evidence.reported(load, self.scheduler.now())
+            upstream, lambda entry: entry.stats.record_load_report(load, self.scheduler.now())
         )
 
     def failed(self, upstream: Upstream) -> None:
-        upstream.evidence.failed(self.scheduler.now())
+        upstream.stats.record_failure(self.scheduler.now())
         self._share_with_peers(
-            upstream, lambda entry: entry.evidence.failed(self.scheduler.now(), HEARSAY)
+            upstream,
+            lambda entry: entry.stats.record_failure(self.scheduler.now(), PEER_FAILURE_WEIGHT),
         )
 
     def was_replaced(self, upstream: Upstream) -> None:
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -77,7 +77,7 @@
 
     async def run(self) -> None:
         """Go through with the attempt and judge what comes of it."""
-        self.upstream.evidence.began(self.open_call)
+        self.upstream.stats.add_open_call(self.open_call)
         self.sharing.sent(self.upstream)
         try:
             answer = await self._exchange()
@@ -95,7 +95,7 @@
             raise
         finally:
             await self._abandon()
-            self.upstream.evidence.ended(self.open_call)
+            self.upstream.stats.remove_open_call(self.open_call)
 
     async def _exchange(self) -> Answer:
         """Send the call and return the whole answer, or its beginning if it is long."""
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -8,7 +8,7 @@
 
 from ..balancing.probe_limiter import ProbeAllowance
 from ..balancing.upstream import Upstream
-from ..balancing.upstream_stats import ANSWER_LIMIT
+from ..balancing.upstream_stats import PROBE_TIMEOUT
 from ..exceptions import NoFreeConnection, UpstreamFailed
 from ..pipeline.exchange import Answer, Body
 from ..timers import Clock
@@ -85,18 +85,18 @@
     async def probe(self, upstream: Upstream) -> None:
         """Ask one upstream and take in its answer, or that it gave none."""
         self.counters.probes += 1
-        upstream.evidence.asked(self.clock.now())
+        upstream.stats.record_probe_sent(self.clock.now())
         connection = None
         try:
-            async with curio.timeout_after(ANSWER_LIMIT):
+            async with curio.timeout_after(PROBE_TIMEOUT):
                 connection = await self.connector.acquire(
-                    upstream.address, fresh=False, timeout=ANSWER_LIMIT
+                    upstream.address, fresh=False, timeout=PROBE_TIMEOUT
                 )
                 answer = await self._exchange(connection, upstream)
         except NoFreeConnection:
-            upstream.evidence.not_asked()
+            upstream.stats.record_probe_not_sent()
         except curio.TaskTimeout:
-            self._record_failure(upstream, f"no answer within {ANSWER_LIMIT} s")
+            self._record_failure(upstream, f"no answer within {PROBE_TIMEOUT} s")
         except UpstreamFailed as error:
             self._record_failure(upstream, str(error))
         else:
@@ -119,10 +119,10 @@
         return self.dialect.is_answer_to(NO_CALL, headers)
 
     def _record_failure(self, upstream: Upstream, why: str) -> None:
-        evidence = upstream.evidence
-        if not evidence.silent:
+        stats = upstream.stats
+        if not stats.unanswered_probes:
             self.decisions.event("upstream-silent", upstream=upstream.id, why=why)
-        evidence.ignored_probe(self.clock.now())
+        stats.record_probe_failure(self.clock.now())
         self.counters.probes_unanswered += 1
 
     def _record_answer(self, upstream: Upstream, answer: Answer) -> None:
@@ -130,12 +130,14 @@
         if metadata.upstream and metadata.upstream != upstream.id:
             self.upstreams.was_replaced(upstream)
             return
-        evidence = upstream.evidence
-        if evidence.silent:
-            self.decisions.event("upstream-answers", upstream=upstream.id, after=evidence.silent)
-        if metadata.healthy != evidence.healthy:
+        stats = upstream.stats
+        if stats.unanswered_probes:
+            self.decisions.event(
+                "upstream-answers", upstream=upstream.id, after=stats.unanswered_probes
+            )
+        if metadata.healthy != stats.healthy:
             self.decisions.event("upstream-health", upstream=upstream.id, healthy=metadata.healthy)
-        evidence.answered_probe(metadata.healthy)
+        stats.record_probe_answer(metadata.healthy)
         if not metadata.healthy:
             self.upstreams.said_unwell(upstream)
         if metadata.load is not None:
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -13,7 +13,7 @@
 from ..balancing.attempt_recorder import News
 from ..balancing.load import UpstreamLoad
 from ..balancing.upstream import Upstream
-from ..balancing.upstream_stats import HEARSAY
+from ..balancing.upstream_stats import PEER_FAILURE_WEIGHT
 from ..timers import Clock
 from .channel import Channel
 from .members import Members
@@ -45,19 +45,19 @@
 
     def sent(self, upstream: Upstream) -> None:
         """This VM sends a call."""
-        upstream.evidence.sent()
+        upstream.stats.record_send()
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(CallSent(upstream.lifetime), self.members.sharing_addresses)
 
     def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told this VM its load."""
-        upstream.evidence.reported(load, self.clock.now())
+        upstream.stats.record_load_report(load, self.clock.now())
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(LoadReport(upstream.lifetime, load), self.members.sharing_addresses)
 
     def failed(self, upstream: Upstream) -> None:
         """An upstream failed a call of this VM."""
-        upstream.evidence.failed(self.clock.now())
+        upstream.stats.record_failure(self.clock.now())
         self.broadcast(CallFailed(upstream.lifetime))
 
     def was_replaced(self, upstream: Upstream) -> None:
@@ -96,8 +96,8 @@
         if upstream is None:
             return
         if isinstance(message, CallSent):
-            upstream.evidence.sent()
+            upstream.stats.record_send()
         elif isinstance(message, LoadReport):
-            upstream.evidence.reported(message.load, self.clock.now())
+            upstream.stats.record_load_report(message.load, self.clock.now())
         elif isinstance(message, CallFailed):
-            upstream.evidence.failed(self.clock.now(), HEARSAY)
+            upstream.stats.record_failure(self.clock.now(), PEER_FAILURE_WEIGHT)
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -253,7 +253,7 @@
 
 def describe(upstream: Upstream, now: float) -> dict:
     """Return what is known of an upstream, for people."""
-    evidence = upstream.evidence
+    stats = upstream.stats
     return {
         "service": upstream.record.service,
         "address": upstream.address,
@@ -262,8 +262,8 @@
         "born": upstream.record.born,
         "draining": upstream.record.draining,
         "replaced": upstream.replaced,
-        "open_calls": len(evidence.open_calls),
-        "failure_share": round(evidence.failure_share(now), 3),
-        "pace": round(evidence.pace_now(now), 2),
-        "silent": evidence.silent,
+        "open_calls": len(stats.open_calls),
+        "failure_share": round(stats.failure_rate(now), 3),
+        "pace": round(stats.latency_ratio_at(now), 2),
+        "silent": stats.unanswered_probes,
     }
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -80,55 +80,55 @@
 def test_each_kind_of_bad_evidence_makes_an_upstream_dearer(hurt):
     good, bad = upstream("good"), upstream("bad")
     if hurt == "failed":
-        bad.evidence.failed(0.0)
+        bad.stats.record_failure(0.0)
     elif hurt == "silent":
-        bad.evidence.ignored_probe(0.0)
+        bad.stats.record_probe_failure(0.0)
     elif hurt == "unwell":
-        bad.evidence.answered_probe(healthy=False)
+        bad.stats.record_probe_answer(healthy=False)
     elif hurt == "overdue":
-        bad.evidence.began(OpenCall(-1.0, 0.1))
+        bad.stats.add_open_call(OpenCall(-1.0, 0.1))
     elif hurt == "slow":
         for _ in range(3):
-            bad.evidence.measured(5.0, 0.0)
+            bad.stats.record_latency_ratio(5.0, 0.0)
     else:
-        bad.evidence.sent()
+        bad.stats.record_send()
     assert estimate_cost(CALL, bad, 0.01).cost > estimate_cost(CALL, good, 0.01).cost
 
 
 def test_bad_evidence_fades_so_that_a_mended_upstream_comes_back():
     bad = upstream("bad")
     for _ in range(5):
-        bad.evidence.failed(0.0)
-        bad.evidence.measured(10.0, 0.0)
-    assert bad.evidence.failure_share(0.0) > 0.7
-    assert bad.evidence.failure_share(20.0) < 0.05
-    assert bad.evidence.pace_now(20.0) < 1.1
+        bad.stats.record_failure(0.0)
+        bad.stats.record_latency_ratio(10.0, 0.0)
+    assert bad.stats.failure_rate(0.0) > 0.7
+    assert bad.stats.failure_rate(20.0) < 0.05
+    assert bad.stats.latency_ratio_at(20.0) < 1.1
 
 
 def test_one_slow_call_does_not_condemn_an_upstream_and_three_do():
     one = upstream("one")
-    one.evidence.measured(7.0, 0.0)
-    assert one.evidence.pace_now(0.0) < 2.0
-    one.evidence.measured(7.0, 0.0)
-    one.evidence.measured(7.0, 0.0)
-    assert one.evidence.pace_now(0.0) > 3.0
+    one.stats.record_latency_ratio(7.0, 0.0)
+    assert one.stats.latency_ratio_at(0.0) < 2.0
+    one.stats.record_latency_ratio(7.0, 0.0)
+    one.stats.record_latency_ratio(7.0, 0.0)
+    assert one.stats.latency_ratio_at(0.0) > 3.0
 
 
 def test_a_silent_upstream_is_asked_again_after_a_pause_that_grows():
-    evidence = upstream().evidence
-    evidence.ignored_probe(0.0)
-    assert evidence.is_silent(0.1) and not evidence.may_be_asked(0.1)
-    assert evidence.may_be_asked(0.3)
-    evidence.ignored_probe(0.3)
-    assert not evidence.may_be_asked(0.6) and evidence.may_be_asked(0.9)
-    evidence.answered_probe(True)
-    assert not evidence.is_silent(0.9)
+    stats = upstream().stats
+    stats.record_probe_failure(0.0)
+    assert stats.is_unresponsive(0.1) and not stats.is_probe_due(0.1)
+    assert stats.is_probe_due(0.3)
+    stats.record_probe_failure(0.3)
+    assert not stats.is_probe_due(0.6) and stats.is_probe_due(0.9)
+    stats.record_probe_answer(True)
+    assert not stats.is_unresponsive(0.9)
 
 
 def test_an_open_health_check_that_takes_long_says_silence_before_it_ends():
-    evidence = upstream().evidence
-    evidence.asked(1.0)
-    assert not evidence.is_silent(1.01) and evidence.is_silent(1.1)
+    stats = upstream().stats
+    stats.record_probe_sent(1.0)
+    assert not stats.is_unresponsive(1.01) and stats.is_unresponsive(1.1)
 
 
 def test_a_call_is_not_sent_into_a_queue_that_alone_makes_it_late():
@@ -253,7 +253,7 @@
         assert lacks_capacity(CALL, estimate_cost(CALL, last, age)) is crowded
         assert not lacks_capacity(CALL, estimate_cost(CALL, free, age))
     untold = upstream("untold", load=None)
-    untold.evidence.began(OpenCall(0.0, 0.1))
+    untold.stats.add_open_call(OpenCall(0.0, 0.1))
     assert not lacks_capacity(
         needs(0.0, 9.0), estimate_cost(needs(0.0, 9.0), untold, 0.01)
     ), "no load report"
--- a/sequoiabridge/tests/experiment/test_model.py
+++ b/sequoiabridge/tests/experiment/test_model.py
@@ -112,14 +112,14 @@
     simulation = Simulation(parse_scene(CROWDED, "test"), 1, "own")
     sender, receiver = simulation.vms[0], simulation.vms[2]
     near = next(u for u in sender.upstreams.by_id.values() if u.near)
-    sender._share_with_peers(near, lambda entry: entry.evidence.sent())
+    sender._share_with_peers(near, lambda entry: entry.stats.record_send())
     simulation.scheduler.run()
-    assert receiver.upstreams.by_id[near.id].evidence.sent_since == 1
-    assert simulation.vms[1].upstreams.by_id[near.id].evidence.sent_since == 0
+    assert receiver.upstreams.by_id[near.id].stats.sent_since_report == 1
+    assert simulation.vms[1].upstreams.by_id[near.id].stats.sent_since_report == 0
     receiver.isolated = True
-    sender._share_with_peers(near, lambda entry: entry.evidence.sent())
+    sender._share_with_peers(near, lambda entry: entry.stats.record_send())
     simulation.scheduler.run()
-    assert receiver.upstreams.by_id[near.id].evidence.sent_since == 1
+    assert receiver.upstreams.by_id[near.id].stats.sent_since_report == 1
 
 
 def test_unresponsive_upstream_is_not_probed_again_before_its_backoff_ends():
@@ -129,8 +129,8 @@
     vm.upstreams.models[unresponsive.id].unresponsive = True
     scheduler.call_later(5.0, vm._probe, unresponsive, None)
     scheduler.run()
-    assert scheduler.now() > 5.0 and unresponsive.evidence.is_silent(scheduler.now())
-    assert not unresponsive.evidence.may_be_asked(scheduler.now())
+    assert scheduler.now() > 5.0 and unresponsive.stats.is_unresponsive(scheduler.now())
+    assert not unresponsive.stats.is_probe_due(scheduler.now())
 
 
 def test_results_count_requests_by_outcome():
--- a/sequoiabridge/tests/relay/fakes.py
+++ b/sequoiabridge/tests/relay/fakes.py
@@ -16,7 +16,7 @@
     """Return an upstream that has just told its load."""
     made = Upstream(record(id, **more), near, now)
     if load is not None:
-        made.evidence.reported(UpstreamLoad(*load), now)
+        made.stats.record_load_report(UpstreamLoad(*load), now)
     return made
 
 
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -43,13 +43,13 @@
 
 def test_what_others_say_counts_like_what_was_seen_here():
     sharing, known, _ = fleet(1)
-    evidence = known.by_id["u"].evidence
+    stats = known.by_id["u"].stats
     sharing._handle(LoadReport("u", UpstreamLoad(1, 0, 2, 7.0)))
     sharing._handle(CallSent("u"))
-    assert evidence.load.slowdown == 7.0 and evidence.sent_since == 1
-    before = evidence.failure_share(5.0)
+    assert stats.load.slowdown == 7.0 and stats.sent_since_report == 1
+    before = stats.failure_rate(5.0)
     sharing._handle(CallFailed("u"))
-    assert evidence.failure_share(5.0) > before
+    assert stats.failure_rate(5.0) > before
     sharing._handle(CallSent("unknown"))
 
 
@@ -57,12 +57,12 @@
     sharing, known, sent = fleet(1)
     known.update([record("u", born=1000)], [], 2)
     known.update([record("u", born=2000)], [], 3)
-    evidence = known.by_id["u"].evidence
+    stats = known.by_id["u"].stats
     for late in ("u", "u@1000"):
         sharing._handle(LoadReport(late, UpstreamLoad(1, 0, 2, 7.0)))
         sharing._handle(CallFailed(late))
-    assert evidence.load is None and evidence.failure_share(5.0) < 0.05
+    assert stats.load is None and stats.failure_rate(5.0) < 0.05
     sharing._handle(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
-    assert evidence.load.slowdown == 7.0
+    assert stats.load.slowdown == 7.0
     sharing.sent(known.by_id["u"])
     assert sent[-1][1].upstream == "u@2000"
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -94,16 +94,16 @@
 def test_nothing_that_was_seen_of_a_lifetime_holds_for_the_next_one():
     known, clock, left = with_births()
     first = known.by_id["a"]
-    first.evidence.failed(clock.now())
-    first.evidence.ignored_probe(clock.now())
-    first.evidence.began(OpenCall(clock.now(), 0.1))
+    first.stats.record_failure(clock.now())
+    first.stats.record_probe_failure(clock.now())
+    first.stats.add_open_call(OpenCall(clock.now(), 0.1))
     known.was_replaced(first)
     assert names(known) == ["b"]
     before, after = restarted(known)
     assert before is first and before.is_over and not before.takes_work
     assert names(known) == ["a", "b"] and left == ["a", "a"]
-    assert after.evidence.failure_share(clock.now()) < 0.05
-    assert not after.evidence.is_silent(clock.now()) and after.evidence.open_calls == []
+    assert after.stats.failure_rate(clock.now()) < 0.05
+    assert not after.stats.is_unresponsive(clock.now()) and after.stats.open_calls == []
 
 
 def test_a_late_word_of_an_earlier_lifetime_is_no_news():
