--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -14,6 +14,7 @@
 from ..policy.admission import AdmissionQueue
 from ..policy.choosers import chooser_named
 from ..policy.concurrency import ConcurrencyLimit
+from ..policy.connection_shares import LiveVmCount, connection_share
 from ..policy.crashes import CrashLedger
 from ..policy.evidence import UpstreamSpec
 from ..policy.options import PoolOptions
@@ -21,7 +22,6 @@
 from ..policy.probing import ProbeBudget
 from ..policy.quantiles import LatencyHistogram
 from ..policy.retries import RetryBudget, hedge_delay
-from ..policy.shares import LiveVmCount, connection_share
 from ..timers import Clock, Timers
 from .exchange import Exchange
 
--- a/sequoiabridge/policy/admission.py
+++ b/sequoiabridge/policy/admission.py
@@ -13,19 +13,19 @@
 
 from ..outcome import Reason
 from .concurrency import ConcurrencyLimit
+from .latency_estimate import ESTIMATE_DECAY_SECONDS, LatencyEstimate
 from .tickets import ADMITTED, QUEUED, Decision, Ticket, Verdict
-from .usual import ESTIMATE_FADE, UsualLatency
 
-INTERVAL_GAIN = 0.1
+INTERVAL_WEIGHT = 0.1
 """Weight of the newest gap between two ends of calls in its mean."""
 
-MOST_KINDS = 64
+MAX_KINDS = 64
 """Kinds of call whose latencies are told apart; all others count as one."""
 
-SPARE_ENTRIES = 64
+MAX_STALE_ENTRIES = 64
 """Entries of calls that left which the queue may hold beside those that wait."""
 
-SHORTEST_RETRY, LONGEST_RETRY = 0.05, 10.0
+MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS = 0.05, 10.0
 """Bounds in seconds of `retry_after`."""
 
 
@@ -43,9 +43,9 @@
         self.limit = limit
         self.queue_limit = queue_limit
         self.caller_share = caller_share
-        self.latencies: dict[str, UsualLatency] = {}
-        self.learned_at = 0.0
-        self.interval = 0.0
+        self.latencies: dict[str, LatencyEstimate] = {}
+        self.interval_updated_at = 0.0
+        self.end_interval = 0.0
         self.last_end: float | None = None
         self.running = 0
         self.waiting = 0
@@ -53,20 +53,20 @@
         self.waiting_by: Counter[str] = Counter()
         self.heap: list[tuple[float, int, Ticket]] = []
         self.displaced: list[Ticket] = []  # refused already, for the next `expire`
-        self.order = 0
+        self.sequence = 0
         self.refused: Counter[Reason] = Counter()
 
     def offer(self, ticket: Ticket, now: float) -> Decision:
         """Decide on a new call; a queued one comes back from `release` or from `expire`."""
-        usual = self.usual_latency(ticket.kind, now)
-        if now + usual >= ticket.deadline:
+        expected = self.expected_latency(ticket.kind, now)
+        if now + expected >= ticket.deadline:
             return self._refuse(Reason.CANNOT_MEET_WINDOW, now)
         if self.running < self.limit.allowed and not self.waiting:
             self._admit(ticket, now)
             return ADMITTED
         if self._over_queue_share(ticket.caller):
             return self._refuse(Reason.CALLER_SHARE, now)
-        if self._comes_too_late(ticket, usual, now):
+        if self._misses_deadline_in_queue(ticket, expected, now):
             return self._refuse(Reason.CANNOT_MEET_WINDOW, now)
         if self.waiting >= self.queue_limit and not self._displace(ticket.weight):
             return self._refuse(Reason.QUEUE_FULL, now)
@@ -78,10 +78,10 @@
         if ticket.admitted_at is None:
             return []
         time_left = ticket.deadline - ticket.admitted_at
-        self.limit.ended(now, latency, time_left, ok, self.running)
+        self.limit.record_end(now, latency, time_left, ok, self.running)
         if ok:
-            self._latency_of(ticket.kind).add(now, latency)
-        self._learn_interval(now)
+            self._estimate_of(ticket.kind).add(now, latency)
+        self._update_end_interval(now)
         return self.withdraw(ticket, now)
 
     def withdraw(self, ticket: Ticket, now: float) -> list[Ticket]:
@@ -90,7 +90,7 @@
             return []
         ticket.admitted_at = None
         self.running -= 1
-        _less(self.running_by, ticket.caller)
+        _decrement(self.running_by, ticket.caller)
         return self._admit_waiting(now)
 
     def abandon(self, ticket: Ticket, now: float) -> list[Ticket]:
@@ -128,20 +128,23 @@
         if not self.heap:
             return None
         first = self.heap[0][2]
-        return first.deadline - self.usual_latency(first.kind, now)
+        return first.deadline - self.expected_latency(first.kind, now)
 
-    def usual_latency(self, kind: str, now: float) -> float:
+    def expected_latency(self, kind: str, now: float) -> float:
         """Return the seconds that a call of the kind needs once admitted."""
         known = self.latencies.get(kind)
         return known.read(now) if known is not None else 0.0
 
     def can_meet(self, ticket: Ticket, now: float) -> bool:
         """Return whether the call could still be answered in its window if admitted now."""
-        return now + self.usual_latency(ticket.kind, now) <= ticket.deadline
+        return now + self.expected_latency(ticket.kind, now) <= ticket.deadline
 
     def retry_after(self, now: float) -> float:
         """Return the seconds after which the queue of now should have drained."""
-        return min(LONGEST_RETRY, max(SHORTEST_RETRY, self._wait(self.waiting + 1, now)))
+        return min(
+            MAX_RETRY_AFTER_SECONDS,
+            max(MIN_RETRY_AFTER_SECONDS, self._expected_wait(self.waiting + 1, now)),
+        )
 
     def dump(self, now: float) -> dict:
         """Describe the state for operators."""
@@ -170,14 +173,14 @@
         ticket.waiting = True
         self.waiting += 1
         self.waiting_by[ticket.caller] += 1
-        self.order += 1
-        heappush(self.heap, (ticket.deadline, self.order, ticket))
+        self.sequence += 1
+        heappush(self.heap, (ticket.deadline, self.sequence, ticket))
 
     def _unqueue(self, ticket: Ticket) -> None:
         ticket.waiting = False
         self.waiting -= 1
-        _less(self.waiting_by, ticket.caller)
-        if len(self.heap) > 2 * self.waiting + SPARE_ENTRIES:
+        _decrement(self.waiting_by, ticket.caller)
+        if len(self.heap) > 2 * self.waiting + MAX_STALE_ENTRIES:
             self.heap = [entry for entry in self.heap if entry[2].waiting]
             heapify(self.heap)
 
@@ -194,33 +197,37 @@
         self.displaced.append(lightest)
         return True
 
-    def _latency_of(self, kind: str) -> UsualLatency:
+    def _estimate_of(self, kind: str) -> LatencyEstimate:
         known = self.latencies.get(kind)
         if known is not None:
             return known
-        if len(self.latencies) >= MOST_KINDS:
+        if len(self.latencies) >= MAX_KINDS:
             kind = ""
-        return self.latencies.setdefault(kind, UsualLatency())
+        return self.latencies.setdefault(kind, LatencyEstimate())
 
-    def _learn_interval(self, now: float) -> None:
+    def _update_end_interval(self, now: float) -> None:
         """Take in the gap since the last end of a call, if any waited then."""
-        self.learned_at = now
+        self.interval_updated_at = now
         if self.last_end is not None:
-            gap = now - self.last_end
-            self.interval += (INTERVAL_GAIN if self.interval else 1.0) * (gap - self.interval)
+            interval = now - self.last_end
+            self.end_interval += (INTERVAL_WEIGHT if self.end_interval else 1.0) * (
+                interval - self.end_interval
+            )
         self.last_end = now if self.waiting else None
 
-    def _wait(self, ahead: int, now: float) -> float:
+    def _expected_wait(self, ahead: int, now: float) -> float:
         """Return the expected seconds until `ahead` calls have found a place."""
-        interval = self.interval * exp((self.learned_at - now) / ESTIMATE_FADE)
+        interval = self.end_interval * exp(
+            (self.interval_updated_at - now) / ESTIMATE_DECAY_SECONDS
+        )
         return ahead * interval
 
-    def _comes_too_late(self, ticket: Ticket, usual: float, now: float) -> bool:
+    def _misses_deadline_in_queue(self, ticket: Ticket, expected: float, now: float) -> bool:
         """Return whether its turn in the queue comes too late for the call."""
-        latest = ticket.deadline - usual
-        if now + self._wait(self.waiting + 1, now) <= latest:
+        latest = ticket.deadline - expected
+        if now + self._expected_wait(self.waiting + 1, now) <= latest:
             return False  # Even behind all that wait, so that none need be counted.
-        return now + self._wait(self._ahead_of(ticket), now) > latest
+        return now + self._expected_wait(self._ahead_of(ticket), now) > latest
 
     def _ahead_of(self, ticket: Ticket) -> int:
         """Return how many waiting calls have an earlier deadline, this one counted."""
@@ -241,7 +248,7 @@
     def _admit_waiting(self, now: float) -> list[Ticket]:
         """Admit by deadline; callers that have their share come after all others."""
         admitted: list[Ticket] = []
-        passed: list[Ticket] = []
+        deferred: list[Ticket] = []
         while self.heap and self.running < self.limit.allowed:
             ticket = heappop(self.heap)[2]
             if not ticket.waiting:
@@ -250,27 +257,27 @@
                 self._unqueue(ticket)
                 self.displaced.append(ticket)
             elif self._over_running_share(ticket.caller):
-                passed.append(ticket)
+                deferred.append(ticket)
             else:
-                self._move_in(ticket, now, admitted)
-        for ticket in passed:
+                self._admit_queued(ticket, now, admitted)
+        for ticket in deferred:
             if self.running < self.limit.allowed:
-                self._move_in(ticket, now, admitted)
+                self._admit_queued(ticket, now, admitted)
             else:
-                self.order += 1
-                heappush(self.heap, (ticket.deadline, self.order, ticket))
+                self.sequence += 1
+                heappush(self.heap, (ticket.deadline, self.sequence, ticket))
         return admitted
 
-    def _move_in(self, ticket: Ticket, now: float, admitted: list[Ticket]) -> None:
+    def _admit_queued(self, ticket: Ticket, now: float, admitted: list[Ticket]) -> None:
         self._unqueue(ticket)
         self._admit(ticket, now)
         admitted.append(ticket)
 
     def _oldest_wait(self, now: float) -> float:
-        return max((now - t.arrived for _, _, t in self.heap if t.waiting), default=0.0)
+        return max((now - t.arrived_at for _, _, t in self.heap if t.waiting), default=0.0)
 
 
-def _less(counts: Counter[str], caller: str) -> None:
+def _decrement(counts: Counter[str], caller: str) -> None:
     counts[caller] -= 1
     if counts[caller] <= 0:
         del counts[caller]
--- a/sequoiabridge/policy/averages.py
+++ b/sequoiabridge/policy/averages.py
@@ -9,16 +9,16 @@
 if TYPE_CHECKING:
     from .evidence import UpstreamEvidence
 
-FIRST_LATENCY = 0.01
+INITIAL_LATENCY_SECONDS = 0.01
 """Seconds assumed for a call before anything was measured."""
 
-FEWEST_OUTCOMES = 8
+MIN_REFRESH_OUTCOMES = 8
 """Outcomes after which the averages of a small pool are worked out anew."""
 
-INTERVAL_GAIN = 0.02
+INTERVAL_WEIGHT = 0.02
 """Weight of the newest gap between two calls in their mean."""
 
-LONGEST_GAP = 1.0
+MAX_INTERVAL_SECONDS = 1.0
 """Seconds that one gap between calls counts as at most."""
 
 
@@ -47,7 +47,7 @@
     )
 
     def __init__(self):
-        self.latency = FIRST_LATENCY
+        self.latency = INITIAL_LATENCY_SECONDS
         self.other_load = 0.0
         self.failure_share = 0.0
         self.outcomes_until_refresh = 0
@@ -58,15 +58,15 @@
     def record_call(self, now: float) -> None:
         """Count a call of this daemon, for the mean gap between them."""
         if self.last_call_at is not None:
-            gap = min(LONGEST_GAP, now - self.last_call_at)
-            self.call_interval += INTERVAL_GAIN * (gap - self.call_interval)
+            interval = min(MAX_INTERVAL_SECONDS, now - self.last_call_at)
+            self.call_interval += INTERVAL_WEIGHT * (interval - self.call_interval)
         self.last_call_at = now
 
     def record_outcome(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
         """Count one more outcome; work the averages out anew once each upstream had about one."""
         self.outcomes_until_refresh -= 1
         if self.outcomes_until_refresh <= 0:
-            self.outcomes_until_refresh = max(FEWEST_OUTCOMES, len(upstreams))
+            self.outcomes_until_refresh = max(MIN_REFRESH_OUTCOMES, len(upstreams))
             self.refresh(upstreams, now)
 
     def refresh(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -10,22 +10,22 @@
 from .base import Chooser, ScoredUpstream
 from .evidence import UpstreamEvidence
 
-SPREAD = 0.1
+MAX_JITTER_SHARE = 0.1
 """Largest random share added to a cost, so that daemons with the same news part."""
 
-OVERDUE_FROM = 2.0
+OVERDUE_FREE_RATIO = 2.0
 """A call in flight counts against its upstream from this multiple of the pool's latency."""
 
 OVERDUE_COST = 0.5
 """Work per slot that one more multiple of lateness counts as."""
 
-MOST_OVERDUE = 20.0
+MAX_OVERDUE_RATIO = 20.0
 """Multiples of lateness that count at most: an upload may take an hour."""
 
 FAILURE_COST = 6.0
 """Work per slot that failing on every call counts as, next to a pool that never fails."""
 
-FAILURE_FROM = 0.1
+IGNORED_FAILURE_SHARE = 0.1
 """Share of failures over the pool's that is let pass, so that old failures are forgotten."""
 
 SHED_COST = 4.0
@@ -34,10 +34,10 @@
 SUSPECT_COST = 1.0
 """Work per slot that other VMs' suspicion counts as, at most."""
 
-ROUNDING = 1.0 - 1e-9
+ROUNDING_FACTOR = 1.0 - 1e-9
 """Keeps a bound under the score that it bounds, whatever the rounding of either."""
 
-SLOW_FROM = 2.0
+SLOW_LATENCY_RATIO = 2.0
 """Latency, as a multiple of the pool's, from which an upstream counts as slow."""
 
 
@@ -61,17 +61,17 @@
         tried: Collection[str] = (),
     ) -> UpstreamEvidence | None:
         best, lowest = None, float("inf")
-        draw, spread, rounding = random.random, SPREAD, ROUNDING
+        draw, spread, rounding = random.random, MAX_JITTER_SHARE, ROUNDING_FACTOR
         for candidate in untried(candidates, tried):
             factor = 1.0 + spread * draw()
             slots = candidate.slots
-            others = candidate.averages.other_load * slots
-            if candidate.other_calls < others:
-                others = candidate.other_calls
+            other_calls = candidate.averages.other_load * slots
+            if candidate.other_calls < other_calls:
+                other_calls = candidate.other_calls
             # A bound that costs a fraction of the score: however old the report, others' work
             # counts as something between it and the average, and all other evidence adds.
-            least = (others + len(candidate.start_times) + 1.0) / slots
-            if least * factor * rounding > lowest:
+            lower_bound = (other_calls + len(candidate.start_times) + 1.0) / slots
+            if lower_bound * factor * rounding > lowest:
                 continue
             score = self.score(candidate, now) * factor
             if score < lowest:
@@ -90,15 +90,15 @@
     def score(self, upstream: UpstreamEvidence, now: float) -> float:
         """Return the upstream's cost for one more call; the least is chosen."""
         cost = upstream.load(now) + 1.0 / upstream.slots
-        if upstream.samples and upstream.latency > SLOW_FROM * upstream.averages.latency:
-            cost *= max(1.0, upstream.latency_ratio(now) / SLOW_FROM)
+        if upstream.samples and upstream.latency > SLOW_LATENCY_RATIO * upstream.averages.latency:
+            cost *= max(1.0, upstream.latency_ratio(now) / SLOW_LATENCY_RATIO)
         if upstream.start_times:
-            late = upstream.overdue_ratio(now) - OVERDUE_FROM
+            late = upstream.overdue_ratio(now) - OVERDUE_FREE_RATIO
             if late > 0.0:
-                cost += OVERDUE_COST * min(late, MOST_OVERDUE)
+                cost += OVERDUE_COST * min(late, MAX_OVERDUE_RATIO)
         if upstream.last_failure_share:
             more = upstream.failure_share(now) - upstream.averages.failure_share
-            if more > FAILURE_FROM:
+            if more > IGNORED_FAILURE_SHARE:
                 cost += FAILURE_COST * more
         if upstream.shed_until > now:
             cost += SHED_COST
--- a/sequoiabridge/policy/concurrency.py
+++ b/sequoiabridge/policy/concurrency.py
@@ -11,31 +11,31 @@
 
 from math import exp
 
-CROWDED_SHARE = 0.25
+CONGESTED_TIME_SHARE = 0.25
 """Mean part of the time left to a call, when admitted, from which a round may be crowded."""
 
-CROWDED_LATENCY = 1.5
+CONGESTED_LATENCY_RATIO = 1.5
 """Mean latency, as a multiple of the base, from which a round may be crowded."""
 
-DECREASE = 0.85
+DECREASE_FACTOR = 0.85
 """Factor on the limit after a bad round."""
 
-INCREASE = 1.0
+INCREASE_CALLS = 1.0
 """Calls by which the limit grows after a good round that used it."""
 
-IN_USE = 0.8
+MIN_USED_SHARE = 0.8
 """Share of the limit that must run for it to grow."""
 
-FAILED_SHARE = 0.1
+MAX_FAILED_SHARE = 0.1
 """Share of failed calls that makes a round a bad one."""
 
-FEWEST_ANSWERS = 32
+MIN_ROUND_CALLS = 32
 """Answers that make a round at least."""
 
-BASE_FADE = 60.0
+BASE_DECAY_SECONDS = 60.0
 """Seconds in which the base follows a lasting rise by 63%; a fall it follows at once."""
 
-HALF_EVERY = 5.0
+HALVED_ROUND_INTERVAL_SECONDS = 5.0
 """Seconds between rounds at half the limit."""
 
 
@@ -52,10 +52,10 @@
         self.value = float(initial)
         self.lowest = lowest
         self.highest = highest
-        self.base: float | None = None
-        self.base_at = 0.0
+        self.base_latency: float | None = None
+        self.base_updated_at = 0.0
         self.halved = False
-        self.halved_at = 0.0
+        self.last_halved_at = 0.0
         self.start_round()
 
     @property
@@ -67,11 +67,13 @@
         """Forget the counts of the last round."""
         self.answers = 0
         self.failed = 0
-        self.peak = 0
-        self.latency = 0.0
-        self.share = 0.0
+        self.peak_running = 0
+        self.latency_sum = 0.0
+        self.time_share_sum = 0.0
 
-    def ended(self, now: float, latency: float, time_left: float, ok: bool, running: int) -> None:
+    def record_end(
+        self, now: float, latency: float, time_left: float, ok: bool, running: int
+    ) -> None:
         """A call ended; judge the round when it is full.
 
         Args:
@@ -81,39 +83,46 @@
             ok: It got a usable answer.
             running: Calls that ran, it included.
         """
-        self.peak = max(self.peak, running)
+        self.peak_running = max(self.peak_running, running)
         if ok:
             self.answers += 1
-            self.latency += latency
-            self.share += min(1.0, latency / max(time_left, 1e-6))
+            self.latency_sum += latency
+            self.time_share_sum += min(1.0, latency / max(time_left, 1e-6))
         else:
             self.failed += 1
-        if self.answers + self.failed >= max(FEWEST_ANSWERS, self.allowed):
-            self._judge(now)
+        if self.answers + self.failed >= max(MIN_ROUND_CALLS, self.allowed):
+            self._adjust(now)
             self.start_round()
 
-    def _judge(self, now: float) -> None:
-        crowded = self.failed > FAILED_SHARE * (self.answers + self.failed)
+    def _adjust(self, now: float) -> None:
+        congested = self.failed > MAX_FAILED_SHARE * (self.answers + self.failed)
         if self.answers:
-            mean = self.latency / self.answers
-            self._learn_base(mean, now)
-            slow = mean > CROWDED_LATENCY * self.base
-            crowded = crowded or (slow and self.share / self.answers > CROWDED_SHARE)
+            mean = self.latency_sum / self.answers
+            self._update_base_latency(mean, now)
+            slow = mean > CONGESTED_LATENCY_RATIO * self.base_latency
+            congested = congested or (
+                slow and self.time_share_sum / self.answers > CONGESTED_TIME_SHARE
+            )
         if self.halved:
             self.halved = False
-        elif crowded:
-            self.value = max(self.lowest, self.value * DECREASE)
-        elif self.peak >= IN_USE * self.allowed:
-            self.value = min(self.highest, self.value + INCREASE)
-            self._halve_sometimes(now)
-
-    def _halve_sometimes(self, now: float) -> None:
-        if now - self.halved_at >= HALF_EVERY and self.value >= 2 * self.lowest:
-            self.halved, self.halved_at = True, now
-
-    def _learn_base(self, mean: float, now: float) -> None:
-        if self.base is None or mean < self.base:
-            self.base = mean
+        elif congested:
+            self.value = max(self.lowest, self.value * DECREASE_FACTOR)
+        elif self.peak_running >= MIN_USED_SHARE * self.allowed:
+            self.value = min(self.highest, self.value + INCREASE_CALLS)
+            self._start_halved_round(now)
+
+    def _start_halved_round(self, now: float) -> None:
+        if (
+            now - self.last_halved_at >= HALVED_ROUND_INTERVAL_SECONDS
+            and self.value >= 2 * self.lowest
+        ):
+            self.halved, self.last_halved_at = True, now
+
+    def _update_base_latency(self, mean: float, now: float) -> None:
+        if self.base_latency is None or mean < self.base_latency:
+            self.base_latency = mean
         else:
-            self.base += (1.0 - exp((self.base_at - now) / BASE_FADE)) * (mean - self.base)
-        self.base_at = now
+            self.base_latency += (1.0 - exp((self.base_updated_at - now) / BASE_DECAY_SECONDS)) * (
+                mean - self.base_latency
+            )
+        self.base_updated_at = now
--- a/sequoiabridge/policy/shares.py
+++ b/sequoiabridge/policy/connection_shares.py
@@ -9,13 +9,13 @@
 
 from math import ceil
 
-JOINING_SHARE = 0.25
+JOINING_VM_SHARE = 0.25
 """Share of the live VMs that may join unnoticed without filling the instance."""
 
-FEWEST_JOINING = 1
+MIN_JOINING_VMS = 1
 """VMs that may join unnoticed at least: one replacement."""
 
-CAUTION_TIME = 30.0
+DEPARTED_VM_SECONDS = 30.0
 """Seconds for which a VM that is gone keeps its part: it may be paused, or only unheard."""
 
 
@@ -26,7 +26,7 @@
     is too many by itself.
     """
     live = max(1, live_vms)
-    joining = max(FEWEST_JOINING, ceil(JOINING_SHARE * live))
+    joining = max(MIN_JOINING_VMS, ceil(JOINING_VM_SHARE * live))
     return max(1, connections // (live + joining))
 
 
@@ -44,6 +44,6 @@
 
     def update(self, live_vms: int, now: float) -> int:
         """Take in how many VMs are live now; return the count to share by."""
-        self.peaks = [p for p in self.peaks if p[0] > now - CAUTION_TIME and p[1] > live_vms]
+        self.peaks = [p for p in self.peaks if p[0] > now - DEPARTED_VM_SECONDS and p[1] > live_vms]
         self.peaks.append((now, live_vms))
         return self.peaks[0][1]
--- a/sequoiabridge/policy/drains.py
+++ b/sequoiabridge/policy/drains.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Container
 
-REMEMBERED = 256
+MAX_UNKNOWN_UPSTREAMS = 256
 """Words kept about upstreams that the configuration does not name (yet)."""
 
 
-class DrainWord:
-    """An upstream's newest word: whether it is leaving, and its incarnation."""
+class DrainState:
+    """An upstream's newest state: whether it is leaving, and its incarnation."""
 
     __slots__ = ("incarnation", "leaving")
 
@@ -27,38 +27,38 @@
     """The newest word of each upstream of a service."""
 
     def __init__(self):
-        self.words: dict[str, DrainWord] = {}
+        self.states: dict[str, DrainState] = {}
 
     def draining(self, name: str) -> int | None:
         """Return the incarnation with which the upstream is leaving, or None if it stays."""
-        word = self.words.get(name)
-        return word.incarnation if word is not None and word.leaving else None
+        state = self.states.get(name)
+        return state.incarnation if state is not None and state.leaving else None
 
     def drain(self, name: str, incarnation: int) -> bool:
         """The upstream is leaving; return whether that is news."""
-        word = self.words.get(name)
-        if word is not None:
-            if incarnation < word.incarnation:
+        state = self.states.get(name)
+        if state is not None:
+            if incarnation < state.incarnation:
                 return False
-            if incarnation == word.incarnation and word.leaving:
+            if incarnation == state.incarnation and state.leaving:
                 return False
-        self._put(name, DrainWord(incarnation, True))
+        self._store(name, DrainState(incarnation, True))
         return True
 
     def resume(self, name: str, incarnation: int) -> bool:
         """The upstream is back; return whether that is news."""
-        word = self.words.get(name)
-        if word is not None and incarnation <= word.incarnation:
+        state = self.states.get(name)
+        if state is not None and incarnation <= state.incarnation:
             return False
-        self._put(name, DrainWord(incarnation, False))
+        self._store(name, DrainState(incarnation, False))
         return True
 
-    def forget_strangers(self, known: Container[str]) -> None:
+    def forget_unknown(self, known: Container[str]) -> None:
         """Keep only the newest words about upstreams that are not `known`."""
-        strangers = [name for name in self.words if name not in known]
-        for name in strangers[:-REMEMBERED]:
-            del self.words[name]
+        unknown = [name for name in self.states if name not in known]
+        for name in unknown[:-MAX_UNKNOWN_UPSTREAMS]:
+            del self.states[name]
 
-    def _put(self, name: str, word: DrainWord) -> None:
-        self.words.pop(name, None)
-        self.words[name] = word
+    def _store(self, name: str, state: DrainState) -> None:
+        self.states.pop(name, None)
+        self.states[name] = state
--- a/sequoiabridge/policy/ejection.py
+++ b/sequoiabridge/policy/ejection.py
@@ -11,37 +11,37 @@
 
 from .evidence import UpstreamEvidence
 
-FIRST_EJECTION = 0.25
+BASE_EJECTION_SECONDS = 0.25
 """Seconds of a first ejection, at least."""
 
-FIRST_EJECTION_CALLS = 200
+BASE_EJECTION_CALLS = 200
 """Calls of this daemon that a first ejection lasts at least: trials spoil few of them."""
 
-LONGEST_EJECTION = 16.0
+MAX_EJECTION_SECONDS = 16.0
 """Seconds that an ejection lasts at most."""
 
-FAILURES_IN_ROW = 3
+MIN_CONSECUTIVE_FAILURES = 3
 """Failures in a row for which an upstream is ejected, if its pool does better."""
 
-FAILURE_LIMIT = 0.4
+MIN_FAILURE_SHARE = 0.4
 """Share of failures from which an upstream may be ejected."""
 
-FAILURE_RATIO = 1.5
+MIN_FAILURE_RATIO = 1.5
 """How many times the pool's share of failures an ejected upstream's must be."""
 
-SLOW_LIMIT = 4.0
+MAX_LATENCY_RATIO = 4.0
 """Latency, as a multiple of the pool's, for which an upstream is ejected."""
 
-OVERDUE_LIMIT = 8.0
+MAX_OVERDUE_RATIO = 8.0
 """Age of a call in flight, as a multiple of the pool's latency, for the same."""
 
-FEWEST_SAMPLES = 2
+MIN_LATENCY_SAMPLES = 2
 """Answers without which an upstream is not ejected for its latency."""
 
-TRIAL_LATENCY = 3.0
+TRIAL_LATENCY_RATIO = 3.0
 """Latency, as a multiple of the pool's, up to which an answer on trial is a good one."""
 
-TRIALS = 3
+TRIAL_ANSWERS = 3
 """Good answers in a row that end a trial."""
 
 
@@ -53,7 +53,7 @@
         self.random = random
         self.count = 0
 
-    def allowed(self, total: int) -> int:
+    def max_ejected(self, total: int) -> int:
         """Return how many of `total` upstreams may be out: the cap, but one of three or more."""
         if self.cap <= 0.0 or total < 3:
             return 0
@@ -62,22 +62,22 @@
     def should_eject(self, upstream: UpstreamEvidence, now: float) -> bool:
         """Return whether its failures or its latency stand out from its pool."""
         averages = upstream.averages
-        if upstream.consecutive_failures >= FAILURES_IN_ROW:
+        if upstream.consecutive_failures >= MIN_CONSECUTIVE_FAILURES:
             share = upstream.failure_share(now)
-            return share > max(FAILURE_LIMIT, FAILURE_RATIO * averages.failure_share)
-        if upstream.samples < FEWEST_SAMPLES:
+            return share > max(MIN_FAILURE_SHARE, MIN_FAILURE_RATIO * averages.failure_share)
+        if upstream.samples < MIN_LATENCY_SAMPLES:
             return False
         latency_ratio = upstream.latency_ratio(now)
-        return latency_ratio > SLOW_LIMIT or (
-            latency_ratio > 2.0 and upstream.overdue_ratio(now) > OVERDUE_LIMIT
+        return latency_ratio > MAX_LATENCY_RATIO or (
+            latency_ratio > 2.0 and upstream.overdue_ratio(now) > MAX_OVERDUE_RATIO
         )
 
     def eject(self, upstream: UpstreamEvidence, now: float, ejected: int, total: int) -> bool:
         """Eject it unless the cap forbids; `ejected` of `total` upstreams are out already."""
-        if ejected >= self.allowed(total):
+        if ejected >= self.max_ejected(total):
             return False
-        first = max(FIRST_EJECTION, FIRST_EJECTION_CALLS * upstream.averages.call_interval)
-        length = min(LONGEST_EJECTION, first * 2**upstream.ejections)
+        first = max(BASE_EJECTION_SECONDS, BASE_EJECTION_CALLS * upstream.averages.call_interval)
+        length = min(MAX_EJECTION_SECONDS, first * 2**upstream.ejections)
         upstream.ejected_until = now + length * self.random.uniform(0.75, 1.25)
         upstream.ejections += 1
         upstream.on_trial = True
@@ -90,7 +90,7 @@
         if slow:
             return True
         upstream.good_trials += 1
-        if upstream.good_trials >= TRIALS:
+        if upstream.good_trials >= TRIAL_ANSWERS:
             upstream.on_trial = False
             upstream.ejections = 0
             upstream.samples = 0
--- a/sequoiabridge/policy/evidence.py
+++ b/sequoiabridge/policy/evidence.py
@@ -12,32 +12,32 @@
 from .averages import PoolAverages
 from .base import LoadReport
 
-REPORT_FADE = 1.5
+REPORT_DECAY_LATENCIES = 1.5
 """Times the pool's latency in which a load report loses 63% of its weight.
 
 A queue lives as long as the calls in it: news of it ages by their length, not by the clock.
 """
 
-LATENCY_FADE = 5.0
+LATENCY_DECAY_SECONDS = 5.0
 """Seconds in which the mean latency of an upstream loses 63% of its weight, at least."""
 
-FAILURE_FADE = 2.0
+FAILURE_DECAY_SECONDS = 2.0
 """Seconds in which the share of failures loses 63% of its weight, at least."""
 
-LATENCY_FADE_CALLS = 500
+LATENCY_DECAY_CALLS = 500
 """Calls of this daemon in which the same happens at least: a quiet daemon must not forget sooner
 than it can learn."""
 
-FAILURE_FADE_CALLS = 500
+FAILURE_DECAY_CALLS = 500
 """The same for failures."""
 
-IDLE_FAILURES = 0.05
+MAX_IDLE_FAILURE_SHARE = 0.05
 """Share of failures from which a report of little work is no reason to choose an upstream."""
 
-LATENCY_GAIN = 0.2
+LATENCY_WEIGHT = 0.2
 """Weight of the newest latency in an upstream's mean."""
 
-FAILURE_GAIN = 0.2
+OUTCOME_WEIGHT = 0.2
 """Weight of the newest outcome in an upstream's share of failures."""
 
 
@@ -177,11 +177,13 @@
     def load(self, now: float) -> float:
         """Return the estimated work at the upstream per slot, this daemon's calls included."""
         average = self.averages.other_load * self.slots
-        weight = self.trust * exp((self.report_at - now) / (REPORT_FADE * self.averages.latency))
+        weight = self.trust * exp(
+            (self.report_at - now) / (REPORT_DECAY_LATENCIES * self.averages.latency)
+        )
         if (
             self.other_calls < average
             and self.last_failure_share
-            and self.failure_share(now) > IDLE_FAILURES
+            and self.failure_share(now) > MAX_IDLE_FAILURE_SHARE
         ):
             weight = 0.0
         others = average + (self.other_calls - average) * weight
@@ -191,16 +193,16 @@
         """Return its mean latency as a multiple of the pool's; fades to 1 with age."""
         if not self.samples:
             return 1.0
-        fade = max(LATENCY_FADE, LATENCY_FADE_CALLS * self.averages.call_interval)
-        weight = exp((self.latency_at - now) / fade)
+        decay = max(LATENCY_DECAY_SECONDS, LATENCY_DECAY_CALLS * self.averages.call_interval)
+        weight = exp((self.latency_at - now) / decay)
         return 1.0 + (self.latency / self.averages.latency - 1.0) * weight
 
     def failure_share(self, now: float) -> float:
         """Return the recent share of its calls that failed; fades to 0 with age."""
         if not self.last_failure_share:
             return 0.0
-        fade = max(FAILURE_FADE, FAILURE_FADE_CALLS * self.averages.call_interval)
-        return self.last_failure_share * exp((self.last_outcome_at - now) / fade)
+        decay = max(FAILURE_DECAY_SECONDS, FAILURE_DECAY_CALLS * self.averages.call_interval)
+        return self.last_failure_share * exp((self.last_outcome_at - now) / decay)
 
     def overdue_ratio(self, now: float) -> float:
         """Return the age of its oldest call in flight as a multiple of the pool's latency."""
@@ -213,14 +215,14 @@
         if not self.averages.latency_known:
             self.averages.latency, self.averages.latency_known = elapsed, True
         mean = self.averages.latency * self.latency_ratio(now)
-        self.latency = mean + LATENCY_GAIN * (elapsed - mean)
+        self.latency = mean + LATENCY_WEIGHT * (elapsed - mean)
         self.samples += 1
         self.latency_at = now
 
     def record_outcome(self, now: float, failed: bool) -> None:
         """Take in whether one call failed."""
         share = self.failure_share(now)
-        self.last_failure_share = share + FAILURE_GAIN * (failed - share)
+        self.last_failure_share = share + OUTCOME_WEIGHT * (failed - share)
         self.last_outcome_at = now
         self.consecutive_failures = self.consecutive_failures + 1 if failed else 0
 
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -8,34 +8,34 @@
 
 from .base import Chooser, Failure, LoadReport, ScoredUpstream
 from .drains import DrainLedger
-from .ejection import TRIAL_LATENCY, Ejector
+from .ejection import TRIAL_LATENCY_RATIO, Ejector
 from .evidence import PoolAverages, UpstreamEvidence, UpstreamSpec
 from .options import PoolOptions
-from .suspicions import SUSPECT_SLOWNESS, suspect, weigh_suspicions
-from .trust import weigh_trust
+from .suspicions import SUSPECT_LATENCY_RATIO, apply_suspicions, record_suspicion
+from .trust import update_trust
 
-SMALL_POOL = 64
+UNSAMPLED_POOL_SIZE = 64
 """Upstreams up to which every choice looks at all of them."""
 
-SAMPLE = 32
+SAMPLE_SIZE = 32
 """Upstreams that a choice looks at in a larger pool, so that its cost stays flat."""
 
-PROBED_KEPT = 5
+MAX_RECENTLY_PROBED = 5
 """Upstreams probed last that a choice in a larger pool looks at too."""
 
-SLOW_START = 5.0
+SLOW_START_SECONDS = 5.0
 """Seconds over which the share of a cold upstream grows to a full one."""
 
-FIRST_SHARE = 0.1
+SLOW_START_MIN_SHARE = 0.1
 """Share of a full upstream's chances that a cold one starts with."""
 
-SHED_PAUSE = 0.02
+MIN_SHED_BACKOFF_SECONDS = 0.02
 """Seconds for which a first refusal keeps work away; doubles with each in a row."""
 
-LONGEST_SHED_PAUSE = 0.64
+MAX_SHED_BACKOFF_SECONDS = 0.64
 """Seconds for which refusals keep work away at most."""
 
-HEARD_DELAY = 0.05
+PEER_REPORT_DELAY_SECONDS = 0.05
 """Seconds after which words of other VMs take effect at the latest, many at a time."""
 
 
@@ -53,8 +53,8 @@
         self.drains = DrainLedger()
         self.usable: list[UpstreamEvidence] = []
         self.cold: list[UpstreamEvidence] = []
-        self.probed_lately: deque[UpstreamEvidence] = deque(maxlen=PROBED_KEPT)
-        self.stale_at = float("-inf")
+        self.recently_probed: deque[UpstreamEvidence] = deque(maxlen=MAX_RECENTLY_PROBED)
+        self.refresh_at = float("-inf")
 
     def configure(self, options: PoolOptions, chooser: Chooser) -> None:
         """Take over changed options of the service; the evidence stays."""
@@ -78,7 +78,7 @@
             self.upstreams[spec.name] = evidence
         for evidence in old.values():
             evidence.gone = True
-        self.drains.forget_strangers(self.upstreams)
+        self.drains.forget_unknown(self.upstreams)
         self._refresh(now)
 
     def choose(self, now: float, tried: Collection[str] = ()) -> UpstreamEvidence | None:
@@ -93,7 +93,7 @@
 
     def explain(self, now: float) -> list[ScoredUpstream]:
         """Return how each upstream weighs now, best first, then those that get no work."""
-        if now >= self.stale_at:
+        if now >= self.refresh_at:
             self._refresh(now)
         weighed = self.chooser.explain(self.usable, now)
         for upstream in self.upstreams.values():
@@ -144,9 +144,9 @@
         self.averages.record_outcome(self.upstreams.values(), now)
         if report is not None:
             evidence.record_report(now, report)
-            weigh_trust(evidence, now)
+            update_trust(evidence, now)
         if evidence.on_trial:
-            self._judge_trial(evidence, now, elapsed > TRIAL_LATENCY * self.averages.latency)
+            self._judge_trial(evidence, now, elapsed > TRIAL_LATENCY_RATIO * self.averages.latency)
         elif self.ejector.should_eject(evidence, now):
             self._eject(evidence, now)
 
@@ -156,11 +156,11 @@
         """An attempt ended without a usable answer."""
         evidence.record_end(now, elapsed)
         if failure in (Failure.CANCELLED, Failure.TIMEOUT):
-            self._took_at_least(evidence, now, elapsed)
+            self._record_min_latency(evidence, now, elapsed)
         if failure is Failure.SHED:
-            self._shed(evidence, now)
+            self._back_off(evidence, now)
         elif failure is not Failure.CANCELLED:
-            self._failed(evidence, now)
+            self._record_failed_call(evidence, now)
         if evidence.on_trial:
             self._refresh(now)
 
@@ -180,10 +180,10 @@
             return
         upstream.record_report(now, LoadReport(in_flight, upstream.slots, age))
         if suspected:
-            suspect(upstream, sender, age, now)
+            record_suspicion(upstream, sender, age, now)
         elif upstream.suspected_by.pop(sender, None) is None:
             return
-        self.stale_at = min(self.stale_at, now + HEARD_DELAY)
+        self.refresh_at = min(self.refresh_at, now + PEER_REPORT_DELAY_SECONDS)
 
     def undrained_upstreams(self) -> list[UpstreamEvidence]:
         """Return the upstreams that neither leave nor are drained by the operator."""
@@ -191,7 +191,7 @@
 
     def possible_suspects(self) -> Iterator[UpstreamEvidence]:
         """Yield upstreams at work or perhaps slow: a cheap test before `is_local_suspect`."""
-        slow = self.averages.latency * SUSPECT_SLOWNESS
+        slow = self.averages.latency * SUSPECT_LATENCY_RATIO
         for upstream in self.upstreams.values():
             maybe_slow = upstream.samples and upstream.latency > slow
             if upstream.start_times or upstream.on_trial or maybe_slow:
@@ -202,7 +202,7 @@
         upstream = self.upstreams.get(name)
         if upstream is not None:
             upstream.record_report(now, report)
-            self.probed_lately.append(upstream)
+            self.recently_probed.append(upstream)
 
     def drain(self, name: str, incarnation: int, now: float) -> bool:
         """The upstream is leaving; return whether that is news."""
@@ -233,14 +233,14 @@
 
     def _candidates(self, now: float, tried: Collection[str]) -> Sequence[UpstreamEvidence]:
         """Return whom to choose from: all of a small pool; of a large one some, and the probed."""
-        if now >= self.stale_at:
+        if now >= self.refresh_at:
             self._refresh(now)
         candidates: Sequence[UpstreamEvidence] = self.usable
-        if len(candidates) > SMALL_POOL:
-            candidates = self.random.sample(candidates, SAMPLE + len(tried))
-            candidates += [u for u in self.probed_lately if not self.why_unusable(u, now)]
+        if len(candidates) > UNSAMPLED_POOL_SIZE:
+            candidates = self.random.sample(candidates, SAMPLE_SIZE + len(tried))
+            candidates += [u for u in self.recently_probed if not self.why_unusable(u, now)]
         if self.cold:
-            candidates = self._warm_enough(candidates, now)
+            candidates = self._apply_slow_start(candidates, now)
         return candidates
 
     def _add(self, spec: UpstreamSpec, cold_since: float | None) -> UpstreamEvidence:
@@ -252,7 +252,7 @@
     def _apply_drain(self, name: str, now: float) -> None:
         upstream = self.upstreams.get(name)
         if upstream is None:
-            self.drains.forget_strangers(self.upstreams)
+            self.drains.forget_unknown(self.upstreams)
             return
         draining = self.drains.draining(name)
         if upstream.draining is not None and draining is None:
@@ -264,26 +264,26 @@
         """Work out anew which upstreams may be used, and until when that holds."""
         undrained = self.undrained_upstreams()
         self.usable = [u for u in undrained if not self.why_unusable(u, now)]
-        self.stale_at = weigh_suspicions(undrained, self.ejector.allowed(len(undrained)), now)
+        self.refresh_at = apply_suspicions(undrained, self.ejector.max_ejected(len(undrained)), now)
         for upstream in undrained:
             if upstream.ejected_until > now:
-                self.stale_at = min(self.stale_at, upstream.ejected_until)
-            if upstream.cold_since is not None and now - upstream.cold_since >= SLOW_START:
+                self.refresh_at = min(self.refresh_at, upstream.ejected_until)
+            if upstream.cold_since is not None and now - upstream.cold_since >= SLOW_START_SECONDS:
                 upstream.cold_since = None
         self.cold = [u for u in self.usable if u.cold_since is not None]
         self.usable = self.usable or undrained
         if self.cold:
-            end = min(u.cold_since for u in self.cold) + SLOW_START
-            self.stale_at = min(self.stale_at, end)
+            end = min(u.cold_since for u in self.cold) + SLOW_START_SECONDS
+            self.refresh_at = min(self.refresh_at, end)
 
-    def _warm_enough(
+    def _apply_slow_start(
         self, candidates: Sequence[UpstreamEvidence], now: float
     ) -> Sequence[UpstreamEvidence]:
         """Leave each cold upstream out of some choices, of fewer as it warms up."""
         kept = []
         for upstream in candidates:
             if upstream.cold_since is not None:
-                share = max(FIRST_SHARE, (now - upstream.cold_since) / SLOW_START)
+                share = max(SLOW_START_MIN_SHARE, (now - upstream.cold_since) / SLOW_START_SECONDS)
                 if self.random.random() > share:
                     continue
             kept.append(upstream)
@@ -300,19 +300,21 @@
         if self.ejector.eject(upstream, now, ejected, len(undrained)):
             self._refresh(now)
 
-    def _took_at_least(self, upstream: UpstreamEvidence, now: float, elapsed: float) -> None:
+    def _record_min_latency(self, upstream: UpstreamEvidence, now: float, elapsed: float) -> None:
         """No answer came in `elapsed` seconds: that counts as a latency if it is a long one."""
         if elapsed > self.averages.latency * max(1.0, upstream.latency_ratio(now)):
             upstream.record_latency(now, elapsed)
             if self.ejector.should_eject(upstream, now):
                 self._eject(upstream, now)
 
-    def _shed(self, upstream: UpstreamEvidence, now: float) -> None:
-        pause = min(LONGEST_SHED_PAUSE, SHED_PAUSE * 2**upstream.consecutive_sheds)
-        upstream.shed_until = now + pause * self.random.uniform(0.75, 1.25)
+    def _back_off(self, upstream: UpstreamEvidence, now: float) -> None:
+        backoff = min(
+            MAX_SHED_BACKOFF_SECONDS, MIN_SHED_BACKOFF_SECONDS * 2**upstream.consecutive_sheds
+        )
+        upstream.shed_until = now + backoff * self.random.uniform(0.75, 1.25)
         upstream.consecutive_sheds += 1
 
-    def _failed(self, upstream: UpstreamEvidence, now: float) -> None:
+    def _record_failed_call(self, upstream: UpstreamEvidence, now: float) -> None:
         upstream.record_outcome(now, True)
         self.averages.record_outcome(self.upstreams.values(), now)
         if upstream.on_trial or self.ejector.should_eject(upstream, now):
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -10,32 +10,32 @@
 from collections.abc import Collection, Sequence
 
 from .evidence import UpstreamEvidence
-from .pool import SAMPLE, SMALL_POOL, PoolState
+from .pool import SAMPLE_SIZE, UNSAMPLED_POOL_SIZE, PoolState
 from .suspicions import is_local_suspect
 
 MAX_TOKENS = 8.0
 """Probes that may be saved up."""
 
-KEPT = 6
+RESERVED_TOKENS = 6
 """Probes that background probes leave for asking before a choice."""
 
-FEWEST_ASKED, MOST_ASKED = 3, 5
+MIN_CHOICE_PROBES, MAX_CHOICE_PROBES = 3, 5
 """Upstreams that are asked before one choice."""
 
-YOUNGEST, OLDEST = 0.001, 2.0
+MIN_STALE_SECONDS, MAX_STALE_SECONDS = 0.001, 2.0
 """Seconds of age from which the evidence on the best candidates is worth asking anew, at
 `tail_weight` 1 and 0; the latter also for probes in the background."""
 
-LONGEST_WAIT = 0.3
+MAX_ROUND_TRIP_SHARE = 0.3
 """A round trip is waited for only if it takes at most this share of the pool's latency."""
 
-FIRST_ROUND_TRIP = 0.002
+INITIAL_ROUND_TRIP_SECONDS = 0.002
 """Seconds assumed for a probe before one was answered."""
 
-ROUND_TRIP_GAIN = 0.1
+ROUND_TRIP_WEIGHT = 0.1
 """Weight of the newest round trip in the mean."""
 
-PROBE_GAP = 0.1
+PROBE_INTERVAL_SECONDS = 0.1
 """Seconds between two probes of one upstream in the background, at least."""
 
 
@@ -54,7 +54,7 @@
 
     def __init__(self, per_1000: float, tail_weight: float):
         self.configure(per_1000, tail_weight)
-        self.round_trip = FIRST_ROUND_TRIP
+        self.round_trip = INITIAL_ROUND_TRIP_SECONDS
         self.tokens = 0.0
         self.calls = 0
         self.probes = 0
@@ -64,8 +64,10 @@
     def configure(self, per_1000: float, tail_weight: float) -> None:
         """Take over changed options of the service; what was earned and spent stays."""
         self.per_call = per_1000 / 1000.0
-        self.asked = min(MOST_ASKED, max(FEWEST_ASKED, round(self.per_call)))
-        self.worth_age = OLDEST * (YOUNGEST / OLDEST) ** min(1.0, max(0.0, tail_weight))
+        self.choice_probes = min(MAX_CHOICE_PROBES, max(MIN_CHOICE_PROBES, round(self.per_call)))
+        self.stale_age = MAX_STALE_SECONDS * (MIN_STALE_SECONDS / MAX_STALE_SECONDS) ** min(
+            1.0, max(0.0, tail_weight)
+        )
 
     def record_calls(self, calls: int, now: float) -> None:
         """Calls came in: they pay for probes."""
@@ -74,10 +76,13 @@
 
     def choice_targets(self, pool: PoolState, now: float, tried: Collection[str] = ()) -> list[str]:
         """Return the upstreams to probe before the next choice; wait `wait_timeout` at most."""
-        if self.tokens < self.asked or self.round_trip > LONGEST_WAIT * pool.averages.latency:
+        if (
+            self.tokens < self.choice_probes
+            or self.round_trip > MAX_ROUND_TRIP_SHARE * pool.averages.latency
+        ):
             return []
-        best = pool.shortlist(now, self.asked, tried)
-        if len(best) < 2 or now - min(u.report_at for u in best) < self.worth_age:
+        best = pool.shortlist(now, self.choice_probes, tried)
+        if len(best) < 2 or now - min(u.report_at for u in best) < self.stale_age:
             return []
         return self._take(best, now)
 
@@ -87,10 +92,10 @@
 
     def background_targets(self, pool: PoolState, now: float) -> list[str]:
         """Return whom to probe in the background: suspects first, then the oldest evidence."""
-        spare = int(self.tokens) - KEPT
-        if spare < 1:
+        available = int(self.tokens) - RESERVED_TOKENS
+        if available < 1:
             return []
-        return self._take(self._worth_a_probe(pool, now)[:spare], now)
+        return self._take(self._probe_candidates(pool, now)[:available], now)
 
     def take_token(self) -> bool:
         """Take one probe from the bucket for another purpose; return False if it is empty."""
@@ -102,7 +107,7 @@
 
     def record_answer(self, elapsed: float, size: int, upstream_time: float = 0.0) -> None:
         """A probe came back: its round trip, its bytes both ways, the upstream's seconds for it."""
-        self.round_trip += ROUND_TRIP_GAIN * (elapsed - self.round_trip)
+        self.round_trip += ROUND_TRIP_WEIGHT * (elapsed - self.round_trip)
         self.record_cost(size, upstream_time)
 
     def record_cost(self, size: int, upstream_time: float = 0.0) -> None:
@@ -128,25 +133,29 @@
         self.probes += len(upstreams)
         return [upstream.name for upstream in upstreams]
 
-    def _worth_a_probe(self, pool: PoolState, now: float) -> list[UpstreamEvidence]:
-        suspects, old = [], []
+    def _probe_candidates(self, pool: PoolState, now: float) -> list[UpstreamEvidence]:
+        suspects, stale = [], []
         for upstream in _candidates(pool):
-            if now - upstream.probed_at < PROBE_GAP:
+            if now - upstream.probed_at < PROBE_INTERVAL_SECONDS:
                 continue
             if upstream.suspected or is_local_suspect(upstream, now):
                 suspects.append(upstream)
-            elif now - upstream.report_at >= OLDEST:
-                old.append(upstream)
-        suspects.sort(key=_known_at)
-        old.sort(key=_known_at)
-        return suspects + old
+            elif now - upstream.report_at >= MAX_STALE_SECONDS:
+                stale.append(upstream)
+        suspects.sort(key=_last_report_at)
+        stale.sort(key=_last_report_at)
+        return suspects + stale
 
 
-def _known_at(upstream: UpstreamEvidence) -> float:
+def _last_report_at(upstream: UpstreamEvidence) -> float:
     return max(upstream.report_at, upstream.probed_at)
 
 
 def _candidates(pool: PoolState) -> Sequence[UpstreamEvidence]:
     """Return the upstreams that a probe may be spent on: all, or a sample of many."""
     undrained = pool.undrained_upstreams()
-    return undrained if len(undrained) <= SMALL_POOL else pool.random.sample(undrained, SAMPLE)
+    return (
+        undrained
+        if len(undrained) <= UNSAMPLED_POOL_SIZE
+        else pool.random.sample(undrained, SAMPLE_SIZE)
+    )
--- a/sequoiabridge/policy/retries.py
+++ b/sequoiabridge/policy/retries.py
@@ -11,41 +11,41 @@
 
 from .quantiles import LatencyHistogram
 
-PERIOD = 1.0
+PERIOD_SECONDS = 1.0
 """Seconds that are counted and told together."""
 
-WINDOW = 10
+WINDOW_PERIODS = 10
 """Periods that the budget looks back over, the present one included."""
 
 MIN_FLEET_RETRIES = 10
 """Retries that the fleet may make in a window in which hardly any call came."""
 
-FLOOR = 1
+MIN_PERIOD_RETRIES = 1
 """Retries that each VM may make in a period whatever the ratio says: a little traffic earns hardly
 anything, and one retry a second and VM is no storm."""
 
-SPENT_UNHEARD = 0.25
+PERIOD_SPEND_SHARE = 0.25
 """Share of the room that the VMs spend in a period.
 
 They learn of each other's spending a period late; a quarter is the most that never overshoots.
 """
 
-PATIENT_SHARE, EAGER_SHARE = 0.99, 0.9
+MAX_HEDGE_QUANTILE, MIN_HEDGE_QUANTILE = 0.99, 0.9
 """Share of calls that are answered before a hedge is sent, at `tail_weight` 0 and 1."""
 
-SHORTEST_HEDGE = 0.005
+MIN_HEDGE_SECONDS = 0.005
 """Seconds before which no hedge is sent."""
 
-DEFAULT_HEDGE = 0.1
+DEFAULT_HEDGE_SECONDS = 0.1
 """Seconds to a hedge while too few latencies are known."""
 
-FEWEST_LATENCIES = 50
+MIN_HEDGE_SAMPLES = 50
 """Latencies without which the default holds."""
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Attempts at a call, the first and hedges included."""
 
-LEAST_TIME = 0.005
+MIN_ATTEMPT_SECONDS = 0.005
 """Seconds that must be left for another attempt."""
 
 
@@ -85,7 +85,7 @@
     def __init__(self, ratio: float):
         self.ratio = ratio
         self.own: list[PeriodCount] = []
-        self.others: dict[str, list[PeriodCount]] = {}
+        self.peers: dict[str, list[PeriodCount]] = {}
         self.grant = 0.0
         self.refused = 0
 
@@ -93,8 +93,8 @@
         """Take one retry from the budget; return False if there is none left."""
         count = self._current(now)
         earned = self.grant + self.ratio * count.successes
-        first = MIN_FLEET_RETRIES / (1 + len(self.others))
-        spent = count.retries >= FLOOR and count.retries + 1 > earned
+        first = MIN_FLEET_RETRIES / (1 + len(self.peers))
+        spent = count.retries >= MIN_PERIOD_RETRIES and count.retries + 1 > earned
         if spent and sum(c.retries for c in self.own) >= first:
             self.refused += 1
             return False
@@ -109,7 +109,7 @@
         self, vm: str, period: int, retries: int, successes: int, now: float
     ) -> None:
         """Another VM's counts of one of its periods; an old or repeated word changes nothing."""
-        counts = self.others.setdefault(vm, [])
+        counts = self.peers.setdefault(vm, [])
         if retries < 0 or successes < 0 or (counts and period <= counts[-1].period):
             return
         counts.append(PeriodCount(period, now, retries, successes))
@@ -125,35 +125,35 @@
     def dump(self, now: float) -> dict:
         """Describe the state for operators."""
         self._current(now)
-        others = [count for counts in self.others.values() for count in counts]
+        peer_counts = [count for counts in self.peers.values() for count in counts]
         return {
             "ratio": self.ratio,
             "granted this period": round(self.grant, 1),
             "own retries": sum(c.retries for c in self.own),
             "own successes": sum(c.successes for c in self.own),
-            "other VMs' retries": sum(c.retries for c in others),
-            "other VMs' successes": sum(c.successes for c in others),
-            "vms heard": len(self.others),
+            "other VMs' retries": sum(c.retries for c in peer_counts),
+            "other VMs' successes": sum(c.successes for c in peer_counts),
+            "vms heard": len(self.peers),
             "refused": self.refused,
         }
 
     def _current(self, now: float) -> PeriodCount:
         """Return the count of the present period; on a new one, share out the room."""
-        period = int(now / PERIOD)
+        period = int(now / PERIOD_SECONDS)
         if self.own and self.own[-1].period == period:
             return self.own[-1]
-        self._forget(now)
-        counts = self.own + [count for counts in self.others.values() for count in counts]
+        self._drop_expired(now)
+        counts = self.own + [count for counts in self.peers.values() for count in counts]
         room = sum(self.ratio * c.successes - c.retries for c in counts)
-        self.grant = max(0.0, SPENT_UNHEARD * room / (1 + len(self.others)))
+        self.grant = max(0.0, PERIOD_SPEND_SHARE * room / (1 + len(self.peers)))
         self.own.append(PeriodCount(period, now))
         return self.own[-1]
 
-    def _forget(self, now: float) -> None:
-        oldest = now - WINDOW * PERIOD
+    def _drop_expired(self, now: float) -> None:
+        oldest = now - WINDOW_PERIODS * PERIOD_SECONDS
         self.own = [c for c in self.own if c.at > oldest]
-        kept = {vm: [c for c in counts if c.at > oldest] for vm, counts in self.others.items()}
-        self.others = {vm: counts for vm, counts in kept.items() if counts}
+        kept = {vm: [c for c in counts if c.at > oldest] for vm, counts in self.peers.items()}
+        self.peers = {vm: counts for vm, counts in kept.items() if counts}
 
 
 def hedge_delay(latencies: LatencyHistogram, tail_weight: float) -> float:
@@ -162,10 +162,12 @@
     The delay is the latency that most calls stay under: 99% at `tail_weight` 0, where a hedge's
     extra work counts most, down to 90% at 1, where the tail does.
     """
-    if latencies.total < FEWEST_LATENCIES:
-        return DEFAULT_HEDGE
-    share = PATIENT_SHARE + min(1.0, max(0.0, tail_weight)) * (EAGER_SHARE - PATIENT_SHARE)
-    return max(SHORTEST_HEDGE, latencies.quantile(share) or DEFAULT_HEDGE)
+    if latencies.total < MIN_HEDGE_SAMPLES:
+        return DEFAULT_HEDGE_SECONDS
+    share = MAX_HEDGE_QUANTILE + min(1.0, max(0.0, tail_weight)) * (
+        MIN_HEDGE_QUANTILE - MAX_HEDGE_QUANTILE
+    )
+    return max(MIN_HEDGE_SECONDS, latencies.quantile(share) or DEFAULT_HEDGE_SECONDS)
 
 
 class RetryRule(Protocol):
@@ -175,17 +177,17 @@
 
 
 def may_retry(
-    rule: RetryRule, sent: bool, not_run_proven: bool, attempts: int, time_left: float
+    rule: RetryRule, sent: bool, proven_not_run: bool, attempts: int, time_left: float
 ) -> bool:
     """Return whether a failed call may be tried again, the budget apart.
 
     Args:
         rule: Whether the call is idempotent.
         sent: A byte of it may have reached an upstream in any attempt so far.
-        not_run_proven: Each upstream that got a byte said by its agreed signal that it did not run.
+        proven_not_run: Each upstream that got a byte said by its agreed signal that it did not run.
         attempts: Attempts so far.
         time_left: Seconds until the answer is of no use.
     """
-    if attempts >= MOST_ATTEMPTS or time_left < LEAST_TIME:
+    if attempts >= MAX_ATTEMPTS or time_left < MIN_ATTEMPT_SECONDS:
         return False
-    return rule.idempotent or not sent or not_run_proven
+    return rule.idempotent or not sent or proven_not_run
--- a/sequoiabridge/policy/suspicions.py
+++ b/sequoiabridge/policy/suspicions.py
@@ -9,16 +9,16 @@
 
 from .evidence import UpstreamEvidence
 
-SUSPICION_TIME = 2.0
+SUSPICION_SECONDS = 2.0
 """Seconds for which another VM's suspicion counts."""
 
-FEWEST_SUSPECTING = 2
+MIN_SUSPECTING_VMS = 2
 """Other VMs that must suspect an upstream before it counts."""
 
-SUSPECT_OVERDUE = 4.0
+SUSPECT_OVERDUE_RATIO = 4.0
 """Age of a call in flight, as a multiple of the pool's latency, that makes a suspect."""
 
-SUSPECT_SLOWNESS = 2.0
+SUSPECT_LATENCY_RATIO = 2.0
 """Latency, as a multiple of the pool's, that makes a suspect."""
 
 
@@ -26,24 +26,26 @@
     """Return whether this VM's own calls speak against the upstream; only that is told on."""
     return (
         upstream.on_trial
-        or upstream.overdue_ratio(now) > SUSPECT_OVERDUE
-        or (upstream.samples > 0 and upstream.latency_ratio(now) > SUSPECT_SLOWNESS)
+        or upstream.overdue_ratio(now) > SUSPECT_OVERDUE_RATIO
+        or (upstream.samples > 0 and upstream.latency_ratio(now) > SUSPECT_LATENCY_RATIO)
     )
 
 
-def suspect(upstream: UpstreamEvidence, sender: str, age: float, now: float) -> None:
+def record_suspicion(upstream: UpstreamEvidence, sender: str, age: float, now: float) -> None:
     """Note that another VM suspected the upstream `age` seconds ago."""
-    if age < SUSPICION_TIME:
-        upstream.suspected_by[sender] = now + SUSPICION_TIME - age
+    if age < SUSPICION_SECONDS:
+        upstream.suspected_by[sender] = now + SUSPICION_SECONDS - age
 
 
-def weigh_suspicions(upstreams: Sequence[UpstreamEvidence], most: int, now: float) -> float:
-    """Set `suspected` of each upstream, of none if more than `most` would be.
+def apply_suspicions(
+    upstreams: Sequence[UpstreamEvidence], max_suspected: int, now: float
+) -> float:
+    """Set `suspected` of each upstream, of none if more than `max_suspected` would be.
 
     Returns:
         The time at which the first suspicion ends.
     """
-    ends = float("inf")
+    next_end = float("inf")
     suspected = []
     for upstream in upstreams:
         upstream.suspected = False
@@ -51,10 +53,10 @@
             continue
         live = {vm: end for vm, end in upstream.suspected_by.items() if end > now}
         upstream.suspected_by = live
-        ends = min(ends, *live.values()) if live else ends
-        if len(live) >= FEWEST_SUSPECTING:
+        next_end = min(next_end, *live.values()) if live else next_end
+        if len(live) >= MIN_SUSPECTING_VMS:
             suspected.append(upstream)
-    if len(suspected) <= most:
+    if len(suspected) <= max_suspected:
         for upstream in suspected:
             upstream.suspected = True
-    return ends
+    return next_end
--- a/sequoiabridge/policy/tickets.py
+++ b/sequoiabridge/policy/tickets.py
@@ -10,14 +10,14 @@
 class Ticket:
     """One call that asks to be admitted; times are seconds on the daemon's clock."""
 
-    __slots__ = ("caller", "deadline", "arrived", "weight", "kind", "admitted_at", "waiting")
+    __slots__ = ("caller", "deadline", "arrived_at", "weight", "kind", "admitted_at", "waiting")
 
     def __init__(
-        self, caller: str, deadline: float, arrived: float, weight: float = 1.0, kind: str = ""
+        self, caller: str, deadline: float, arrived_at: float, weight: float = 1.0, kind: str = ""
     ):
         self.caller = caller
         self.deadline = deadline
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         self.weight = weight
         self.kind = kind
         self.admitted_at: float | None = None
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -81,7 +81,7 @@
 
 
 def retry_after_a_byte() -> list[Patch]:
-    def may_retry(rule, sent, not_run_proven, attempts, time_left) -> bool:
+    def may_retry(rule, sent, proven_not_run, attempts, time_left) -> bool:
         return attempts < 3 and time_left > 0.005
 
     return [(dispatch, "may_retry", may_retry)]
--- a/sequoiabridge/tests/policy/test_admission.py
+++ b/sequoiabridge/tests/policy/test_admission.py
@@ -97,22 +97,22 @@
 def test_the_limit_falls_when_crowded_and_grows_only_in_use():
     limit = ConcurrencyLimit(20, 2, 100)
     for _ in range(400):
-        limit.ended(0.0, 0.01, 0.15, True, 3)
+        limit.record_end(0.0, 0.01, 0.15, True, 3)
     assert limit.allowed == 20
     for _ in range(1000):
-        limit.ended(0.0, 0.01, 0.15, True, limit.allowed)
+        limit.record_end(0.0, 0.01, 0.15, True, limit.allowed)
     grown = limit.allowed
     assert grown > 30
     for _ in range(1000):
-        limit.ended(0.0, 0.08, 0.15, True, limit.allowed)
+        limit.record_end(0.0, 0.08, 0.15, True, limit.allowed)
     assert limit.allowed < grown / 2
     for _ in range(4000):
-        limit.ended(0.0, 0.0, 0.15, False, limit.allowed)
+        limit.record_end(0.0, 0.0, 0.15, False, limit.allowed)
     assert limit.allowed == 2
 
 
 def test_work_that_fills_its_window_by_itself_does_not_shrink_the_limit():
     limit = ConcurrencyLimit(20, 2, 100)
     for i in range(4000):
-        limit.ended(i / 100, 0.1, 0.15, True, limit.allowed)
+        limit.record_end(i / 100, 0.1, 0.15, True, limit.allowed)
     assert limit.allowed >= 20
--- a/sequoiabridge/tests/policy/test_crashes.py
+++ b/sequoiabridge/tests/policy/test_crashes.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from ...policy.crashes import FORGET_AFTER, TRIAL_PAUSE, CrashLedger
+from ...policy.crashes import CRASH_RETENTION_SECONDS, TRIAL_DELAY_SECONDS, CrashLedger
 
 UPSTREAMS = 12
 
@@ -28,8 +28,8 @@
     ledger.record_answer("good", 106.0)
     ledger.record_crash("bad", "u3", "vm1", 112.0, 12.0)
     assert ledger.is_blocked("bad", 13.0) and not ledger.is_blocked("good", 13.0)
-    assert not ledger.is_blocked("bad", 13.0 + FORGET_AFTER)
-    assert ledger.list_suspects(13.0 + FORGET_AFTER) == []
+    assert not ledger.is_blocked("bad", 13.0 + CRASH_RETENTION_SECONDS)
+    assert ledger.list_suspects(13.0 + CRASH_RETENTION_SECONDS) == []
 
 
 def test_a_pool_that_loses_its_power_blocks_no_request():
@@ -90,11 +90,11 @@
 
 def test_a_blocked_request_gets_a_trial_after_a_pause_and_its_answer_frees_it():
     ledger = blocked_by_two()
-    assert not ledger.take_trial("page", TRIAL_PAUSE)
-    assert ledger.take_trial("page", TRIAL_PAUSE + 0.4)
-    assert not ledger.take_trial("page", TRIAL_PAUSE + 0.5)
+    assert not ledger.take_trial("page", TRIAL_DELAY_SECONDS)
+    assert ledger.take_trial("page", TRIAL_DELAY_SECONDS + 0.4)
+    assert not ledger.take_trial("page", TRIAL_DELAY_SECONDS + 0.5)
     ledger.record_answer("page", 107.0)
-    assert not ledger.is_blocked("page", TRIAL_PAUSE + 1.0)
+    assert not ledger.is_blocked("page", TRIAL_DELAY_SECONDS + 1.0)
 
 
 def test_a_request_that_crashes_its_trial_waits_twice_as_long_for_the_next():
@@ -102,5 +102,5 @@
     assert ledger.take_trial("page", 6.0)
     ledger.record_crash("page", "u3", "vm1", 106.1, 6.1)
     assert ledger.is_blocked("page", 7.0)
-    assert not ledger.take_trial("page", 6.1 + 2 * TRIAL_PAUSE - 0.1)
-    assert ledger.take_trial("page", 6.1 + 2 * TRIAL_PAUSE + 0.1)
+    assert not ledger.take_trial("page", 6.1 + 2 * TRIAL_DELAY_SECONDS - 0.1)
+    assert ledger.take_trial("page", 6.1 + 2 * TRIAL_DELAY_SECONDS + 0.1)
