--- a/sequoiabridge/experiment/figures.py
+++ b/sequoiabridge/experiment/figures.py
@@ -16,7 +16,7 @@
 kind of call, and the share of requests that were served in time or late."""
 
 PROBE_COST = 0.004
-"""Cost of a probe, in answers in time."""
+"""Cost of a probe, where an answer in time is worth 1."""
 
 Z_95 = 1.96
 """Half the width of a 95% confidence interval, in standard errors."""
@@ -122,10 +122,10 @@
 
 def group_by_window(records: list[RequestRecord]) -> dict[float, list[RequestRecord]]:
     """Return the requests by the start, in seconds, of the window that they started in."""
-    found: dict[float, list[RequestRecord]] = {}
+    groups: dict[float, list[RequestRecord]] = {}
     for record in records:
-        found.setdefault(record.started_at // WINDOW_SECONDS * WINDOW_SECONDS, []).append(record)
-    return found
+        groups.setdefault(record.started_at // WINDOW_SECONDS * WINDOW_SECONDS, []).append(record)
+    return groups
 
 
 def in_time_share_by_window(records: list[RequestRecord]) -> dict[float, float]:
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -91,7 +91,7 @@
 
 
 def apply_overrides(overrides: dict[str, float]) -> None:
-    """Set constants in this process. A constant of type int stays one if the value is whole."""
+    """Set constants in this process. An int stays an int if the new value is whole."""
     known = tunable_constants()
     for name, value in overrides.items():
         module, _, constant = name.partition(".")
--- a/sequoiabridge/experiment/play.py
+++ b/sequoiabridge/experiment/play.py
@@ -13,8 +13,8 @@
 from .vm import ModelVm
 
 DRAIN_SECONDS = 12.0
-"""Time after the last arrival for which the neighbour load keeps changing; all callers have timed
-out by then."""
+"""Time after the last arrival for which the neighbour load keeps changing; longer than a caller
+waits in the example scenes."""
 
 
 class Simulation:
@@ -53,14 +53,14 @@
         return RunResult(self.callers.records, sum(vm.probes_sent for vm in self.vms), hedges)
 
     def _build_upstreams(self, seed: int) -> list[ModelUpstream]:
-        built = []
+        upstreams = []
         for service in self.scene.services:
             for number in range(service.upstreams):
                 id = f"{service.name}-{number}"
                 random = Random(f"{seed}/{id}")
                 data_centre = number % self.scene.data_centres
-                built.append(ModelUpstream(id, data_centre, service, self.scheduler, random))
-        return built
+                upstreams.append(ModelUpstream(id, data_centre, service, self.scheduler, random))
+        return upstreams
 
     def _sample(self, items: list, share: float) -> list:
         return self.random.sample(items, round(share * len(items)))
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -26,9 +26,8 @@
 ORACLE_SHED_COST = 3.0
 """Cost of an upstream that rejects all calls, as a multiple of the work time of a call."""
 
-NO_HEDGE_QUEUE = 1
-"""Queue position in the estimates of the baselines. Calls are not hedged to an upstream with a
-queue."""
+NO_HEDGE_QUEUE_POSITION = 1
+"""Queue position in the estimates of the baselines; prevents hedges, which need a free slot."""
 
 PROBE_POOL_SIZE = 5
 """Number of upstreams that the probe pool probes before each call."""
@@ -68,7 +67,7 @@
     def as_estimate(self, call: Call, upstream: Upstream) -> CostEstimate:
         """Return an estimate for an upstream with placeholder values."""
         work = self.costs.work(call)
-        return CostEstimate(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE, 0.0, 0.0)
+        return CostEstimate(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE_POSITION, 0.0, 0.0)
 
 
 class PowerOfTwoChoices(BaselineChooser):
--- a/sequoiabridge/experiment/scene.py
+++ b/sequoiabridge/experiment/scene.py
@@ -115,7 +115,7 @@
         near, far: One-way latency in seconds, within a data centre and between two.
         words_lost: Share of the messages between VMs that are lost.
         probes_per_second: Maximum rate of probes to an upstream, from all VMs together.
-        far_megabyte: Cost of a megabyte between data centres, in answers in time.
+        far_megabyte: Cost of a megabyte between data centres, where an answer in time is worth 1.
     """
 
     __slots__ = (
--- a/sequoiabridge/experiment/upstream.py
+++ b/sequoiabridge/experiment/upstream.py
@@ -67,14 +67,14 @@
         )
 
     def redraw_neighbours(self, until: float) -> None:
-        """Draw the neighbour load at random, now and then repeatedly until `until`."""
+        """Draw the neighbour load at random now, and again at intervals until the time `until`."""
         is_noisy = self.random.random() < self.service.noisy_share
         self._advance()
         self.neighbour_slowdown = self.service.noisy_factor if is_noisy else 1.0
         self._schedule()
         if self.scheduler.now() < until:
-            pause = self.service.noisy_every * self.random.uniform(0.8, 1.2)
-            self.scheduler.call_later(pause, self.redraw_neighbours, until)
+            interval = self.service.noisy_every * self.random.uniform(0.8, 1.2)
+            self.scheduler.call_later(interval, self.redraw_neighbours, until)
 
     def set_fault(self, name: str, value: float) -> None:
         """Set the attribute `name`, which begins or ends a fault."""
@@ -113,7 +113,7 @@
         )
 
     def _advance(self) -> None:
-        """Account for the work done since the last update."""
+        """Subtract the work done since the last update from the running jobs."""
         now = self.scheduler.now()
         done = (now - self.advanced_at) / self.slowdown()
         for job in self.running:
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -24,7 +24,7 @@
 from .scheduler import Scheduler
 from .upstream import Job, ModelUpstream
 
-RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_FLOOR = 0.2, 10.0, 60.0
+RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_BASE = 0.2, 10.0, 60.0
 """Retry budget of a service in the fleet: retries for each call, the window that they are counted
 over, and retries in a window on top of these."""
 
@@ -37,7 +37,7 @@
         on_answer: Called with the status of the answer and the Retry-After of a refusal in seconds.
         steps: Remaining steps of its dispatch; None before it begins and after it ends.
         jobs: The job of each attempt that runs.
-        generation: Changes with each step; wake-ups for older ones are ignored.
+        generation: Changes with each step; scheduled resumptions of older ones are ignored.
     """
 
     __slots__ = ("work", "on_answer", "steps", "jobs", "generation")
@@ -129,7 +129,7 @@
             Hedging(chooser, costs, self.scheduler),
             Learning(costs, self),
             self.scheduler,
-            lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_FLOOR),
+            lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_BASE),
         )
         self.dispatches.append(self.dispatch)
 
@@ -259,13 +259,13 @@
         )
 
         def on_end(status: int) -> None:
-            self._ended(call, attempt, open_call, status, model)
+            self._attempt_ended(call, attempt, open_call, status, model)
 
         call.jobs[attempt] = job
         self.scheduler.call_later(latency, model.submit, job)
         return attempt
 
-    def _ended(
+    def _attempt_ended(
         self,
         call: ModelCall,
         attempt: CallAttempt,
