--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -157,7 +157,7 @@
             self._upstreams_read,
             self._upstreams_changed,
             self._store_lost,
-            self.upstreams.store_returned,
+            self.upstreams.store_recovered,
         )
 
     def _build_watchers(self) -> None:
@@ -325,7 +325,7 @@
 
     def _configured(self, table: RouteTable) -> None:
         """Let callers have what a configuration that came into force allows them."""
-        self.upstreams.services_named(table.services)
+        self.upstreams.set_services(table.services)
         limits = table.limits
         self.limits.max_head = limits.max_head
         self.limits.max_body = limits.max_body
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -78,7 +78,7 @@
     async def run(self) -> None:
         """Go through with the attempt and judge what comes of it."""
         self.upstream.stats.add_open_call(self.open_call)
-        self.sharing.sent(self.upstream)
+        self.sharing.record_send(self.upstream)
         try:
             answer = await self._exchange()
             await self._judge(answer)
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -64,7 +64,7 @@
         What comes later is taken in all the same. Fewer are asked, the first ones, when the fleet's
         limit on health checks demands it.
         """
-        now, known = self.clock.now(), self.upstreams.count
+        now, known = self.clock.now(), self.upstreams.configured_count
         upstreams = upstreams[: self.allowance.take(len(upstreams), known, now)]
         if not upstreams:
             return
@@ -139,7 +139,7 @@
             self.decisions.event("upstream-health", upstream=upstream.id, healthy=metadata.healthy)
         stats.record_probe_answer(metadata.healthy)
         if not metadata.healthy:
-            self.upstreams.said_unwell(upstream)
+            self.upstreams.reported_unhealthy(upstream)
         if metadata.load is not None:
             self.sharing.reported(upstream, metadata.load)
 
--- a/sequoiabridge/relay/readiness.py
+++ b/sequoiabridge/relay/readiness.py
@@ -33,7 +33,7 @@
         """Return why calls are refused, or ""; during a planned stop they are still served."""
         if self.configuration.table is None:
             return "No configuration is known yet."
-        if not self.upstreams.known:
+        if not self.upstreams.is_loaded:
             return "No upstreams are known yet."
         return ""
 
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -43,7 +43,7 @@
         self.on_hello: Callable[[Hello], None] = lambda message: None
         self.on_survival: Callable[[RequestSurvived], object] = lambda message: None
 
-    def sent(self, upstream: Upstream) -> None:
+    def record_send(self, upstream: Upstream) -> None:
         """This VM sends a call."""
         upstream.stats.record_send()
         if self.members is not None and self._is_shared(upstream):
@@ -92,7 +92,7 @@
         if isinstance(message, RequestSurvived):
             self.on_survival(message)
             return
-        upstream = self.upstreams.of_lifetime(message.upstream)
+        upstream = self.upstreams.find_lifetime(message.upstream)
         if upstream is None:
             return
         if isinstance(message, CallSent):
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -14,22 +14,22 @@
 
 log = get_log("upstreams")
 
-LAPSE_SHARE = 0.3
+MASS_LAPSE_SHARE = 0.3
 """Share of all upstreams that vanish together when the platform was away and not they: upstreams
 leave one after the other, but their entries lapse together while the platform hears nobody."""
 
-LAPSE_FEWEST = 4
+MASS_LAPSE_MIN_COUNT = 4
 """Upstreams that must vanish together for that; two or three may well leave at once."""
 
-TOGETHER = 1.0
+MASS_LAPSE_WINDOW = 1.0
 """Seconds within which entries vanish together."""
 
-LAPSE_KEPT = 2.0
+LAPSE_GRACE = 2.0
 """Seconds for which an upstream whose entry lapsed is kept: living ones are listed again within
 about 2 seconds of the platform's return, and what has left must get no calls soon after."""
 
 
-MOST_DEPARTED = 2000
+MAX_REMOVED_BIRTHS = 2000
 """Upstreams that are gone of which the start is remembered, so that a late word of theirs does not
 bring them back; the users' largest sites lose some hundreds a day."""
 
@@ -40,14 +40,14 @@
     Args:
         data_centre: Where this VM is.
         decisions: Where changes of what is believed are written.
-        on_leave: Called with an upstream that gets no more work.
+        on_retire: Called with an upstream that gets no more work.
 
     Attributes:
         version: The platform's version of the list, None before the first.
         changes: Grows with each change of who may get work.
-        departed: When the upstreams that are gone began, by id.
-        named: The services that the configuration names, None before it is known.
-        count: Upstreams of those services. Entries of others may be anybody's invention.
+        removed_births: When the upstreams that are gone began, by id.
+        configured_services: The services that the configuration names, None before it is known.
+        configured_count: Upstreams of those services. Entries of others may be anybody's invention.
     """
 
     name = "upstreams"
@@ -57,25 +57,25 @@
         data_centre: str,
         clock: Clock,
         decisions: DecisionLog,
-        on_leave: Callable[[Upstream], None],
+        on_retire: Callable[[Upstream], None],
     ):
         self.data_centre = data_centre
         self.clock = clock
         self.decisions = decisions
-        self.on_leave = on_leave
+        self.on_retire = on_retire
         self.version: int | None = None
         self.changes = 0
         self.by_id: dict[str, Upstream] = {}
         self.by_service: dict[str, list[Upstream]] = {}
-        self.unsettled_until = 0.0
-        self.vanished: list[tuple[float, str]] = []
+        self.lapse_window_end = 0.0
+        self.recently_missing: list[tuple[float, str]] = []
         self.lapsed: list[Upstream] = []
-        self.departed: OrderedDict[str, int] = OrderedDict()
-        self.named: frozenset[str] | None = None
-        self.count = 0
+        self.removed_births: OrderedDict[str, int] = OrderedDict()
+        self.configured_services: frozenset[str] | None = None
+        self.configured_count = 0
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Return whether the platform's list has been read at all."""
         return self.version is not None
 
@@ -87,19 +87,19 @@
         now = self.clock.now()
         return [u for u in known if u.leaves_at is None or now < u.leaves_at]
 
-    def of_lifetime(self, name: str) -> Upstream | None:
+    def find_lifetime(self, name: str) -> Upstream | None:
         """Return the upstream of which this is the present lifetime, None if it is another's."""
         upstream = self.by_id.get(name) or self.by_id.get(name.rpartition("@")[0])
         return upstream if upstream is not None and upstream.lifetime == name else None
 
-    def services_named(self, services: Iterable[str]) -> None:
+    def set_services(self, services: Iterable[str]) -> None:
         """Take in which services the configuration names."""
-        self.named = frozenset(services)
-        self._arrange()
+        self.configured_services = frozenset(services)
+        self._rebuild_index()
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """The platform answers again: entries that are missing now may only have lapsed."""
-        self.unsettled_until = self.clock.now() + LAPSE_KEPT
+        self.lapse_window_end = self.clock.now() + LAPSE_GRACE
 
     def replace(
         self, records: Iterable[UpstreamRecord], version: int, unusable: Iterable[str] = ()
@@ -119,35 +119,35 @@
     ) -> None:
         """Take in entries that are new or changed, and the ids of those that are gone or that
         cannot be used any more."""
-        if self.known and version < self.version:
+        if self.is_loaded and version < self.version:
             log.warning("A list of version %d came after %d; not used.", version, self.version)
             return
         self.version = version
         now = self.clock.now()
         for record in records:
-            self._listed(record, now)
+            self._apply_record(record, now)
         for id in unusable:
             if id in self.by_id:
-                self._forget(self.by_id[id], "its entry cannot be used any more")
+                self._remove(self.by_id[id], "its entry cannot be used any more")
         missing = [id for id in gone if id in self.by_id and self.by_id[id].leaves_at is None]
-        self._missing(missing, now)
-        self._arrange()
+        self._handle_missing(missing, now)
+        self._rebuild_index()
 
     def expire(self) -> None:
         """Forget upstreams whose lapsed entries have not come back; the timers call it."""
         now = self.clock.now()
         over = [u for u in self.lapsed if u.leaves_at is not None and u.leaves_at <= now]
         for upstream in over:
-            self._forget(upstream, "its lapsed entry did not come back")
+            self._remove(upstream, "its lapsed entry did not come back")
         if over:
-            self._arrange()
+            self._rebuild_index()
 
-    def said_unwell(self, upstream: Upstream) -> None:
+    def reported_unhealthy(self, upstream: Upstream) -> None:
         """An upstream called itself unwell: without an entry, that means that it is leaving."""
         if upstream.leaves_at is None or upstream.is_over:
             return
-        self._forget(upstream, "its entry lapsed, and it says that it is leaving")
-        self._arrange()
+        self._remove(upstream, "its entry lapsed, and it says that it is leaving")
+        self._rebuild_index()
 
     def was_replaced(self, upstream: Upstream) -> None:
         """Another upstream answered at its address: it is gone, whatever the list says."""
@@ -155,8 +155,8 @@
             return
         upstream.replaced = True
         self.decisions.event("upstream-replaced", upstream=upstream.id, address=upstream.address)
-        self.on_leave(upstream)
-        self._arrange()
+        self.on_retire(upstream)
+        self._rebuild_index()
 
     def dump(self) -> dict:
         """Describe the upstreams for the state dump."""
@@ -166,76 +166,82 @@
             "upstreams": {u.id: describe(u, now) for u in self.by_id.values()},
         }
 
-    def _listed(self, record: UpstreamRecord, now: float) -> None:
+    def _apply_record(self, record: UpstreamRecord, now: float) -> None:
         known = self.by_id.get(record.id)
-        latest = known.record.born if known is not None else self.departed.get(record.id)
+        latest = known.record.born if known is not None else self.removed_births.get(record.id)
         if is_older(record.born, latest):
             self.decisions.event("upstream-entry-old", upstream=record.id, born=record.born)
             return
         if known is not None and known.record.born != record.born:
-            self._ends(known)
+            self._end_lifetime(known)
             known = None
         if known is None:
-            self._joins(record, now)
+            self._add(record, now)
             return
         began = record.draining and not known.record.draining
         if record.address != known.address:
-            self.on_leave(known)
+            self.on_retire(known)
         known.listed(record, now)
         if began:
             self.decisions.event("upstream-drains", upstream=record.id, version=self.version)
-            self.on_leave(known)
+            self.on_retire(known)
 
-    def _joins(self, record: UpstreamRecord, now: float) -> None:
+    def _add(self, record: UpstreamRecord, now: float) -> None:
         near = record.data_centre == self.data_centre
         self.by_id[record.id] = Upstream(record, near, now)
         self.decisions.event(
             "upstream-joined", upstream=record.id, service=record.service, born=record.born
         )
 
-    def _ends(self, upstream: Upstream) -> None:
+    def _end_lifetime(self, upstream: Upstream) -> None:
         """An upstream has started again: what was known of it, and is open there, is over."""
         upstream.is_over = True
         self.decisions.event("upstream-restarted", upstream=upstream.id, version=self.version)
-        self.on_leave(upstream)
+        self.on_retire(upstream)
 
-    def _missing(self, ids: list[str], now: float) -> None:
+    def _handle_missing(self, ids: list[str], now: float) -> None:
         """Entries are gone: forget the upstreams, or keep them a while if they only lapsed."""
-        self.vanished = [v for v in self.vanished if now - v[0] <= TOGETHER]
-        self.vanished += [(now, id) for id in ids if self._counts(self.by_id[id])]
-        known = max(self.count, len(self.vanished))
-        many = len(self.vanished) >= max(LAPSE_FEWEST, LAPSE_SHARE * known)
+        self.recently_missing = [
+            v for v in self.recently_missing if now - v[0] <= MASS_LAPSE_WINDOW
+        ]
+        self.recently_missing += [(now, id) for id in ids if self._is_configured(self.by_id[id])]
+        known = max(self.configured_count, len(self.recently_missing))
+        many = len(self.recently_missing) >= max(MASS_LAPSE_MIN_COUNT, MASS_LAPSE_SHARE * known)
         if many:
-            self.unsettled_until = max(self.unsettled_until, now + LAPSE_KEPT)
+            self.lapse_window_end = max(self.lapse_window_end, now + LAPSE_GRACE)
         for id in ids:
             upstream = self.by_id[id]
-            if upstream.record.draining or now >= self.unsettled_until:
-                self._forget(upstream, "its entry is gone")
+            if upstream.record.draining or now >= self.lapse_window_end:
+                self._remove(upstream, "its entry is gone")
                 continue
-            upstream.leaves_at = self.unsettled_until
+            upstream.leaves_at = self.lapse_window_end
             self.decisions.event("upstream-lapsed", upstream=id, kept_until=upstream.leaves_at)
 
-    def _forget(self, upstream: Upstream, why: str) -> None:
+    def _remove(self, upstream: Upstream, why: str) -> None:
         del self.by_id[upstream.id]
         if upstream.record.born is not None:
-            self._remember(upstream.id, upstream.record.born)
+            self._remember_birth(upstream.id, upstream.record.born)
         self.decisions.event("upstream-gone", upstream=upstream.id, why=why, version=self.version)
-        self.on_leave(upstream)
+        self.on_retire(upstream)
 
-    def _counts(self, upstream: Upstream) -> bool:
-        return self.named is None or upstream.record.service in self.named
+    def _is_configured(self, upstream: Upstream) -> bool:
+        return (
+            self.configured_services is None or upstream.record.service in self.configured_services
+        )
 
-    def _remember(self, id: str, born: int) -> None:
-        self.departed[id] = born
-        self.departed.move_to_end(id)
-        if len(self.departed) > MOST_DEPARTED:
-            self.departed.popitem(last=False)
+    def _remember_birth(self, id: str, born: int) -> None:
+        self.removed_births[id] = born
+        self.removed_births.move_to_end(id)
+        if len(self.removed_births) > MAX_REMOVED_BIRTHS:
+            self.removed_births.popitem(last=False)
 
-    def _arrange(self) -> None:
+    def _rebuild_index(self) -> None:
         self.changes += 1
         self.by_service = {}
         self.lapsed = [u for u in self.by_id.values() if u.leaves_at is not None]
-        self.count = sum(self._counts(upstream) for upstream in self.by_id.values())
+        self.configured_count = sum(
+            self._is_configured(upstream) for upstream in self.by_id.values()
+        )
         for upstream in self.by_id.values():
             if upstream.takes_work:
                 self.by_service.setdefault(upstream.record.service, []).append(upstream)
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -172,7 +172,7 @@
 def test_after_any_order_of_words_only_the_latest_good_one_of_the_latest_lifetime_holds(words):
     log, _ = decision_log()
     known, feed = UpstreamList("here", ManualClock(9.0), log, lambda u: None), UpstreamFeed(None)
-    known.services_named(["s"])
+    known.set_services(["s"])
     expected: dict[str, dict] = {}
     latest: dict[str, int] = {}
     for version, (key, value) in enumerate(words, 1):
@@ -190,7 +190,9 @@
         if value["info"]["service"] == "s" and value["status"]["state"] == "ready"
     }
     assert {u.id for u in known.of_service("s")} == usable
-    assert known.count == sum(value["info"]["service"] == "s" for value in expected.values())
+    assert known.configured_count == sum(
+        value["info"]["service"] == "s" for value in expected.values()
+    )
     for upstream in known.of_service("s"):
         assert upstream.address == expected[upstream.id]["address"]
 
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -26,16 +26,16 @@
 
 def test_calls_and_loads_of_near_upstreams_are_told_to_the_peers_here():
     sharing, known, sent = fleet(3)
-    sharing.sent(known.by_id["u"])
+    sharing.record_send(known.by_id["u"])
     sharing.reported(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
     assert {address for address, _ in sent} == {"p0:1", "p1:1", "p2:1"} and len(sent) == 6
-    sharing.sent(known.by_id["far"])
+    sharing.record_send(known.by_id["far"])
     assert len(sent) == 6
 
 
 def test_in_a_large_data_centre_nobody_is_told_of_calls_but_all_of_failures():
     sharing, known, sent = fleet(MAX_SHARING_PEERS + 1)
-    sharing.sent(known.by_id["u"])
+    sharing.record_send(known.by_id["u"])
     assert sent == []
     sharing.failed(known.by_id["u"])
     assert len(sent) == MAX_SHARING_PEERS + 2
@@ -64,5 +64,5 @@
     assert stats.load is None and stats.failure_rate(5.0) < 0.05
     sharing._handle(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
     assert stats.load.slowdown == 7.0
-    sharing.sent(known.by_id["u"])
+    sharing.record_send(known.by_id["u"])
     assert sent[-1][1].upstream == "u@2000"
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -1,7 +1,7 @@
 """Who may get work: drains, departures, entries that lapse while the platform is away."""
 
 from ...balancing.upstream_stats import OpenCall
-from ...relay.upstreams import LAPSE_KEPT, UpstreamList
+from ...relay.upstreams import LAPSE_GRACE, UpstreamList
 from ...timers import ManualClock
 from .fakes import decision_log, record
 
@@ -33,10 +33,10 @@
 
 def test_entries_missing_after_the_store_was_away_are_kept_until_they_must_be_back():
     known, clock, _ = listed("a", "b")
-    known.store_returned()
+    known.store_recovered()
     known.replace([record("b")], 5)
     assert names(known) == ["a", "b"]
-    clock.advance(LAPSE_KEPT - 0.1)
+    clock.advance(LAPSE_GRACE - 0.1)
     known.replace([record("a"), record("b")], 6)
     clock.advance(1.0)
     known.expire()
@@ -45,9 +45,9 @@
 
 def test_a_lapsed_upstream_that_does_not_come_back_gets_no_work_from_then_on():
     known, clock, _ = listed("a", "b")
-    known.store_returned()
+    known.store_recovered()
     known.replace([record("b")], 5)
-    clock.advance(LAPSE_KEPT + 0.001)
+    clock.advance(LAPSE_GRACE + 0.001)
     assert names(known) == ["b"], "also before the timers look"
     known.expire()
     assert "a" not in known.by_id
@@ -55,11 +55,11 @@
 
 def test_a_lapsed_upstream_that_says_it_is_leaving_is_gone_at_once():
     known, _, left = listed("a", "b")
-    known.store_returned()
+    known.store_recovered()
     known.replace([record("b")], 5)
-    known.said_unwell(known.by_id["a"])
+    known.reported_unhealthy(known.by_id["a"])
     assert names(known) == ["b"] and left == ["a"]
-    known.said_unwell(known.by_id["b"])
+    known.reported_unhealthy(known.by_id["b"])
     assert names(known) == ["b"], "one that is listed may be unwell by mistake"
 
 
@@ -125,21 +125,21 @@
     assert names(known) == ["b"]
     restarted(known, 3)
     assert names(known) == ["a", "b"]
-    known.store_returned()
+    known.store_recovered()
     known.replace([record("b", born=1000)], 4)
     assert known.by_id["a"].leaves_at is not None
     known.update([record("a", born=3000)], [], 5)
-    clock.advance(LAPSE_KEPT + 1.0)
+    clock.advance(LAPSE_GRACE + 1.0)
     known.expire()
     assert names(known) == ["a", "b"]
 
 
 def test_an_earlier_lifetime_that_says_it_is_leaving_does_not_end_the_next_one():
     known, _, _ = with_births()
-    known.store_returned()
+    known.store_recovered()
     known.replace([record("b", born=1000)], 2)
     before, _ = restarted(known, 3)
-    known.said_unwell(before)
+    known.reported_unhealthy(before)
     assert names(known) == ["a", "b"]
 
 
@@ -151,7 +151,7 @@
 
 def test_an_entry_that_cannot_be_used_any_more_takes_its_upstream_out_at_once():
     known, _, left = with_births()
-    known.store_returned()
+    known.store_recovered()
     known.update([], [], 2, ["a"])
     assert names(known) == ["b"] and left == ["a"]
     known.replace([], 3, ["b"])
@@ -163,7 +163,7 @@
 def test_entries_of_unknown_services_do_not_make_the_others_seem_lapsed():
     known, _, _ = listed(*"abcdefghij")
     known.update([record(f"x{n}", service="nobody") for n in range(20)], [], 2)
-    known.services_named(["s"])
-    assert known.count == 10
+    known.set_services(["s"])
+    assert known.configured_count == 10
     known.update([], [f"x{n}" for n in range(20)] + ["a"], 3)
     assert names(known) == list("bcdefghij"), "one of ten has left"
