--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -47,7 +47,7 @@
 from .relay.probing import Prober
 from .relay.readiness import READY_LIMITS, SWEEP, Readiness, ReadyHandler
 from .relay.relay import Relay
-from .relay.reloading import SettingsWatch
+from .relay.reloading import SettingsReloader
 from .relay.sender import Sender
 from .relay.sharing import Sharing
 from .relay.upstreams import UpstreamList
@@ -109,7 +109,7 @@
         self._build_path()
         self._build_ports()
         self.stop_asked = curio.UniversalEvent()
-        self.settings_watch = SettingsWatch(settings, self.costs, self.store, self.decisions)
+        self.settings_reloader = SettingsReloader(settings, self.costs, self.store, self.decisions)
 
     async def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
@@ -175,7 +175,7 @@
         self.sharing.on_heartbeat = self.watchers.handle_heartbeat
         self.sharing.on_hello = self.watchers.handle_hello
         self.sharing.channel.after_batch = self.watchers.wake_if_behind
-        self.configuration.is_heard = lambda: self.watchers.is_current
+        self.configuration.receives_updates = lambda: self.watchers.is_current
 
     def _build_fleet(self) -> None:
         """Build what this daemon and the others tell each other."""
@@ -286,7 +286,7 @@
         self.timers.every(EXPIRE_EVERY, "waiting lines", self.lines.flush)
         self.timers.every(HEARTBEAT_INTERVAL, "beacons", self.watchers.send_heartbeat)
         self.timers.every(COUNT_EVERY, "members", self._count_members)
-        self.timers.every(LOOK_AT_SETTINGS, "settings", self.settings_watch.look)
+        self.timers.every(LOOK_AT_SETTINGS, "settings", self.settings_reloader.poll)
 
     async def _stop(self) -> None:
         """Leave the balancer, serve on for its lag, finish all calls, then end."""
@@ -310,7 +310,7 @@
             self.stop_asked.set()
 
         def reload(number: int, frame: object) -> None:
-            self.settings_watch.asked = True
+            self.settings_reloader.reload_requested = True
 
         signal.signal(signal.SIGTERM, stop)
         signal.signal(signal.SIGINT, stop)
--- a/sequoiabridge/relay/configuration.py
+++ b/sequoiabridge/relay/configuration.py
@@ -22,7 +22,7 @@
 
     Attributes:
         table: The table in force, None before the first.
-        is_heard: Returns whether news of the store would be heard here.
+        receives_updates: Returns whether news of the store would be heard here.
     """
 
     name = "configuration"
@@ -31,7 +31,7 @@
         self.decisions = decisions
         self.on_change = on_change
         self.table: RouteTable | None = None
-        self.is_heard: Callable[[], bool] = lambda: False
+        self.receives_updates: Callable[[], bool] = lambda: False
 
     @property
     def version(self) -> int:
@@ -41,7 +41,7 @@
     @property
     def is_current(self) -> bool:
         """Return whether no newer version can be in force without this VM knowing."""
-        return self.table is not None and self.is_heard()
+        return self.table is not None and self.receives_updates()
 
     def offer(self, table: RouteTable) -> bool:
         """Take a table into force if it is newer than the one that is; return whether it was."""
--- a/sequoiabridge/relay/reloading.py
+++ b/sequoiabridge/relay/reloading.py
@@ -10,7 +10,7 @@
 from .decisions import DecisionLog
 
 
-class SettingsWatch:
+class SettingsReloader:
     """Reads the settings again after a signal, or when their file is another one.
 
     Bounds, costs and the store's address are taken over at once; where the daemon listens changes
@@ -21,7 +21,7 @@
         store: The client of the platform's store, whose `address` is set.
 
     Attributes:
-        asked: A signal has asked for it.
+        reload_requested: A signal has asked for it.
     """
 
     def __init__(self, settings: GatewaySettings, costs: Costs, store, decisions: DecisionLog):
@@ -29,15 +29,15 @@
         self.costs = costs
         self.store = store
         self.decisions = decisions
-        self.asked = False
-        self.seen = modified(settings.source)
+        self.reload_requested = False
+        self.last_modified = modified_ns(settings.source)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Look whether there is anything new; the timers call it."""
-        seen = modified(self.settings.source)
-        if not self.asked and seen == self.seen:
+        modified = modified_ns(self.settings.source)
+        if not self.reload_requested and modified == self.last_modified:
             return
-        self.asked, self.seen = False, seen
+        self.reload_requested, self.last_modified = False, modified
         try:
             fresh = GatewaySettings.load(self.settings.source)
         except Invalid as error:
@@ -49,7 +49,7 @@
         self.decisions.event("reload", store=fresh.store.address)
 
 
-def modified(path: str) -> int:
+def modified_ns(path: str) -> int:
     """Return when a file was changed last, in nanoseconds; 0 if it is not there."""
     try:
         return Path(path).stat().st_mtime_ns
--- a/sequoiabridge/tests/config/test_gateway_settings.py
+++ b/sequoiabridge/tests/config/test_gateway_settings.py
@@ -6,17 +6,17 @@
 
 from ...config.gateway_settings import GatewaySettings
 from ...config.problem import Invalid
-from ..relay.test_reloading import TEXT
+from ..relay.test_reloading import SETTINGS_TEXT
 
 
 def test_a_whole_file_is_read_with_its_defaults():
-    settings = GatewaySettings.parse(TEXT.format(port=5))
+    settings = GatewaySettings.parse(SETTINGS_TEXT.format(port=5))
     assert settings.listen.fleet_ports == (3, 4) and settings.bounds.grace == 6.0
     assert settings.bounds.retry_ratio == 0.2 and not settings.vm.first_start
 
 
 def test_every_problem_is_told_at_once_with_its_remedy():
-    text = TEXT.format(port="x").replace("name = vm-1", "nam = vm-1") + "[extra]\na = 1\n"
+    text = SETTINGS_TEXT.format(port="x").replace("name = vm-1", "nam = vm-1") + "[extra]\na = 1\n"
     with pytest.raises(Invalid) as found:
         GatewaySettings.parse(text)
     told = " ".join(problem.text for problem in found.value.problems)
--- a/sequoiabridge/tests/relay/test_reloading.py
+++ b/sequoiabridge/tests/relay/test_reloading.py
@@ -4,10 +4,10 @@
 
 from ...balancing.route_stats import Costs
 from ...config.gateway_settings import GatewaySettings
-from ...relay.reloading import SettingsWatch
+from ...relay.reloading import SettingsReloader
 from .fakes import decision_log
 
-TEXT = """
+SETTINGS_TEXT = """
 [vm]
 name = vm-1
 data_centre = here
@@ -29,14 +29,14 @@
     address = ""
 
 
-def watch(tmp_path):
+def build_reloader(tmp_path):
     """Return a watch over a file, the file, the store and the log's lines."""
     file = tmp_path / "vm.ini"
-    file.write_text(TEXT.format(port=5))
+    file.write_text(SETTINGS_TEXT.format(port=5))
     log, lines = decision_log()
     store = Store()
-    made = SettingsWatch(GatewaySettings.load(file), Costs(1.0), store, log)
-    return made, file, store, lines
+    reloader = SettingsReloader(GatewaySettings.load(file), Costs(1.0), store, log)
+    return reloader, file, store, lines
 
 
 def change(file, text):
@@ -48,26 +48,26 @@
 
 
 def test_a_changed_file_is_taken_in_without_a_signal_and_an_unchanged_one_is_not(tmp_path):
-    made, file, store, lines = watch(tmp_path)
-    made.look()
+    reloader, file, store, lines = build_reloader(tmp_path)
+    reloader.poll()
     assert lines == [] and store.address == ""
-    change(file, TEXT.format(port=9) + "retry_ratio = 0.5\n")
-    made.look()
-    made.look()
-    assert store.address == "127.0.0.1:9" and made.settings.bounds.retry_ratio == 0.5
+    change(file, SETTINGS_TEXT.format(port=9) + "retry_ratio = 0.5\n")
+    reloader.poll()
+    reloader.poll()
+    assert store.address == "127.0.0.1:9" and reloader.settings.bounds.retry_ratio == 0.5
     assert [json.loads(line)["event"] for line in lines] == ["reload"]
 
 
 def test_a_signal_reads_the_file_again_even_if_it_is_the_same(tmp_path):
-    made, _, store, lines = watch(tmp_path)
-    made.asked = True
-    made.look()
+    reloader, _, store, lines = build_reloader(tmp_path)
+    reloader.reload_requested = True
+    reloader.poll()
     assert store.address == "127.0.0.1:5" and len(lines) == 1
 
 
 def test_settings_that_are_not_valid_are_refused_and_the_old_ones_stay(tmp_path):
-    made, file, store, lines = watch(tmp_path)
-    change(file, TEXT.format(port=9).replace("grace = 6s", "grace = soon"))
-    made.look()
-    assert made.settings.bounds.grace == 6.0 and store.address == ""
+    reloader, file, store, lines = build_reloader(tmp_path)
+    change(file, SETTINGS_TEXT.format(port=9).replace("grace = 6s", "grace = soon"))
+    reloader.poll()
+    assert reloader.settings.bounds.grace == 6.0 and store.address == ""
     assert json.loads(lines[0])["event"] == "reload-refused" and b"grace" in lines[0]
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -40,7 +40,7 @@
         assert (await scene.call("/read/speciall")).body.startswith(b"r")
         assert (await scene.call("/other/")).status == 404
         assert (await scene.call(READ, host="nobody.example")).status == 404
-        scene.gateway.configuration.is_heard = lambda: False
+        scene.gateway.configuration.receives_updates = lambda: False
         assert (await scene.call("/other/")).status == 503
 
     play(test)
