--- a/sequoiabridge/benchmarks/policy_players.py
+++ b/sequoiabridge/benchmarks/policy_players.py
@@ -4,9 +4,9 @@
 
 from ..policy.base import Chooser, Failure, LoadReport
 from ..policy.choosers import chooser_named, untried
-from ..policy.evidence import UpstreamSpec
 from ..policy.pool import PoolOptions, PoolState
 from ..policy.probing import ProbeBudget
+from ..policy.upstream_state import UpstreamSpec
 from .policy_pool import SLOTS
 
 PROBE_BYTES = 260
@@ -84,10 +84,10 @@
 class Ticket:
     """One attempt: the upstream's evidence and when the call was sent."""
 
-    __slots__ = ("evidence", "name", "sent")
+    __slots__ = ("upstream", "name", "sent")
 
-    def __init__(self, evidence, sent):
-        self.evidence, self.name, self.sent = evidence, evidence.name, sent
+    def __init__(self, upstream, sent):
+        self.upstream, self.name, self.sent = upstream, upstream.name, sent
 
 
 class Player:
@@ -137,11 +137,11 @@
 
     def send(self, now):
         """Choose and send; return the ticket of the attempt, or None."""
-        evidence = self.state.choose(now)
-        if evidence is None:
+        upstream = self.state.choose(now)
+        if upstream is None:
             return None
-        self.state.record_send(evidence, now)
-        return Ticket(evidence, now)
+        self.state.record_send(upstream, now)
+        return Ticket(upstream, now)
 
     def probed(self, now, name, in_flight, latency):
         if self.own:
@@ -150,26 +150,26 @@
             self.state.chooser.probed(now, name, in_flight, latency)
 
     def answered(self, now, ticket, in_flight, leaving):
-        evidence, report = ticket.evidence, LoadReport(in_flight, SLOTS)
-        self.state.record_answer(evidence, now, 200, now - ticket.sent, report)
+        upstream, report = ticket.upstream, LoadReport(in_flight, SLOTS)
+        self.state.record_answer(upstream, now, 200, now - ticket.sent, report)
         if leaving:
-            self.state.drain(evidence.name, 1, now)
-        self.tell(now, evidence)
+            self.state.drain(upstream.name, 1, now)
+        self.tell(now, upstream)
 
     def failed(self, now, ticket):
-        self.state.record_failure(ticket.evidence, now, Failure.ERROR, now - ticket.sent)
-        self.tell(now, ticket.evidence)
+        self.state.record_failure(ticket.upstream, now, Failure.ERROR, now - ticket.sent)
+        self.tell(now, ticket.upstream)
 
-    def tell(self, now, evidence):
+    def tell(self, now, upstream):
         """Tell the peers when an upstream becomes a suspect, if sharing is on."""
         if not self.share:
             return
-        suspect = evidence.ejected_until > now
-        if not suspect or now - self.told.get(evidence.name, -9.0) < 1.0:
+        suspect = upstream.ejected_until > now
+        if not suspect or now - self.told.get(upstream.name, -9.0) < 1.0:
             return
-        self.told[evidence.name] = now
-        in_flight = evidence.report.in_flight if evidence.report else 0
-        word = (evidence.name, in_flight, evidence.latency, True, now - evidence.report_at)
+        self.told[upstream.name] = now
+        in_flight = upstream.report.in_flight if upstream.report else 0
+        word = (upstream.name, in_flight, upstream.latency, True, now - upstream.report_at)
         for peer in self.peers:
             self.spent_bytes += ITEM_BYTES
             self.fake.at(now + 0.002, peer.hear, word, str(id(self)))
--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -123,9 +123,9 @@
 
 def one_call(pool, now: float) -> None:
     """Choose, send, and take in an answer with a load report."""
-    evidence = pool.choose(now)
-    pool.record_send(evidence, now)
-    pool.record_answer(evidence, now + LATENCY, 200, LATENCY, LoadReport(1, 2, 0.0))
+    upstream = pool.choose(now)
+    pool.record_send(upstream, now)
+    pool.record_answer(upstream, now + LATENCY, 200, LATENCY, LoadReport(1, 2, 0.0))
 
 
 def sharing_slopes() -> float:
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -13,7 +13,7 @@
 from ..exceptions import SequoiaError, StoreUnavailable
 from ..fleet.fleet import FleetNode
 from ..pipeline.services import Services, ServiceState
-from ..policy.evidence import UpstreamEvidence
+from ..policy.upstream_state import UpstreamState
 from ..store.claim_admin import ClaimAdmin
 from ..store.upload_index import UploadEntry
 from ..store.uploads import Uploads
@@ -119,28 +119,28 @@
     def _upstreams(self) -> list[ShowRow]:
         now = self.clock.now()
         return [
-            self._upstream(state, evidence, now)
+            self._upstream(state, upstream, now)
             for state in self.services.states()
-            for evidence in state.pool.upstreams.values()
+            for upstream in state.pool.upstreams.values()
         ]
 
-    def _upstream(self, state: ServiceState, evidence: UpstreamEvidence, now: float) -> UpstreamRow:
-        why = state.pool.why_unusable(evidence, now)
-        report = evidence.report
+    def _upstream(self, state: ServiceState, upstream: UpstreamState, now: float) -> UpstreamRow:
+        why = state.pool.why_unusable(upstream, now)
+        report = upstream.report
         return UpstreamRow(
-            name=evidence.name,
+            name=upstream.name,
             vm=self.vm,
             service=state.service.name,
-            pool=evidence.pool,
-            address=evidence.address,
-            data_centre=evidence.data_centre,
+            pool=upstream.pool,
+            address=upstream.address,
+            data_centre=upstream.data_centre,
             state=why.partition(" ")[0].rstrip(",") if why else "active",
-            in_flight=evidence.in_flight,
+            in_flight=upstream.in_flight,
             reported=report.in_flight if report else 0,
-            report_age=round(now - evidence.report_at, 3) if report else 0.0,
-            latency_ms=round(evidence.latency * 1000, 3),
-            failures=evidence.consecutive_failures,
-            connections=evidence.connections,
+            report_age=round(now - upstream.report_at, 3) if report else 0.0,
+            latency_ms=round(upstream.latency * 1000, 3),
+            failures=upstream.consecutive_failures,
+            connections=upstream.connections,
             why=why,
         )
 
--- a/sequoiabridge/pipeline/accounting.py
+++ b/sequoiabridge/pipeline/accounting.py
@@ -109,7 +109,7 @@
     def began(self, state: ServiceState, attempt: Attempt) -> None:
         """An attempt is about to connect."""
         attempt.exchange.attempts += 1
-        state.pool.record_send(attempt.evidence, attempt.started)
+        state.pool.record_send(attempt.upstream, attempt.started)
 
     async def answered(self, state: ServiceState, attempt: Attempt, answer: Answer) -> Answer:
         """Take in an answer's head; its body may still be coming.
@@ -132,7 +132,7 @@
         elapsed = attempt.answered_at - attempt.started
         now = self.clock.now()
         status = attempt.answer.status
-        state.pool.record_answer(attempt.evidence, now, status, elapsed, attempt.signals.load)
+        state.pool.record_answer(attempt.upstream, now, status, elapsed, attempt.signals.load)
         state.retries.record_success(now)
         state.hedging.answered(elapsed)
         if state.ledger.by_fingerprint:
@@ -161,11 +161,11 @@
         """Close the idle connections of an upstream whose long silent connection did not answer."""
         if attempt.was_silent < SUSPECT_SILENCE:
             return
-        await self.connector.suspect(attempt.evidence.address, attempt.started)
+        await self.connector.suspect(attempt.upstream.address, attempt.started)
 
     def _drain(self, state: ServiceState, attempt: Attempt) -> None:
         """Take in that an upstream is leaving, also from an answer that did not come whole."""
-        upstream, incarnation = attempt.evidence.name, attempt.signals.drain
+        upstream, incarnation = attempt.upstream.name, attempt.signals.drain
         hear_drain(state, self.observer, upstream, incarnation, self.clock.now())
 
     async def _look_for_crash(self, attempt: Attempt) -> None:
@@ -179,24 +179,24 @@
             await curio.spawn(self._tell_crash(attempt), daemon=True)
 
     async def _tell_crash(self, attempt: Attempt) -> None:
-        evidence = attempt.evidence
-        if not await self.connector.reachable(evidence.address, ALIVE_TIMEOUT):
-            self.observer.crashed(attempt.exchange, evidence.name)
+        upstream = attempt.upstream
+        if not await self.connector.reachable(upstream.address, ALIVE_TIMEOUT):
+            self.observer.crashed(attempt.exchange, upstream.name)
 
     async def _shed(self, state: ServiceState, attempt: Attempt) -> None:
         await attempt.abandon()
         attempt.proven_not_run()
         await self._ended(state, attempt, Failure.SHED)
-        raise UpstreamFailed(f"{attempt.evidence.name} shed the request.", sent=False)
+        raise UpstreamFailed(f"{attempt.upstream.name} shed the request.", sent=False)
 
     async def _ended(self, state: ServiceState, attempt: Attempt, kind: Failure) -> None:
         now = self.clock.now()
         seconds = now - attempt.started
-        state.pool.record_failure(attempt.evidence, now, kind, seconds)
+        state.pool.record_failure(attempt.upstream, now, kind, seconds)
         if kind is not Failure.CANCELLED:
-            step = AttemptEnded(attempt.evidence.name, kind, attempt.sent, seconds)
+            step = AttemptEnded(attempt.upstream.name, kind, attempt.sent, seconds)
             attempt.exchange.note(step)
-        self.observer.failed(attempt.exchange, attempt.evidence.name, kind)
+        self.observer.failed(attempt.exchange, attempt.upstream.name, kind)
 
 
 def _kind(attempt: Attempt, error: UpstreamFailed) -> Failure:
--- a/sequoiabridge/pipeline/attempt.py
+++ b/sequoiabridge/pipeline/attempt.py
@@ -9,7 +9,7 @@
 from .. import headers
 from ..exceptions import UpstreamFailed
 from ..policy.base import LoadReport
-from ..policy.evidence import UpstreamEvidence
+from ..policy.upstream_state import UpstreamState
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
 from ..upstreams.reports import parse_drain, parse_load
@@ -50,7 +50,7 @@
 
     __slots__ = (
         "exchange",
-        "evidence",
+        "upstream",
         "connector",
         "clock",
         "fresh",
@@ -68,13 +68,13 @@
     def __init__(
         self,
         exchange: Exchange,
-        evidence: UpstreamEvidence,
+        upstream: UpstreamState,
         connector: Connector,
         clock: Clock,
         fresh: bool,
     ):
         self.exchange = exchange
-        self.evidence = evidence
+        self.upstream = upstream
         self.connector = connector
         self.clock = clock
         self.fresh = fresh
@@ -127,7 +127,7 @@
 
     async def _connect(self) -> None:
         exchange = self.exchange
-        address = self.evidence.address
+        address = self.upstream.address
         left = exchange.deadline - self.clock.now()
         connection = await self.connector.acquire(address, fresh=self.fresh, timeout=left)
         self.was_silent = self.clock.now() - connection.last_heard
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -13,8 +13,8 @@
 from ..exceptions import Refusal, UpstreamFailed
 from ..operators.steps import Chosen, Repeated
 from ..outcome import Reason
-from ..policy.evidence import UpstreamEvidence
 from ..policy.retries import may_retry
+from ..policy.upstream_state import UpstreamState
 from ..timers import Clock
 from ..upstreams.base import Connector
 from .accounting import Accounting, Observer
@@ -67,8 +67,8 @@
         tried: list[str] = []
         server_error: Answer | None = None
         failure: UpstreamFailed | None = None
-        while (evidence := await self._choose(exchange, state, tried)) is not None:
-            attempt = self._begin(exchange, state, evidence, fresh=False)
+        while (upstream := await self._choose(exchange, state, tried)) is not None:
+            attempt = self._begin(exchange, state, upstream, fresh=False)
             try:
                 answer = await self._first_answer(exchange, state, attempt, tried)
             except UpstreamFailed as error:
@@ -85,25 +85,25 @@
 
     async def _choose(
         self, exchange: Exchange, state: ServiceState, tried: list[str]
-    ) -> UpstreamEvidence | None:
+    ) -> UpstreamState | None:
         if self.ask_first is not None:
             await self.ask_first(state, tried)
         now = self.clock.now()
-        evidence = state.pool.choose(now, tried)
-        if evidence is not None and evidence.name in tried:
-            evidence = None
+        upstream = state.pool.choose(now, tried)
+        if upstream is not None and upstream.name in tried:
+            upstream = None
         # Weighing is told in full only where somebody will ask: it costs as much as the choice.
-        if tried or evidence is None or exchange.notes is not None:
-            name = evidence.name if evidence is not None else None
+        if tried or upstream is None or exchange.notes is not None:
+            name = upstream.name if upstream is not None else None
             exchange.note(Chosen(name, state.pool.explain(now)))
-        if tried and evidence is not None:
+        if tried and upstream is not None:
             self.observer.retried(exchange.service.name, False)
-        return evidence
+        return upstream
 
     def _begin(
-        self, exchange: Exchange, state: ServiceState, evidence: UpstreamEvidence, fresh: bool
+        self, exchange: Exchange, state: ServiceState, upstream: UpstreamState, fresh: bool
     ) -> Attempt:
-        attempt = Attempt(exchange, evidence, self.connector, self.clock, fresh)
+        attempt = Attempt(exchange, upstream, self.connector, self.clock, fresh)
         self.accounting.began(state, attempt)
         return attempt
 
@@ -111,7 +111,7 @@
         self, exchange: Exchange, state: ServiceState, attempt: Attempt, tried: list[str]
     ) -> Answer:
         """Wait for one attempt's answer; hedge when it stays silent for too long."""
-        tried.append(attempt.evidence.name)
+        tried.append(attempt.upstream.name)
         hedge_at = self._hedge_at(exchange, state, attempt)
         until = min(hedge_at, exchange.deadline)
         try:
@@ -136,13 +136,13 @@
     ) -> Answer:
         """Let a second attempt, on a new connection, race the one that stays silent."""
         attempts = [first]
-        evidence = state.pool.choose(self.clock.now(), tried)
+        upstream = state.pool.choose(self.clock.now(), tried)
         left = exchange.deadline - self.clock.now()
-        if evidence is not None and evidence.name not in tried and self._pay(state):
-            attempts.append(self._begin(exchange, state, evidence, fresh=True))
-            tried.append(evidence.name)
+        if upstream is not None and upstream.name not in tried and self._pay(state):
+            attempts.append(self._begin(exchange, state, upstream, fresh=True))
+            tried.append(upstream.name)
             self.observer.retried(exchange.service.name, True)
-            exchange.note(Repeated("hedge", True, f"silent, so also sent to {evidence.name}"))
+            exchange.note(Repeated("hedge", True, f"silent, so also sent to {upstream.name}"))
         race = Race(self.accounting, state, attempts)
         try:
             async with curio.timeout_after(max(0.0, left)):
@@ -157,7 +157,7 @@
     async def _won(
         self, exchange: Exchange, state: ServiceState, attempt: Attempt, answer: Answer
     ) -> Answer:
-        exchange.upstream = attempt.evidence.name
+        exchange.upstream = attempt.upstream.name
         return await self.accounting.answered(state, attempt, answer)
 
     def _hedge_at(self, exchange: Exchange, state: ServiceState, attempt: Attempt) -> float:
@@ -200,7 +200,7 @@
 
 
 def _timeout(attempt: Attempt) -> UpstreamFailed:
-    message = f"{attempt.evidence.name} did not answer in time."
+    message = f"{attempt.upstream.name} did not answer in time."
     return UpstreamFailed(message, sent=attempt.sent, timed_out=True)
 
 
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -59,10 +59,10 @@
 
     async def probe(self, state: ServiceState, name: str) -> None:
         """Send one probe and tell the pool's evidence."""
-        evidence = state.pool.upstreams.get(name)
-        if evidence is None:
+        upstream = state.pool.upstreams.get(name)
+        if upstream is None:
             return
-        probe = await self.prober.probe(evidence.address, PROBE_TIMEOUT)
+        probe = await self.prober.probe(upstream.address, PROBE_TIMEOUT)
         if probe.healthy:
             state.probing.record_answer(probe.latency, probe.size, probe.latency)
         else:
--- a/sequoiabridge/pipeline/returning.py
+++ b/sequoiabridge/pipeline/returning.py
@@ -60,8 +60,8 @@
         left = [
             (state, name)
             for state in self.services.states()
-            for name, evidence in state.pool.upstreams.items()
-            if evidence.draining is not None and self.services.random.random() < share
+            for name, upstream in state.pool.upstreams.items()
+            if upstream.draining is not None and self.services.random.random() < share
         ]
         for state, name in left[:MOST_ASKED]:
             if self._may_ask(state, name):
@@ -72,27 +72,27 @@
         now = self.clock.now()
         for state in self.services.busy_states(now):
             failed = [u for u in state.pool.undrained_upstreams() if u.consecutive_failures]
-            for evidence in failed[:MOST_ASKED]:
+            for upstream in failed[:MOST_ASKED]:
                 # `last_outcome_at` is the time of the last outcome, which was a failure.
-                if evidence.last_outcome_at > evidence.probed_at and state.probing.take_token():
-                    evidence.probed_at = now
-                    await curio.spawn(self.ask, state, evidence.name, daemon=True)
+                if upstream.last_outcome_at > upstream.probed_at and state.probing.take_token():
+                    upstream.probed_at = now
+                    await curio.spawn(self.ask, state, upstream.name, daemon=True)
 
     def _may_ask(self, state: ServiceState, name: str) -> bool:
         now = self.clock.now()
-        evidence = state.pool.upstreams[name]
-        unpaid = not state.probing.per_call and now - evidence.probed_at >= UNPAID_EVERY
+        upstream = state.pool.upstreams[name]
+        unpaid = not state.probing.per_call and now - upstream.probed_at >= UNPAID_EVERY
         if unpaid or state.probing.take_token():
-            evidence.probed_at = now
+            upstream.probed_at = now
             return True
         return False
 
     async def ask(self, state: ServiceState, name: str) -> None:
         """Ask one upstream; tell the fleet if it leaves or is back."""
-        evidence = state.pool.upstreams.get(name)
-        if evidence is None:
+        upstream = state.pool.upstreams.get(name)
+        if upstream is None:
             return
-        probe = await self.prober.probe(evidence.address, ASK_TIMEOUT)
+        probe = await self.prober.probe(upstream.address, ASK_TIMEOUT)
         state.probing.record_cost(probe.size, probe.latency)
         hear_drain(state, self.observer, name, probe.drain, self.clock.now())
         if not probe.healthy or probe.drain is not None or probe.incarnation is None:
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -10,8 +10,8 @@
 from ..parts import Part
 from ..policy.base import Failure
 from ..policy.crashes import CrashLedger
-from ..policy.evidence import UpstreamEvidence
 from ..policy.suspicions import is_local_suspect
+from ..policy.upstream_state import UpstreamState
 from ..timers import Clock, OnDemand, Timers
 from .accounting import Observer
 from .exchange import Exchange
@@ -156,9 +156,9 @@
         loads = []
         self.looks += 1
         for state in self.services.busy_states(now)[self.looks % SLICES :: SLICES]:
-            noticed = {evidence.name: evidence for evidence in state.pool.possible_suspects()}
+            noticed = {upstream.name: upstream for upstream in state.pool.possible_suspects()}
             noticed |= self._told_of(state)
-            loads += [local_load(evidence, now) for evidence in noticed.values()]
+            loads += [local_load(upstream, now) for upstream in noticed.values()]
         room = self.fleet.bucket.room(Urgency.LOAD)
         for item in worth_sending(loads, self.told, room, now):
             self.fleet.publish(item, Urgency.LOAD)
@@ -176,11 +176,11 @@
     def _may_tell(self) -> bool:
         return bool(self.services.busy or self.told)
 
-    def _told_of(self, state: ServiceState) -> dict[str, UpstreamEvidence]:
+    def _told_of(self, state: ServiceState) -> dict[str, UpstreamState]:
         """Return the upstreams of a service whose last word may have to be taken back."""
         upstreams = state.pool.upstreams
         if len(self.told) > len(upstreams):
-            return {name: evidence for name, evidence in upstreams.items() if name in self.told}
+            return {name: upstream for name, upstream in upstreams.items() if name in self.told}
         return {name: upstreams[name] for name in self.told if name in upstreams}
 
     def _forget_old(self, now: float) -> None:
@@ -191,8 +191,8 @@
         return {"drains_told": self.drains, "crashes_told": self.crashes, "told": len(self.told)}
 
 
-def local_load(evidence: UpstreamEvidence, now: float) -> LocalLoad:
+def local_load(upstream: UpstreamState, now: float) -> LocalLoad:
     """Return this daemon's evidence on one upstream in the form that is shared."""
-    latency_us = int(evidence.latency * MICROSECONDS)
-    suspect = is_local_suspect(evidence, now)
-    return LocalLoad(evidence.name, evidence.in_flight, latency_us, suspect, now)
+    latency_us = int(upstream.latency * MICROSECONDS)
+    suspect = is_local_suspect(upstream, now)
+    return LocalLoad(upstream.name, upstream.in_flight, latency_us, suspect, now)
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -7,7 +7,7 @@
 from .. import headers
 from ..exceptions import UpstreamFailed
 from ..policy.base import Failure
-from ..policy.evidence import UpstreamEvidence
+from ..policy.upstream_state import UpstreamState
 from ..store.upload_delivery import Delivery, Sent
 from ..store.upload_manifest import Manifest
 from ..timers import Clock
@@ -46,55 +46,55 @@
         state = self.services.by_name.get(manifest.service)
         if state is None:
             return Sent(Delivery.RETRY, f"service {manifest.service} is not configured now")
-        evidence = state.pool.choose(self.clock.now(), manifest.crashed)
-        if evidence is None:
+        upstream = state.pool.choose(self.clock.now(), manifest.crashed)
+        if upstream is None:
             return Sent(Delivery.RETRY, "no upstream can take it now")
         request = delivery_request(manifest, body)
-        request.headers.append((HOST, evidence.address.encode()))
+        request.headers.append((HOST, upstream.address.encode()))
         limit = CONNECT_TIMEOUT + ANSWER_TIMEOUT + manifest.size / SLOWEST
         started = self.clock.now()
-        state.pool.record_send(evidence, started)
+        state.pool.record_send(upstream, started)
         try:
             async with curio.timeout_after(limit):
-                answer = await self._exchange(evidence, request)
+                answer = await self._exchange(upstream, request)
         except curio.TaskTimeout:
-            self._failed(state, evidence, started, Failure.TIMEOUT)
-            return Sent(Delivery.RETRY, f"{evidence.name} did not answer in {limit:.0f} s")
+            self._failed(state, upstream, started, Failure.TIMEOUT)
+            return Sent(Delivery.RETRY, f"{upstream.name} did not answer in {limit:.0f} s")
         except UpstreamFailed as error:
-            self._failed(state, evidence, started, Failure.RESET)
-            return await self._broken(state, manifest, evidence, error)
+            self._failed(state, upstream, started, Failure.RESET)
+            return await self._broken(state, manifest, upstream, error)
         except BaseException:
-            self._failed(state, evidence, started, Failure.CANCELLED)
+            self._failed(state, upstream, started, Failure.CANCELLED)
             raise
         # How long an upload takes says nothing about the upstream's load.
-        self._failed(state, evidence, started, Failure.CANCELLED)
-        self._hear_drain(state, evidence, answer)
+        self._failed(state, upstream, started, Failure.CANCELLED)
+        self._hear_drain(state, upstream, answer)
         return delivery_result(manifest, answer)
 
-    def _hear_drain(self, state: ServiceState, evidence: UpstreamEvidence, answer: Answer) -> None:
+    def _hear_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
         """Take in that the upstream is leaving: a service may have no other calls that tell."""
         words = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
         for incarnation in words:
-            hear_drain(state, self.observer, evidence.name, incarnation, self.clock.now())
+            hear_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
 
     async def _broken(
         self,
         state: ServiceState,
         manifest: Manifest,
-        evidence: UpstreamEvidence,
+        upstream: UpstreamState,
         error: UpstreamFailed,
     ) -> Sent:
         """Tell a death from a lost connection: a dead upstream takes no new connection."""
-        dead = error.sent and not await self.connector.reachable(evidence.address, ALIVE_TIMEOUT)
+        dead = error.sent and not await self.connector.reachable(upstream.address, ALIVE_TIMEOUT)
         if not dead:
             return Sent(Delivery.RETRY, str(error))
         # A suspect beside the calls that were with the upstream: they share the blame.
-        self.observer.upload_crashed(state.service.name, manifest.id, evidence.name)
-        return Sent(Delivery.CRASHED, f"{evidence.name} died while it had it", evidence.name)
+        self.observer.upload_crashed(state.service.name, manifest.id, upstream.name)
+        return Sent(Delivery.CRASHED, f"{upstream.name} died while it had it", upstream.name)
 
-    async def _exchange(self, evidence: UpstreamEvidence, request: UpstreamRequest) -> Answer:
+    async def _exchange(self, upstream: UpstreamState, request: UpstreamRequest) -> Answer:
         connection = await self.connector.acquire(
-            evidence.address, fresh=True, timeout=CONNECT_TIMEOUT
+            upstream.address, fresh=True, timeout=CONNECT_TIMEOUT
         )
         try:
             return await self._ask(connection, request)
@@ -111,7 +111,7 @@
         return answer
 
     def _failed(
-        self, state: ServiceState, evidence: UpstreamEvidence, started: float, kind: Failure
+        self, state: ServiceState, upstream: UpstreamState, started: float, kind: Failure
     ) -> None:
         now = self.clock.now()
-        state.pool.record_failure(evidence, now, kind, now - started)
+        state.pool.record_failure(upstream, now, kind, now - started)
--- a/sequoiabridge/policy/averages.py
+++ b/sequoiabridge/policy/averages.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .evidence import UpstreamEvidence
+    from .upstream_state import UpstreamState
 
 INITIAL_LATENCY_SECONDS = 0.01
 """Seconds assumed for a call before anything was measured."""
@@ -62,14 +62,14 @@
             self.call_interval += INTERVAL_WEIGHT * (interval - self.call_interval)
         self.last_call_at = now
 
-    def record_outcome(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
+    def record_outcome(self, upstreams: Collection[UpstreamState], now: float) -> None:
         """Count one more outcome; work the averages out anew once each upstream had about one."""
         self.outcomes_until_refresh -= 1
         if self.outcomes_until_refresh <= 0:
             self.outcomes_until_refresh = max(MIN_REFRESH_OUTCOMES, len(upstreams))
             self.refresh(upstreams, now)
 
-    def refresh(self, upstreams: Collection[UpstreamEvidence], now: float) -> None:
+    def refresh(self, upstreams: Collection[UpstreamState], now: float) -> None:
         """Work the averages out anew."""
         latencies = [u.latency for u in upstreams if u.samples]
         if latencies:
--- a/sequoiabridge/policy/base.py
+++ b/sequoiabridge/policy/base.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .evidence import UpstreamEvidence
+    from .upstream_state import UpstreamState
 
 
 class Failure(Enum):
@@ -65,11 +65,11 @@
     @abstractmethod
     def choose(
         self,
-        candidates: Sequence[UpstreamEvidence],
+        candidates: Sequence[UpstreamState],
         now: float,
         random: Random,
         tried: Collection[str] = (),
-    ) -> UpstreamEvidence | None:
+    ) -> UpstreamState | None:
         """Return the upstream for the next attempt, or None if none may be used.
 
         `tried` names upstreams that have had this request already; they come last.
@@ -77,14 +77,14 @@
 
     def shortlist(
         self,
-        candidates: Sequence[UpstreamEvidence],
+        candidates: Sequence[UpstreamState],
         now: float,
         count: int,
         tried: Collection[str] = (),
-    ) -> Sequence[UpstreamEvidence]:
+    ) -> Sequence[UpstreamState]:
         """Return the `count` best candidates, best first; none from a chooser without a measure."""
         return ()
 
-    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[ScoredUpstream]:
+    def explain(self, candidates: Sequence[UpstreamState], now: float) -> list[ScoredUpstream]:
         """Return how each candidate weighs at `now`, best first."""
         return [ScoredUpstream(c.name, 0.0, "not weighed") for c in candidates]
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -8,7 +8,7 @@
 
 from ..exceptions import ConfigurationError
 from .base import Chooser, ScoredUpstream
-from .evidence import UpstreamEvidence
+from .upstream_state import UpstreamState
 
 MAX_JITTER_SHARE = 0.1
 """Largest random share added to a cost, so that daemons with the same news part."""
@@ -41,9 +41,7 @@
 """Latency, as a multiple of the pool's, from which an upstream counts as slow."""
 
 
-def untried(
-    candidates: Sequence[UpstreamEvidence], tried: Collection[str]
-) -> Sequence[UpstreamEvidence]:
+def untried(candidates: Sequence[UpstreamState], tried: Collection[str]) -> Sequence[UpstreamState]:
     """Return the candidates that have not had the request yet, or all if all have had it."""
     if not tried:
         return candidates
@@ -55,11 +53,11 @@
 
     def choose(
         self,
-        candidates: Sequence[UpstreamEvidence],
+        candidates: Sequence[UpstreamState],
         now: float,
         random: Random,
         tried: Collection[str] = (),
-    ) -> UpstreamEvidence | None:
+    ) -> UpstreamState | None:
         best, lowest = None, float("inf")
         draw, spread, rounding = random.random, MAX_JITTER_SHARE, ROUNDING_FACTOR
         for candidate in untried(candidates, tried):
@@ -80,14 +78,14 @@
 
     def shortlist(
         self,
-        candidates: Sequence[UpstreamEvidence],
+        candidates: Sequence[UpstreamState],
         now: float,
         count: int,
         tried: Collection[str] = (),
-    ) -> Sequence[UpstreamEvidence]:
+    ) -> Sequence[UpstreamState]:
         return nsmallest(count, untried(candidates, tried), key=lambda c: self.score(c, now))
 
-    def score(self, upstream: UpstreamEvidence, now: float) -> float:
+    def score(self, upstream: UpstreamState, now: float) -> float:
         """Return the upstream's cost for one more call; the least is chosen."""
         cost = upstream.load(now) + 1.0 / upstream.slots
         if upstream.samples and upstream.latency > SLOW_LATENCY_RATIO * upstream.averages.latency:
@@ -106,13 +104,13 @@
             cost += SUSPECT_COST
         return cost
 
-    def explain(self, candidates: Sequence[UpstreamEvidence], now: float) -> list[ScoredUpstream]:
+    def explain(self, candidates: Sequence[UpstreamState], now: float) -> list[ScoredUpstream]:
         weighed = [
             ScoredUpstream(c.name, self.score(c, now), self.detail(c, now)) for c in candidates
         ]
         return sorted(weighed, key=lambda w: w.score)
 
-    def detail(self, upstream: UpstreamEvidence, now: float) -> str:
+    def detail(self, upstream: UpstreamState, now: float) -> str:
         """Return the evidence behind a score in one line."""
         age = now - upstream.report_at
         report = "no report"
--- a/sequoiabridge/policy/ejection.py
+++ b/sequoiabridge/policy/ejection.py
@@ -9,7 +9,7 @@
 
 from random import Random
 
-from .evidence import UpstreamEvidence
+from .upstream_state import UpstreamState
 
 BASE_EJECTION_SECONDS = 0.25
 """Seconds of a first ejection, at least."""
@@ -59,7 +59,7 @@
             return 0
         return max(1, int(self.cap * total))
 
-    def should_eject(self, upstream: UpstreamEvidence, now: float) -> bool:
+    def should_eject(self, upstream: UpstreamState, now: float) -> bool:
         """Return whether its failures or its latency stand out from its pool."""
         averages = upstream.averages
         if upstream.consecutive_failures >= MIN_CONSECUTIVE_FAILURES:
@@ -72,7 +72,7 @@
             latency_ratio > 2.0 and upstream.overdue_ratio(now) > MAX_OVERDUE_RATIO
         )
 
-    def eject(self, upstream: UpstreamEvidence, now: float, ejected: int, total: int) -> bool:
+    def eject(self, upstream: UpstreamState, now: float, ejected: int, total: int) -> bool:
         """Eject it unless the cap forbids; `ejected` of `total` upstreams are out already."""
         if ejected >= self.max_ejected(total):
             return False
@@ -85,7 +85,7 @@
         self.count += 1
         return True
 
-    def judge_trial(self, upstream: UpstreamEvidence, now: float, slow: bool) -> bool:
+    def judge_trial(self, upstream: UpstreamState, now: float, slow: bool) -> bool:
         """Take in an answer of an upstream on trial; return whether it must be ejected again."""
         if slow:
             return True
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -9,10 +9,10 @@
 from .base import Chooser, Failure, LoadReport, ScoredUpstream
 from .drains import DrainLedger
 from .ejection import TRIAL_LATENCY_RATIO, Ejector
-from .evidence import PoolAverages, UpstreamEvidence, UpstreamSpec
 from .options import PoolOptions
 from .suspicions import SUSPECT_LATENCY_RATIO, apply_suspicions, record_suspicion
 from .trust import update_trust
+from .upstream_state import PoolAverages, UpstreamSpec, UpstreamState
 
 UNSAMPLED_POOL_SIZE = 64
 """Upstreams up to which every choice looks at all of them."""
@@ -48,46 +48,46 @@
         self.chooser = chooser
         self.random = random
         self.averages = PoolAverages()
-        self.upstreams: dict[str, UpstreamEvidence] = {}
+        self.upstreams: dict[str, UpstreamState] = {}
         self.ejector = Ejector(options.eject_cap, random)
         self.drains = DrainLedger()
-        self.usable: list[UpstreamEvidence] = []
-        self.cold: list[UpstreamEvidence] = []
-        self.recently_probed: deque[UpstreamEvidence] = deque(maxlen=MAX_RECENTLY_PROBED)
+        self.usable: list[UpstreamState] = []
+        self.cold: list[UpstreamState] = []
+        self.recently_probed: deque[UpstreamState] = deque(maxlen=MAX_RECENTLY_PROBED)
         self.refresh_at = float("-inf")
 
     def configure(self, options: PoolOptions, chooser: Chooser) -> None:
-        """Take over changed options of the service; the evidence stays."""
+        """Take over changed options of the service; the measurements stay."""
         self.options = options
         self.ejector.cap = options.eject_cap
         self.chooser = chooser
 
     def set_upstreams(self, specs: Sequence[UpstreamSpec], now: float) -> None:
-        """Take over the configured upstreams; evidence of those that stay is kept."""
+        """Take over the configured upstreams; the measurements of those that stay are kept."""
         first = not self.upstreams
         old, self.upstreams = self.upstreams, {}
         for spec in specs:
-            evidence = old.get(spec.name)
-            if evidence is not None and evidence.address == spec.address:
+            upstream = old.get(spec.name)
+            if upstream is not None and upstream.address == spec.address:
                 del old[spec.name]
-                if evidence.drained and not spec.drained:
-                    evidence.cold_since = now
-                evidence.configure(spec)
+                if upstream.drained and not spec.drained:
+                    upstream.cold_since = now
+                upstream.configure(spec)
             else:
-                evidence = self._add(spec, None if first else now)
-            self.upstreams[spec.name] = evidence
-        for evidence in old.values():
-            evidence.gone = True
+                upstream = self._add(spec, None if first else now)
+            self.upstreams[spec.name] = upstream
+        for upstream in old.values():
+            upstream.gone = True
         self.drains.forget_unknown(self.upstreams)
         self._refresh(now)
 
-    def choose(self, now: float, tried: Collection[str] = ()) -> UpstreamEvidence | None:
+    def choose(self, now: float, tried: Collection[str] = ()) -> UpstreamState | None:
         """Return the upstream for the next attempt, or None if there is none to use."""
         return self.chooser.choose(self._candidates(now, tried), now, self.random, tried)
 
     def shortlist(
         self, now: float, count: int, tried: Collection[str] = ()
-    ) -> Sequence[UpstreamEvidence]:
+    ) -> Sequence[UpstreamState]:
         """Return the `count` best upstreams for the next attempt, best first."""
         return self.chooser.shortlist(self._candidates(now, tried), now, count, tried)
 
@@ -102,7 +102,7 @@
                 weighed.append(ScoredUpstream(upstream.name, float("inf"), why))
         return weighed
 
-    def why_unusable(self, upstream: UpstreamEvidence, now: float) -> str:
+    def why_unusable(self, upstream: UpstreamState, now: float) -> str:
         """Return why the upstream gets no new work, or an empty string if it may."""
         if upstream.gone:
             return "gone from the configuration"
@@ -118,16 +118,16 @@
             return "on trial, and other VMs found it bad just now"
         return ""
 
-    def record_send(self, evidence: UpstreamEvidence, now: float) -> None:
+    def record_send(self, upstream: UpstreamState, now: float) -> None:
         """A call goes to the upstream."""
-        evidence.record_start(now)
+        upstream.record_start(now)
         self.averages.record_call(now)
-        if evidence.on_trial:
+        if upstream.on_trial:
             self._refresh(now)
 
     def record_answer(
         self,
-        evidence: UpstreamEvidence,
+        upstream: UpstreamState,
         now: float,
         status: int,
         elapsed: float,
@@ -135,33 +135,33 @@
     ) -> None:
         """A whole answer came; a 5xx counts as a failure, and its speed as no virtue."""
         if status >= 500:
-            self.record_failure(evidence, now, Failure.ERROR, elapsed)
+            self.record_failure(upstream, now, Failure.ERROR, elapsed)
             return
-        evidence.record_end(now, elapsed)
-        evidence.consecutive_sheds = 0
-        evidence.record_outcome(now, False)
-        evidence.record_latency(now, elapsed)
+        upstream.record_end(now, elapsed)
+        upstream.consecutive_sheds = 0
+        upstream.record_outcome(now, False)
+        upstream.record_latency(now, elapsed)
         self.averages.record_outcome(self.upstreams.values(), now)
         if report is not None:
-            evidence.record_report(now, report)
-            update_trust(evidence, now)
-        if evidence.on_trial:
-            self._judge_trial(evidence, now, elapsed > TRIAL_LATENCY_RATIO * self.averages.latency)
-        elif self.ejector.should_eject(evidence, now):
-            self._eject(evidence, now)
+            upstream.record_report(now, report)
+            update_trust(upstream, now)
+        if upstream.on_trial:
+            self._judge_trial(upstream, now, elapsed > TRIAL_LATENCY_RATIO * self.averages.latency)
+        elif self.ejector.should_eject(upstream, now):
+            self._eject(upstream, now)
 
     def record_failure(
-        self, evidence: UpstreamEvidence, now: float, failure: Failure, elapsed: float
+        self, upstream: UpstreamState, now: float, failure: Failure, elapsed: float
     ) -> None:
         """An attempt ended without a usable answer."""
-        evidence.record_end(now, elapsed)
+        upstream.record_end(now, elapsed)
         if failure in (Failure.CANCELLED, Failure.TIMEOUT):
-            self._record_min_latency(evidence, now, elapsed)
+            self._record_min_latency(upstream, now, elapsed)
         if failure is Failure.SHED:
-            self._back_off(evidence, now)
+            self._back_off(upstream, now)
         elif failure is not Failure.CANCELLED:
-            self._record_failed_call(evidence, now)
-        if evidence.on_trial:
+            self._record_failed_call(upstream, now)
+        if upstream.on_trial:
             self._refresh(now)
 
     def record_peer_load(
@@ -185,11 +185,11 @@
             return
         self.refresh_at = min(self.refresh_at, now + PEER_REPORT_DELAY_SECONDS)
 
-    def undrained_upstreams(self) -> list[UpstreamEvidence]:
+    def undrained_upstreams(self) -> list[UpstreamState]:
         """Return the upstreams that neither leave nor are drained by the operator."""
         return [u for u in self.upstreams.values() if u.draining is None and not u.drained]
 
-    def possible_suspects(self) -> Iterator[UpstreamEvidence]:
+    def possible_suspects(self) -> Iterator[UpstreamState]:
         """Yield upstreams at work or perhaps slow: a cheap test before `is_local_suspect`."""
         slow = self.averages.latency * SUSPECT_LATENCY_RATIO
         for upstream in self.upstreams.values():
@@ -231,11 +231,11 @@
             },
         }
 
-    def _candidates(self, now: float, tried: Collection[str]) -> Sequence[UpstreamEvidence]:
+    def _candidates(self, now: float, tried: Collection[str]) -> Sequence[UpstreamState]:
         """Return whom to choose from: all of a small pool; of a large one some, and the probed."""
         if now >= self.refresh_at:
             self._refresh(now)
-        candidates: Sequence[UpstreamEvidence] = self.usable
+        candidates: Sequence[UpstreamState] = self.usable
         if len(candidates) > UNSAMPLED_POOL_SIZE:
             candidates = self.random.sample(candidates, SAMPLE_SIZE + len(tried))
             candidates += [u for u in self.recently_probed if not self.why_unusable(u, now)]
@@ -243,11 +243,11 @@
             candidates = self._apply_slow_start(candidates, now)
         return candidates
 
-    def _add(self, spec: UpstreamSpec, cold_since: float | None) -> UpstreamEvidence:
-        evidence = UpstreamEvidence(spec, self.averages)
-        evidence.cold_since = cold_since
-        evidence.draining = self.drains.draining(spec.name)
-        return evidence
+    def _add(self, spec: UpstreamSpec, cold_since: float | None) -> UpstreamState:
+        upstream = UpstreamState(spec, self.averages)
+        upstream.cold_since = cold_since
+        upstream.draining = self.drains.draining(spec.name)
+        return upstream
 
     def _apply_drain(self, name: str, now: float) -> None:
         upstream = self.upstreams.get(name)
@@ -277,8 +277,8 @@
             self.refresh_at = min(self.refresh_at, end)
 
     def _apply_slow_start(
-        self, candidates: Sequence[UpstreamEvidence], now: float
-    ) -> Sequence[UpstreamEvidence]:
+        self, candidates: Sequence[UpstreamState], now: float
+    ) -> Sequence[UpstreamState]:
         """Leave each cold upstream out of some choices, of fewer as it warms up."""
         kept = []
         for upstream in candidates:
@@ -289,32 +289,32 @@
             kept.append(upstream)
         return kept or candidates
 
-    def _judge_trial(self, upstream: UpstreamEvidence, now: float, bad: bool) -> None:
+    def _judge_trial(self, upstream: UpstreamState, now: float, bad: bool) -> None:
         if self.ejector.judge_trial(upstream, now, bad):
             self._eject(upstream, now)
         self._refresh(now)
 
-    def _eject(self, upstream: UpstreamEvidence, now: float) -> None:
+    def _eject(self, upstream: UpstreamState, now: float) -> None:
         undrained = self.undrained_upstreams()
         ejected = sum(u.ejected_until > now or u.on_trial for u in undrained if u is not upstream)
         if self.ejector.eject(upstream, now, ejected, len(undrained)):
             self._refresh(now)
 
-    def _record_min_latency(self, upstream: UpstreamEvidence, now: float, elapsed: float) -> None:
+    def _record_min_latency(self, upstream: UpstreamState, now: float, elapsed: float) -> None:
         """No answer came in `elapsed` seconds: that counts as a latency if it is a long one."""
         if elapsed > self.averages.latency * max(1.0, upstream.latency_ratio(now)):
             upstream.record_latency(now, elapsed)
             if self.ejector.should_eject(upstream, now):
                 self._eject(upstream, now)
 
-    def _back_off(self, upstream: UpstreamEvidence, now: float) -> None:
+    def _back_off(self, upstream: UpstreamState, now: float) -> None:
         backoff = min(
             MAX_SHED_BACKOFF_SECONDS, MIN_SHED_BACKOFF_SECONDS * 2**upstream.consecutive_sheds
         )
         upstream.shed_until = now + backoff * self.random.uniform(0.75, 1.25)
         upstream.consecutive_sheds += 1
 
-    def _record_failed_call(self, upstream: UpstreamEvidence, now: float) -> None:
+    def _record_failed_call(self, upstream: UpstreamState, now: float) -> None:
         upstream.record_outcome(now, True)
         self.averages.record_outcome(self.upstreams.values(), now)
         if upstream.on_trial or self.ejector.should_eject(upstream, now):
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -9,9 +9,9 @@
 
 from collections.abc import Collection, Sequence
 
-from .evidence import UpstreamEvidence
 from .pool import SAMPLE_SIZE, UNSAMPLED_POOL_SIZE, PoolState
 from .suspicions import is_local_suspect
+from .upstream_state import UpstreamState
 
 MAX_TOKENS = 8.0
 """Probes that may be saved up."""
@@ -126,14 +126,14 @@
             "upstream ms per 1000 calls": round(self.upstream_time * 1000 * per, 3),
         }
 
-    def _take(self, upstreams: Sequence[UpstreamEvidence], now: float) -> list[str]:
+    def _take(self, upstreams: Sequence[UpstreamState], now: float) -> list[str]:
         for upstream in upstreams:
             upstream.probed_at = now
         self.tokens -= len(upstreams)
         self.probes += len(upstreams)
         return [upstream.name for upstream in upstreams]
 
-    def _probe_candidates(self, pool: PoolState, now: float) -> list[UpstreamEvidence]:
+    def _probe_candidates(self, pool: PoolState, now: float) -> list[UpstreamState]:
         suspects, stale = [], []
         for upstream in _candidates(pool):
             if now - upstream.probed_at < PROBE_INTERVAL_SECONDS:
@@ -147,11 +147,11 @@
         return suspects + stale
 
 
-def _last_report_at(upstream: UpstreamEvidence) -> float:
+def _last_report_at(upstream: UpstreamState) -> float:
     return max(upstream.report_at, upstream.probed_at)
 
 
-def _candidates(pool: PoolState) -> Sequence[UpstreamEvidence]:
+def _candidates(pool: PoolState) -> Sequence[UpstreamState]:
     """Return the upstreams that a probe may be spent on: all, or a sample of many."""
     undrained = pool.undrained_upstreams()
     return (
--- a/sequoiabridge/policy/suspicions.py
+++ b/sequoiabridge/policy/suspicions.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from .evidence import UpstreamEvidence
+from .upstream_state import UpstreamState
 
 SUSPICION_SECONDS = 2.0
 """Seconds for which another VM's suspicion counts."""
@@ -22,7 +22,7 @@
 """Latency, as a multiple of the pool's, that makes a suspect."""
 
 
-def is_local_suspect(upstream: UpstreamEvidence, now: float) -> bool:
+def is_local_suspect(upstream: UpstreamState, now: float) -> bool:
     """Return whether this VM's own calls speak against the upstream; only that is told on."""
     return (
         upstream.on_trial
@@ -31,15 +31,13 @@
     )
 
 
-def record_suspicion(upstream: UpstreamEvidence, sender: str, age: float, now: float) -> None:
+def record_suspicion(upstream: UpstreamState, sender: str, age: float, now: float) -> None:
     """Note that another VM suspected the upstream `age` seconds ago."""
     if age < SUSPICION_SECONDS:
         upstream.suspected_by[sender] = now + SUSPICION_SECONDS - age
 
 
-def apply_suspicions(
-    upstreams: Sequence[UpstreamEvidence], max_suspected: int, now: float
-) -> float:
+def apply_suspicions(upstreams: Sequence[UpstreamState], max_suspected: int, now: float) -> float:
     """Set `suspected` of each upstream, of none if more than `max_suspected` would be.
 
     Returns:
--- a/sequoiabridge/policy/trust.py
+++ b/sequoiabridge/policy/trust.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .evidence import UpstreamEvidence
+from .upstream_state import UpstreamState
 
 TRUST_LOSS_FACTOR = 0.8
 """Factor on trust for each answer that contradicts the upstream's reports."""
@@ -14,7 +14,7 @@
 """Latency, as a multiple of the pool's, with which a report under the average disagrees."""
 
 
-def update_trust(upstream: UpstreamEvidence, now: float) -> None:
+def update_trust(upstream: UpstreamState, now: float) -> None:
     """Lower the trust in reports of little work from an upstream that answers slowly."""
     reports_low_load = upstream.other_calls / upstream.slots < upstream.averages.other_load
     if reports_low_load and upstream.latency_ratio(now) > DISTRUST_LATENCY_RATIO:
--- a/sequoiabridge/policy/evidence.py
+++ b/sequoiabridge/policy/upstream_state.py
@@ -65,7 +65,7 @@
         self.pool = pool
 
 
-class UpstreamEvidence:
+class UpstreamState:
     """One upstream as this daemon sees it.
 
     Attributes:
--- a/sequoiabridge/tests/policy/test_pool.py
+++ b/sequoiabridge/tests/policy/test_pool.py
@@ -5,8 +5,8 @@
 
 from ...policy.base import Failure, LoadReport
 from ...policy.choosers import chooser_named
-from ...policy.evidence import UpstreamSpec
 from ...policy.pool import PoolOptions, PoolState
+from ...policy.upstream_state import UpstreamSpec
 
 
 def make(count=6, cap=0.3, chooser="evidence"):
--- a/sequoiabridge/tests/policy/test_probing.py
+++ b/sequoiabridge/tests/policy/test_probing.py
@@ -4,9 +4,9 @@
 
 from ...policy.base import LoadReport
 from ...policy.choosers import chooser_named
-from ...policy.evidence import UpstreamSpec
 from ...policy.pool import PoolOptions, PoolState
 from ...policy.probing import MAX_TOKENS, ProbeBudget
+from ...policy.upstream_state import UpstreamSpec
 
 
 def make(count=8):
