--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -38,7 +38,7 @@
 from .relay.configuration import Configuration
 from .relay.counters import Counters
 from .relay.crash_guard import CrashGuard
-from .relay.decisions import STDOUT, DecisionLog, LineWriter, SentenceHandler
+from .relay.decisions import STDOUT, DecisionLog, DecisionLogHandler, LineWriter
 from .relay.feeds import Follower, Update
 from .relay.members import Members
 from .relay.messages import Hello
@@ -58,36 +58,36 @@
 
 log = get_log("gateway")
 
-SWEEP_EVERY = 2.0
+IDLE_SWEEP_INTERVAL = 2.0
 """Seconds between two looks for connections that have been idle too long."""
 
-EXPIRE_EVERY = 0.5
+EXPIRY_INTERVAL = 0.5
 """Seconds between two looks for lapsed upstreams, and for lines of the log that wait."""
 
-COUNT_EVERY = 2.0
+MEMBER_COUNT_INTERVAL = 2.0
 """Seconds between two counts of the fleet's daemons."""
 
-LOOK_AT_SETTINGS = 1.0
+SETTINGS_POLL_INTERVAL = 1.0
 """Seconds between two looks whether the settings file has changed; no signal need come."""
 
-LOOK_FOR_GONE = 0.2
+CALLER_POLL_INTERVAL = 0.2
 """Seconds between two looks whether callers have left; their work must end within half a second."""
 
-BALANCER_LAG = 2.6
+BALANCER_DELAY = 2.6
 """Seconds after a stop began in which new connections still come: the balancer asks once a second
 and acts on the second answer that says no."""
 
 STOP_MARGIN = 0.4
 """Seconds before the end of the grace time at which the daemon stops waiting for calls."""
 
-STOP_LOOK = 0.05
+STOP_POLL_INTERVAL = 0.05
 """Seconds between two looks whether all calls have ended."""
 
-CONNECTIONS_EACH = 8
+MAX_CONNECTIONS_PER_UPSTREAM = 8
 """Connections to one upstream: two calls and some probes at a time at the present load of a VM. A
 fleet of 100 VMs keeps below the 860 that an upstream of its size takes."""
 
-IDLE_UPSTREAM = 30.0
+UPSTREAM_IDLE_TIMEOUT = 30.0
 """Seconds that an idle connection to an upstream is kept unless the upstream asks for less."""
 
 
@@ -102,31 +102,31 @@
         listen = settings.listen
         self.operators_address = f"{listen.fleet_ip}:{listen.fleet_ports[0]}"
         self.counters = Counters()
-        self.lines = LineWriter()
-        self.decisions = DecisionLog(settings.vm.name, self.clock, self.lines.write)
+        self.log_writer = LineWriter()
+        self.decisions = DecisionLog(settings.vm.name, self.clock, self.log_writer.write)
         self.dialect = PlatformDialect()
-        self._build_knowledge()
-        self._build_path()
-        self._build_ports()
-        self.stop_asked = curio.UniversalEvent()
+        self._build_store_followers()
+        self._build_call_path()
+        self._build_servers()
+        self.stop_requested = curio.UniversalEvent()
         self.settings_reloader = SettingsReloader(settings, self.costs, self.store, self.decisions)
 
     async def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
         await self._start()
-        await self.stop_asked.wait()
+        await self.stop_requested.wait()
         await self._stop()
         return 0
 
-    def _build_knowledge(self) -> None:
+    def _build_store_followers(self) -> None:
         """Build what follows the store: the configuration and the list of upstreams."""
         settings = self.settings
-        limits = ConnectorLimits(idle_timeout=IDLE_UPSTREAM, until_close=True)
-        self.connector = HttpConnector(self.clock, limits, CONNECTIONS_EACH)
-        self.store = PlatformClient(settings.store.address, self.clock, self._counted)
-        self.configuration = Configuration(self.decisions, self._configured)
+        limits = ConnectorLimits(idle_timeout=UPSTREAM_IDLE_TIMEOUT, until_close=True)
+        self.connector = HttpConnector(self.clock, limits, MAX_CONNECTIONS_PER_UPSTREAM)
+        self.store = PlatformClient(settings.store.address, self.clock, self._count_store_call)
+        self.configuration = Configuration(self.decisions, self._apply_configuration)
         self.upstreams = UpstreamList(
-            settings.vm.data_centre, self.clock, self.decisions, self._upstream_leaves
+            settings.vm.data_centre, self.clock, self.decisions, self._retire_connections
         )
         self._build_fleet()
         self.readiness = Readiness(self.configuration, self.upstreams)
@@ -142,8 +142,8 @@
             self.clock,
             self.random,
             self.decisions,
-            self._configuration_read,
-            self._configuration_read,
+            self._read_configuration,
+            self._read_configuration,
             self._store_lost,
             lambda: None,
         )
@@ -154,8 +154,8 @@
             self.clock,
             self.random,
             self.decisions,
-            self._upstreams_read,
-            self._upstreams_changed,
+            self._replace_upstreams,
+            self._update_upstreams,
             self._store_lost,
             self.upstreams.store_recovered,
         )
@@ -189,7 +189,7 @@
         )
         self.sharing.members = self.members
 
-    def _build_path(self) -> None:
+    def _build_call_path(self) -> None:
         """Build what calls go through."""
         bounds, clock = self.settings.bounds, self.clock
         self.prober = Prober(
@@ -233,7 +233,7 @@
             self.readiness.why_not_serving,
         )
 
-    def _build_ports(self) -> None:
+    def _build_servers(self) -> None:
         """Build what listens: callers' port, the balancer's question, operators' port."""
         clock = self.clock
         self.limits = CallerLimits()
@@ -244,7 +244,7 @@
             self.relay.next_id,
             self.dialect.refusal,
             half_close_is_leaving=True,
-            sweep_interval=LOOK_FOR_GONE,
+            sweep_interval=CALLER_POLL_INTERVAL,
         )
         self.ready = CallerServer(
             ReadyHandler(self.readiness),
@@ -257,7 +257,7 @@
 
     async def _start(self) -> None:
         """Listen first, so that nobody is turned away; serve once the store has been read."""
-        logging.getLogger(ROOT).addHandler(SentenceHandler(self.decisions))
+        logging.getLogger(ROOT).addHandler(DecisionLogHandler(self.decisions))
         logging.getLogger(ROOT).setLevel(logging.INFO)
         quiet_curio()
         settings = self.settings
@@ -272,42 +272,42 @@
         self.sharing.channel.bind(self.members.local.address)
         await curio.spawn(self.sharing.channel.run(), daemon=True)
         await curio.spawn(self.members.join(), daemon=True)
-        self._subscribe()
+        self._schedule_periodic_work()
         await curio.spawn(self.timers.run(), daemon=True)
         self.decisions.event("start", pid=os.getpid(), callers=settings.listen.callers)
         # What was made at the start stays; the collector need not go through it again and again.
         gc.collect()
         gc.freeze()
 
-    def _subscribe(self) -> None:
+    def _schedule_periodic_work(self) -> None:
         """Subscribe the periodic work."""
-        self.timers.every(SWEEP_EVERY, "idle connections", self.connector.sweep)
-        self.timers.every(EXPIRE_EVERY, "lapsed upstreams", self.upstreams.expire)
-        self.timers.every(EXPIRE_EVERY, "waiting lines", self.lines.flush)
+        self.timers.every(IDLE_SWEEP_INTERVAL, "idle connections", self.connector.sweep)
+        self.timers.every(EXPIRY_INTERVAL, "lapsed upstreams", self.upstreams.expire)
+        self.timers.every(EXPIRY_INTERVAL, "waiting lines", self.log_writer.flush)
         self.timers.every(HEARTBEAT_INTERVAL, "beacons", self.watchers.send_heartbeat)
-        self.timers.every(COUNT_EVERY, "members", self._count_members)
-        self.timers.every(LOOK_AT_SETTINGS, "settings", self.settings_reloader.poll)
+        self.timers.every(MEMBER_COUNT_INTERVAL, "members", self._update_probe_share)
+        self.timers.every(SETTINGS_POLL_INTERVAL, "settings", self.settings_reloader.poll)
 
     async def _stop(self) -> None:
         """Leave the balancer, serve on for its lag, finish all calls, then end."""
         began = self.clock.now()
         self.decisions.event("stop", in_flight=self.callers.in_flight)
         self.callers.announce_stop()
-        await curio.sleep(BALANCER_LAG)
+        await curio.sleep(BALANCER_DELAY)
         await self.callers.stop_accepting()
         end = began + self.settings.bounds.grace - STOP_MARGIN
         while self.callers.open and self.clock.now() < end:
-            await curio.sleep(STOP_LOOK)
+            await curio.sleep(STOP_POLL_INTERVAL)
         await self.connector.close()
         self.decisions.event("stopped", cut_off=self.callers.in_flight)
-        self.lines.flush()
+        self.log_writer.flush()
 
     def catch_signals(self) -> None:
         """Stop at SIGTERM and SIGINT; read the settings again at SIGHUP."""
 
         def stop(number: int, frame: object) -> None:
             self.readiness.stopping = True
-            self.stop_asked.set()
+            self.stop_requested.set()
 
         def reload(number: int, frame: object) -> None:
             self.settings_reloader.reload_requested = True
@@ -316,14 +316,14 @@
         signal.signal(signal.SIGINT, stop)
         signal.signal(signal.SIGHUP, reload)
 
-    def _configuration_read(self, update: Update[RouteTable]) -> None:
+    def _read_configuration(self, update: Update[RouteTable]) -> None:
         for table in update.entries:
             self.configuration.offer(table)
 
     def _store_lost(self) -> None:
         self.watchers.note_store_unavailable()
 
-    def _configured(self, table: RouteTable) -> None:
+    def _apply_configuration(self, table: RouteTable) -> None:
         """Let callers have what a configuration that came into force allows them."""
         self.upstreams.set_services(table.services)
         limits = table.limits
@@ -332,22 +332,22 @@
         self.limits.head_timeout = limits.head_timeout
         self.limits.idle_timeout = limits.idle_timeout
 
-    def _upstreams_read(self, update: Update[UpstreamRecord]) -> None:
+    def _replace_upstreams(self, update: Update[UpstreamRecord]) -> None:
         self.upstreams.replace(update.entries, update.version, update.unusable)
 
-    def _upstreams_changed(self, update: Update[UpstreamRecord]) -> None:
+    def _update_upstreams(self, update: Update[UpstreamRecord]) -> None:
         self.upstreams.update(update.entries, update.removed, update.version, update.unusable)
 
-    def _upstream_leaves(self, upstream: Upstream) -> None:
+    def _retire_connections(self, upstream: Upstream) -> None:
         """Close what is open to an upstream that gets no more calls, as soon as it is idle."""
         self.connector.retire(upstream.address)
 
-    def _count_members(self) -> None:
+    def _update_probe_share(self) -> None:
         """Share the limit on health checks between the daemons that are known now."""
         if self.members.peers:
             self.allowance.vms = self.members.count
 
-    def _counted(self, failed: bool) -> None:
+    def _count_store_call(self, failed: bool) -> None:
         self.counters.store_calls += 1
         self.counters.store_failures += failed
 
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -23,15 +23,15 @@
 from .messages import RequestCrashed, RequestSurvived
 from .sharing import Sharing
 
-FEWEST_CRASHES = 3
+MIN_CRASHED_UPSTREAMS = 3
 """Distinct upstreams that must have died with a request before it is stopped. With two, two deaths
 by chance within a second stopped a harmless page; callers bring a harmful one again at once, so a
 third death costs little."""
 
-ALIVE_TIMEOUT = 0.1
+ALIVE_CHECK_TIMEOUT = 0.1
 """Seconds in which an upstream that lives takes a connection; it needs a few milliseconds."""
 
-COME_BACK = 1.0
+RETRY_AFTER = 1.0
 """Seconds after which a stopped request may come again; it is stopped until it is forgotten."""
 
 HOST = b"host"
@@ -47,9 +47,9 @@
         self.sharing = sharing
         self.decisions = decisions
         self.clock = clock
-        self.ledger = CrashLedger(FEWEST_CRASHES)
-        sharing.on_crash = self._heard_crash
-        sharing.on_survival = self._heard_survival
+        self.ledger = CrashLedger(MIN_CRASHED_UPSTREAMS)
+        sharing.on_crash = self._record_crash
+        sharing.on_survival = self._record_survival
 
     def check(self, call: RelayedCall) -> None:
         """Refuse a call that has crashed too many upstreams.
@@ -62,35 +62,35 @@
         if not self.ledger.is_blocked(fingerprint(call), self.clock.now()):
             return
         message = "Upstreams died each time they ran this request. It is not sent to more of them."
-        raise Refusal(503, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message, COME_BACK)
+        raise Refusal(503, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message, RETRY_AFTER)
 
-    async def ended(self, call: RelayedCall, attempt: Attempt) -> None:
+    async def attempt_ended(self, call: RelayedCall, attempt: Attempt) -> None:
         """Look whether an upstream died with a call, or answered one that was suspected."""
         if attempt.ending is Ending.ANSWERED:
-            self._answered(call)
+            self._report_survival(call)
         elif attempt.ending is Ending.BROKEN and attempt.metadata is None:
-            await curio.spawn(self._look(call, attempt), daemon=True)
+            await curio.spawn(self._report_if_down(call, attempt), daemon=True)
 
-    async def _look(self, call: RelayedCall, attempt: Attempt) -> None:
+    async def _report_if_down(self, call: RelayedCall, attempt: Attempt) -> None:
         address = attempt.upstream.address
-        if await self.connector.reachable(address, ALIVE_TIMEOUT):
+        if await self.connector.reachable(address, ALIVE_CHECK_TIMEOUT):
             return
         crashed = RequestCrashed(fingerprint(call), attempt.upstream.lifetime)
-        if self._heard_crash(crashed):
+        if self._record_crash(crashed):
             self.sharing.broadcast(crashed)
 
-    def _answered(self, call: RelayedCall) -> None:
+    def _report_survival(self, call: RelayedCall) -> None:
         if not self.ledger.by_fingerprint:
             return
         survived = RequestSurvived(fingerprint(call))
-        if self._heard_survival(survived):
+        if self._record_survival(survived):
             self.sharing.broadcast(survived)
 
-    def _heard_crash(self, crashed: RequestCrashed) -> bool:
+    def _record_crash(self, crashed: RequestCrashed) -> bool:
         """Enter a crash; return whether it is news."""
         now = self.clock.now()
-        news = self.ledger.record_crash(crashed.fingerprint, crashed.upstream, "", now, now)
-        if news:
+        is_new = self.ledger.record_crash(crashed.fingerprint, crashed.upstream, "", now, now)
+        if is_new:
             stopped = crashed.fingerprint in self.ledger.blocked_fingerprints
             self.decisions.event(
                 "request-crashed",
@@ -98,9 +98,9 @@
                 upstream=crashed.upstream,
                 stopped=stopped,
             )
-        return news
+        return is_new
 
-    def _heard_survival(self, survived: RequestSurvived) -> bool:
+    def _record_survival(self, survived: RequestSurvived) -> bool:
         """Enter that a suspected request was answered; return whether it was one."""
         return self.ledger.record_answer(survived.fingerprint, self.clock.now())
 
--- a/sequoiabridge/relay/decisions.py
+++ b/sequoiabridge/relay/decisions.py
@@ -15,17 +15,17 @@
 
 from ..timers import Clock
 
-GOOD_CALLS = (10.0, 40.0)
+GOOD_CALL_LIMITS = (10.0, 40.0)
 """Lines a second, and at once, for calls that were answered in time: enough for each call of a VM
 at the users' present load (5 to 20 a second), a cap on the CPU time of a flood."""
 
-BAD_CALLS = (40.0, 200.0)
+BAD_CALL_LIMITS = (40.0, 200.0)
 """The same for all other calls: they are what people ask about."""
 
 EVENT_LIMITS = (100.0, 500.0)
 """The same for everything else: a list of all upstreams may change at once."""
 
-PENDING = 64 * 1024
+MAX_PENDING_BYTES = 64 * 1024
 """Bytes that are kept for a reader that does not read; more is left out and counted."""
 
 STDOUT = 1
@@ -33,25 +33,25 @@
 ENCODER = json.JSONEncoder(separators=(",", ":"), ensure_ascii=True, default=str)
 
 
-class Bucket:
+class TokenBucket:
     """Lets through so many lines a second, and so many at once."""
 
-    __slots__ = ("rate", "most", "left", "at", "omitted")
+    __slots__ = ("rate", "burst", "tokens", "updated_at", "omitted")
 
     def __init__(self, limits: tuple[float, float]):
-        self.rate, self.most = limits
-        self.left = self.most
-        self.at = 0.0
+        self.rate, self.burst = limits
+        self.tokens = self.burst
+        self.updated_at = 0.0
         self.omitted = 0
 
     def take(self, now: float) -> bool:
         """Return whether one more line may be written; count it if not."""
-        self.left = min(self.most, self.left + (now - self.at) * self.rate)
-        self.at = now
-        if self.left < 1.0:
+        self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
+        if self.tokens < 1.0:
             self.omitted += 1
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
 
 
@@ -73,7 +73,7 @@
 
     def write(self, line: bytes) -> None:
         """Write a line, or as much of what waits as the reader takes."""
-        if len(self.pending) + len(line) > PENDING:
+        if len(self.pending) + len(line) > MAX_PENDING_BYTES:
             self.omitted += 1
         else:
             self.pending += line
@@ -109,40 +109,40 @@
         self.vm = vm
         self.clock = clock
         self.write = write
-        self.good, self.bad, self.events = (
-            Bucket(GOOD_CALLS),
-            Bucket(BAD_CALLS),
-            Bucket(EVENT_LIMITS),
+        self.good_calls, self.bad_calls, self.events = (
+            TokenBucket(GOOD_CALL_LIMITS),
+            TokenBucket(BAD_CALL_LIMITS),
+            TokenBucket(EVENT_LIMITS),
         )
         self.written: dict[str, int] = {}
 
     @property
     def omitted(self) -> int:
         """Return how many lines the buckets left out."""
-        return self.good.omitted + self.bad.omitted + self.events.omitted
+        return self.good_calls.omitted + self.bad_calls.omitted + self.events.omitted
 
-    def event(self, event: str, **inputs: object) -> None:
+    def event(self, event: str, **fields: object) -> None:
         """Write that the daemon believes something else now, or an event of its life."""
-        self._line(self.events, event, inputs)
+        self._write_line(self.events, event, fields)
 
-    def call(self, good: bool, inputs: dict[str, object]) -> None:
+    def call(self, good: bool, fields: dict[str, object]) -> None:
         """Write what was decided about one call."""
-        self._line(self.good if good else self.bad, "call", inputs)
+        self._write_line(self.good_calls if good else self.bad_calls, "call", fields)
 
-    def _line(self, bucket: Bucket, event: str, inputs: dict[str, object]) -> None:
+    def _write_line(self, bucket: TokenBucket, event: str, fields: dict[str, object]) -> None:
         now = self.clock.now()
         if not bucket.take(now):
             return
         self.written[event] = self.written.get(event, 0) + 1
         line = {"at": round(self.clock.wall(), 3), "up": round(now, 3), "vm": self.vm}
         line["event"] = event
-        line.update(inputs)
+        line.update(fields)
         if bucket.omitted:
             line["omitted_so_far"] = bucket.omitted
         self.write(ENCODER.encode(line).encode() + b"\n")
 
 
-class SentenceHandler(logging.Handler):
+class DecisionLogHandler(logging.Handler):
     """Puts the sentences of the parts' logs into the same stream, one JSON line each."""
 
     def __init__(self, decisions: DecisionLog):
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -36,7 +36,7 @@
         dialect: Dialect,
         sharing: Sharing,
         clock: Clock,
-        guard: CrashGuard,
+        crash_guard: CrashGuard,
     ):
         self.dispatch = dispatch
         self.prober = prober
@@ -44,7 +44,7 @@
         self.dialect = dialect
         self.sharing = sharing
         self.clock = clock
-        self.guard = guard
+        self.crash_guard = crash_guard
 
     async def send(self, call: RelayedCall) -> Answer:
         """Return the final answer of an upstream.
@@ -52,7 +52,7 @@
         Raises:
             Refusal: There is none.
         """
-        self.guard.check(call)
+        self.crash_guard.check(call)
         race = Race()
         try:
             return await self._run_steps(call, race)
@@ -99,5 +99,5 @@
     ) -> Attempt | None:
         attempt = await race.next_ended(until - self.clock.now())
         if attempt is not None:
-            await self.guard.ended(call, attempt)
+            await self.crash_guard.attempt_ended(call, attempt)
         return attempt
--- a/sequoiabridge/tests/relay/test_log.py
+++ b/sequoiabridge/tests/relay/test_log.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from ...relay.decisions import BAD_CALLS, GOOD_CALLS, PENDING, LineWriter
+from ...relay.decisions import BAD_CALL_LIMITS, GOOD_CALL_LIMITS, MAX_PENDING_BYTES, LineWriter
 from ...timers import ManualClock
 from .fakes import decision_log
 
@@ -14,17 +14,17 @@
     for number in range(1000):
         log.call(True, {"id": number})
     log.call(False, {"id": "bad"})
-    assert len(lines) == GOOD_CALLS[1] + 1 and json.loads(lines[-1])["id"] == "bad"
+    assert len(lines) == GOOD_CALL_LIMITS[1] + 1 and json.loads(lines[-1])["id"] == "bad"
     clock.advance(1.0)
     log.call(True, {"id": "next"})
-    assert json.loads(lines[-1])["omitted_so_far"] == 1000 - GOOD_CALLS[1]
+    assert json.loads(lines[-1])["omitted_so_far"] == 1000 - GOOD_CALL_LIMITS[1]
 
 
 def test_bad_calls_are_bounded_too():
     log, lines = decision_log(ManualClock(5.0))
     for number in range(1000):
         log.call(False, {"id": number})
-    assert len(lines) == BAD_CALLS[1] and log.omitted == 1000 - BAD_CALLS[1]
+    assert len(lines) == BAD_CALL_LIMITS[1] and log.omitted == 1000 - BAD_CALL_LIMITS[1]
 
 
 def test_a_reader_that_does_not_read_holds_nothing_up():
@@ -33,7 +33,7 @@
     lines = LineWriter(writer)
     for _ in range(3000):
         lines.write(b"x" * 99 + b"\n")
-    assert lines.omitted > 0 and len(lines.pending) <= PENDING
+    assert lines.omitted > 0 and len(lines.pending) <= MAX_PENDING_BYTES
     got = b""
     while lines.pending:
         got += os.read(reader, 1 << 20)
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -238,7 +238,7 @@
         kept = await scene.connect()
         assert (await kept.call(READ)).status == 200
         scene.gateway.readiness.stopping = True
-        await scene.gateway.stop_asked.set()
+        await scene.gateway.stop_requested.set()
         ready = await scene.connect(scene.gateway.ready.address)
         assert (await ready.call("/ready")).status == 503
         reply = await kept.call(READ, "late")
@@ -363,12 +363,12 @@
 
 def test_each_lifetime_that_dies_with_a_request_counts_in_its_blame():
     async def test(scene):
-        guard, upstreams = scene.gateway.sender.guard, scene.gateway.upstreams.by_id
+        guard, upstreams = scene.gateway.sender.crash_guard, scene.gateway.upstreams.by_id
         for born in (1000, 2000, 3000):
             scene.upstreams["r0"].born = born
             await scene.relist("r0")
             await scene.until(lambda born=born: upstreams["r0"].record.born == born)
-            guard._heard_crash(RequestCrashed("print", upstreams["r0"].lifetime))
+            guard._record_crash(RequestCrashed("print", upstreams["r0"].lifetime))
         assert "print" in guard.ledger.blocked_fingerprints
 
     play(test, reads=1)
