--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -9,40 +9,40 @@
 from .route_stats import Costs
 from .upstream import Upstream
 
-NEIGHBOUR = 1.5
+NOISY_NEIGHBOUR_RATIO = 1.5
 """Rise of the reported slowdown during a call from which its duration says nothing of the upstream
 itself."""
 
 
-class News(ABC):
+class UpstreamObserver(ABC):
     """Enters what was seen of upstreams, and tells those who must know."""
 
     @abstractmethod
-    def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
+    def record_load_report(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told its load."""
 
     @abstractmethod
-    def failed(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         """An upstream failed a call."""
 
     @abstractmethod
-    def was_replaced(self, upstream: Upstream) -> None:
+    def record_replacement(self, upstream: Upstream) -> None:
         """Another upstream answered at its address."""
 
 
-class Learning:
+class AttemptRecorder:
     """Learns from attempts that have ended.
 
     Attributes:
         endings: Attempts by how they ended.
     """
 
-    def __init__(self, costs: Costs, news: News):
+    def __init__(self, costs: Costs, observer: UpstreamObserver):
         self.costs = costs
-        self.news = news
+        self.observer = observer
         self.endings: dict[str, int] = {}
 
-    def ended(self, call: Call, attempt: CallAttempt) -> None:
+    def record(self, call: Call, attempt: CallAttempt) -> None:
         """Take in one attempt."""
         ending, now = attempt.ending, attempt.ended_at
         self.endings[ending.value] = self.endings.get(ending.value, 0) + 1
@@ -50,26 +50,26 @@
         stats = upstream.stats
         seconds = now - attempt.started
         # What was expected without regard to the upstream's own slowness.
-        usual = estimate.expected_duration / stats.latency_ratio_at(now)
+        expected_seconds = estimate.expected_duration / stats.latency_ratio_at(now)
         if attempt.load is not None:
-            self.news.reported(upstream, attempt.load)
+            self.observer.record_load_report(upstream, attempt.load)
         if ending is Ending.ANSWERED and attempt.is_success:
             stats.record_success(now)
-            if not met_neighbour(attempt):
-                stats.record_latency_ratio(seconds / usual, now)
+            if not slowed_by_neighbour(attempt):
+                stats.record_latency_ratio(seconds / expected_seconds, now)
             self.costs.measured(call, attempt)
         elif ending is Ending.CANCELLED:
-            if seconds > usual:
-                stats.record_latency_ratio(seconds / usual, now)
+            if seconds > expected_seconds:
+                stats.record_latency_ratio(seconds / expected_seconds, now)
         elif ending is Ending.RESTARTED:
             return
         elif attempt.wrong_upstream:
-            self.news.was_replaced(upstream)
+            self.observer.record_replacement(upstream)
         elif attempt.error is None:
-            self.news.failed(upstream)
+            self.observer.record_failure(upstream)
 
 
-def met_neighbour(attempt: CallAttempt) -> bool:
+def slowed_by_neighbour(attempt: CallAttempt) -> bool:
     """Return whether other work slowed the upstream down after the call was sent there."""
     load = attempt.load
-    return load is not None and load.slowdown > NEIGHBOUR * attempt.estimate.slowdown
+    return load is not None and load.slowdown > NOISY_NEIGHBOUR_RATIO * attempt.estimate.slowdown
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ..timers import Clock
-from .attempt_recorder import Learning
+from .attempt_recorder import AttemptRecorder
 from .call import Call, CallAttempt
 from .chooser import Chooser
 from .cost_model import CostEstimate
@@ -45,13 +45,13 @@
         self,
         chooser: Chooser,
         hedging: Hedging,
-        learning: Learning,
+        recorder: AttemptRecorder,
         clock: Clock,
         new_budget: Callable[[], RetryBudget],
     ):
         self.chooser = chooser
         self.hedging = hedging
-        self.learning = learning
+        self.recorder = recorder
         self.clock = clock
         self.new_budget = new_budget
         self.budgets: dict[str, RetryBudget] = {}
@@ -76,7 +76,7 @@
                 yield from self._look(call)
                 continue
             call.open_attempts.remove(attempt)
-            self.learning.ended(call, attempt)
+            self.recorder.record(call, attempt)
             if attempt.is_final:
                 return attempt
             if attempt.status:
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from ..balancing.attempt_recorder import Learning, News
+from ..balancing.attempt_recorder import AttemptRecorder, UpstreamObserver
 from ..balancing.call import Call, CallAttempt, Ending
 from ..balancing.candidates import Candidates, UpstreamSource
 from ..balancing.chooser import Chooser
@@ -81,7 +81,7 @@
         return self.by_service.get(service, [])
 
 
-class ModelVm(News):
+class ModelVm(UpstreamObserver):
     """One simulated VM.
 
     Args:
@@ -127,7 +127,7 @@
         self.dispatch = Dispatch(
             chooser,
             Hedging(chooser, costs, self.scheduler),
-            Learning(costs, self),
+            AttemptRecorder(costs, self),
             self.scheduler,
             lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_BASE),
         )
@@ -171,7 +171,7 @@
         for attempt in call.open_attempts:
             self._cancel(call, attempt)
             if attempt.ending is Ending.CANCELLED:
-                self.dispatch.learning.ended(call, attempt)
+                self.dispatch.recorder.record(call, attempt)
 
     def _execute(self, call: ModelCall, step: Step) -> None:
         if isinstance(step, Probe):
@@ -234,7 +234,7 @@
 
         def receive(load: UpstreamLoad) -> None:
             upstream.stats.record_probe_answer(True)
-            self.reported(upstream, load)
+            self.record_load_report(upstream, load)
             if on_report is not None:
                 on_report()
 
@@ -296,21 +296,21 @@
             self._one_way_latency(attempt.upstream), model.cancel, call.jobs.pop(attempt)
         )
 
-    def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
+    def record_load_report(self, upstream: Upstream, load: UpstreamLoad) -> None:
         now = self.scheduler.now()
         upstream.stats.record_load_report(load, now)
         self._share_with_peers(
             upstream, lambda entry: entry.stats.record_load_report(load, self.scheduler.now())
         )
 
-    def failed(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         upstream.stats.record_failure(self.scheduler.now())
         self._share_with_peers(
             upstream,
             lambda entry: entry.stats.record_failure(self.scheduler.now(), PEER_FAILURE_WEIGHT),
         )
 
-    def was_replaced(self, upstream: Upstream) -> None:
+    def record_replacement(self, upstream: Upstream) -> None:
         """Do nothing: no address of the model passes to another upstream."""
 
     def _share_with_peers(self, upstream: Upstream, update: Callable[[Upstream], None]) -> None:
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -15,7 +15,7 @@
 
 import curio
 
-from .balancing.attempt_recorder import Learning
+from .balancing.attempt_recorder import AttemptRecorder
 from .balancing.candidates import Candidates
 from .balancing.chooser import Chooser
 from .balancing.dispatch import Dispatch
@@ -209,7 +209,7 @@
         dispatch = Dispatch(
             chooser,
             Hedging(chooser, self.costs, clock),
-            Learning(self.costs, self.sharing),
+            AttemptRecorder(self.costs, self.sharing),
             clock,
             lambda: RetryBudget(bounds.retry_ratio, bounds.retry_window, bounds.retry_slack),
         )
--- a/sequoiabridge/relay/metrics.py
+++ b/sequoiabridge/relay/metrics.py
@@ -38,7 +38,7 @@
     def collect(self) -> Iterator[Metric]:
         """Yield all families."""
         counters = self.gateway.counters
-        endings = self.gateway.sender.dispatch.learning.endings
+        endings = self.gateway.sender.dispatch.recorder.endings
         yield from route_families(counters)
         yield labelled_counter(
             "sequoia_refusals", "Answers the daemon made.", "reason", counters.refusals
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -141,7 +141,7 @@
         if not metadata.healthy:
             self.upstreams.reported_unhealthy(upstream)
         if metadata.load is not None:
-            self.sharing.reported(upstream, metadata.load)
+            self.sharing.record_load_report(upstream, metadata.load)
 
 
 class ProbeBatch:
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -60,7 +60,7 @@
             await race.cancel_all()
             for attempt in call.open_attempts:
                 if attempt.ending is Ending.CANCELLED:
-                    self.dispatch.learning.ended(call, attempt)
+                    self.dispatch.recorder.record(call, attempt)
 
     async def _run_steps(self, call: RelayedCall, race: Race) -> Answer:
         """Take step after step."""
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable
 
-from ..balancing.attempt_recorder import News
+from ..balancing.attempt_recorder import UpstreamObserver
 from ..balancing.load import UpstreamLoad
 from ..balancing.upstream import Upstream
 from ..balancing.upstream_stats import PEER_FAILURE_WEIGHT
@@ -30,7 +30,7 @@
 from .upstreams import UpstreamList
 
 
-class Sharing(News):
+class Sharing(UpstreamObserver):
     """Enters evidence here and tells it to others."""
 
     def __init__(self, upstreams: UpstreamList, clock: Clock):
@@ -49,18 +49,18 @@
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(CallSent(upstream.lifetime), self.members.sharing_addresses)
 
-    def reported(self, upstream: Upstream, load: UpstreamLoad) -> None:
+    def record_load_report(self, upstream: Upstream, load: UpstreamLoad) -> None:
         """An upstream told this VM its load."""
         upstream.stats.record_load_report(load, self.clock.now())
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(LoadReport(upstream.lifetime, load), self.members.sharing_addresses)
 
-    def failed(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         """An upstream failed a call of this VM."""
         upstream.stats.record_failure(self.clock.now())
         self.broadcast(CallFailed(upstream.lifetime))
 
-    def was_replaced(self, upstream: Upstream) -> None:
+    def record_replacement(self, upstream: Upstream) -> None:
         """Another upstream answered at its address."""
         self.upstreams.was_replaced(upstream)
 
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ...balancing.attempt_recorder import Learning, News
+from ...balancing.attempt_recorder import AttemptRecorder, UpstreamObserver
 from ...balancing.call import Call, CallAttempt, Ending
 from ...balancing.candidates import Candidates
 from ...balancing.chooser import Chooser
@@ -20,16 +20,16 @@
 from ..relay.fakes import decision_log, record
 
 
-class Deaf(News):
+class Deaf(UpstreamObserver):
     """Passes nothing on."""
 
-    def reported(self, upstream, load):
+    def record_load_report(self, upstream, load):
         pass
 
-    def failed(self, upstream):
+    def record_failure(self, upstream):
         pass
 
-    def was_replaced(self, upstream):
+    def record_replacement(self, upstream):
         pass
 
 
@@ -46,7 +46,7 @@
         self.dispatch = Dispatch(
             chooser,
             Hedging(chooser, costs, self.clock),
-            Learning(costs, Deaf()),
+            AttemptRecorder(costs, Deaf()),
             self.clock,
             lambda: RetryBudget(0.2, 10.0, 1000),
         )
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -27,7 +27,7 @@
 def test_calls_and_loads_of_near_upstreams_are_told_to_the_peers_here():
     sharing, known, sent = fleet(3)
     sharing.record_send(known.by_id["u"])
-    sharing.reported(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
+    sharing.record_load_report(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
     assert {address for address, _ in sent} == {"p0:1", "p1:1", "p2:1"} and len(sent) == 6
     sharing.record_send(known.by_id["far"])
     assert len(sent) == 6
@@ -37,7 +37,7 @@
     sharing, known, sent = fleet(MAX_SHARING_PEERS + 1)
     sharing.record_send(known.by_id["u"])
     assert sent == []
-    sharing.failed(known.by_id["u"])
+    sharing.record_failure(known.by_id["u"])
     assert len(sent) == MAX_SHARING_PEERS + 2
 
 
