--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -6,7 +6,7 @@
 
 from .call import Call, CallAttempt, Ending
 from .load import UpstreamLoad
-from .route_stats import Costs
+from .route_stats import RouteStats
 from .upstream import Upstream
 
 NOISY_NEIGHBOUR_RATIO = 1.5
@@ -37,8 +37,8 @@
         endings: Attempts by how they ended.
     """
 
-    def __init__(self, costs: Costs, observer: UpstreamObserver):
-        self.costs = costs
+    def __init__(self, route_stats: RouteStats, observer: UpstreamObserver):
+        self.route_stats = route_stats
         self.observer = observer
         self.endings: dict[str, int] = {}
 
@@ -57,7 +57,7 @@
             stats.record_success(now)
             if not slowed_by_neighbour(attempt):
                 stats.record_latency_ratio(seconds / expected_seconds, now)
-            self.costs.measured(call, attempt)
+            self.route_stats.record(call, attempt)
         elif ending is Ending.CANCELLED:
             if seconds > expected_seconds:
                 stats.record_latency_ratio(seconds / expected_seconds, now)
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -10,7 +10,7 @@
 from .cost_model import CallRequirements, CostEstimate, estimate_cost, lacks_capacity
 from .overload import OverloadTracker
 from .refusals import overloaded
-from .route_stats import Costs
+from .route_stats import RouteStats
 from .steps import BackgroundProbe, Probe, Sleep, Steps
 from .upstream import Upstream
 from .upstream_stats import PROBE_WAIT
@@ -48,9 +48,11 @@
         costs: What a call's work takes and what moving its bytes costs.
     """
 
-    def __init__(self, candidates: Candidates, costs: Costs, clock: Clock, random: Random):
+    def __init__(
+        self, candidates: Candidates, route_stats: RouteStats, clock: Clock, random: Random
+    ):
         self.candidates = candidates
-        self.costs = costs
+        self.route_stats = route_stats
         self.clock = clock
         self.random = random
         self.overload = OverloadTracker()
@@ -88,8 +90,8 @@
         far = [upstream for upstream in neighbours.far if upstream.id not in tried]
         yield from self._ask(near)
         best = self._best(call, near)
-        far_cost = self.costs.far_cost(call)
-        if far and (best is None or best.cost > far_cost + GAIN):
+        transfer_cost = self.route_stats.transfer_cost(call)
+        if far and (best is None or best.cost > transfer_cost + GAIN):
             yield from self._ask(far)
             best = self._best(call, near + far)
         return best
@@ -109,10 +111,10 @@
 
     def _needs(self, call: Call) -> CallRequirements:
         return CallRequirements(
-            self.costs.work(call),
+            self.route_stats.work(call),
             call.late_at - self.clock.now(),
             call.route.target_latency,
-            self.costs.far_cost(call),
+            self.route_stats.transfer_cost(call),
             call.deadline - self.clock.now(),
             self.overload.ratio(call.service, self.clock.now()),
         )
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -10,7 +10,7 @@
 from .call import Call, CallAttempt
 from .chooser import Chooser
 from .cost_model import CostEstimate
-from .route_stats import Costs
+from .route_stats import RouteStats
 from .steps import Probe, Steps
 from .upstream_stats import PROBE_WAIT
 
@@ -37,9 +37,9 @@
 class Hedging:
     """Decides on second attempts."""
 
-    def __init__(self, chooser: Chooser, costs: Costs, clock: Clock):
+    def __init__(self, chooser: Chooser, route_stats: RouteStats, clock: Clock):
         self.chooser = chooser
-        self.costs = costs
+        self.route_stats = route_stats
         self.clock = clock
 
     def begin(self, call: Call, attempt: CallAttempt) -> None:
@@ -91,7 +91,7 @@
             return float("inf")
         slowdown = stats.load.slowdown if stats.load else attempt.estimate.slowdown
         duration = (
-            self.costs.work(call) * max(1.0, slowdown) * max(1.0, stats.latency_ratio_at(now))
+            self.route_stats.work(call) * max(1.0, slowdown) * max(1.0, stats.latency_ratio_at(now))
         )
         taken = now - attempt.started
         if taken > ALIVE * max(duration, attempt.estimate.expected_duration):
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -8,7 +8,7 @@
 from ..balancing.candidates import Candidates
 from ..balancing.chooser import Chooser
 from ..balancing.cost_model import CostEstimate
-from ..balancing.route_stats import Costs
+from ..balancing.route_stats import RouteStats
 from ..balancing.steps import Probe, Sleep, Steps
 from ..balancing.upstream import Upstream
 from ..balancing.upstream_stats import PROBE_WAIT
@@ -66,7 +66,7 @@
 
     def as_estimate(self, call: Call, upstream: Upstream) -> CostEstimate:
         """Return an estimate for an upstream with placeholder values."""
-        work = self.costs.work(call)
+        work = self.route_stats.work(call)
         return CostEstimate(upstream, work, work, 0.0, 0.0, 1.0, NO_HEDGE_QUEUE_POSITION, 0.0, 0.0)
 
 
@@ -118,7 +118,7 @@
         Return None, which refuses the call, if it can no longer be in time and no upstream has
         capacity to spare.
         """
-        latest = call.late_at - ORACLE_HOLD_FACTOR * self.costs.work(call)
+        latest = call.late_at - ORACLE_HOLD_FACTOR * self.route_stats.work(call)
         while True:
             best = yield from self.choose(call)
             is_late = self.clock.now() > latest
@@ -166,8 +166,8 @@
     """Return a function that creates the chooser of a VM."""
     strategy = STRATEGIES[name]
 
-    def make(candidates: Candidates, costs: Costs, vm) -> Chooser:
-        chooser = strategy(candidates, costs, vm.scheduler, vm.random)
+    def make(candidates: Candidates, route_stats: RouteStats, vm) -> Chooser:
+        chooser = strategy(candidates, route_stats, vm.scheduler, vm.random)
         chooser.models = models
         return chooser
 
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -15,7 +15,7 @@
 from ..balancing.prior_wait import Patience
 from ..balancing.probe_limiter import ProbeAllowance
 from ..balancing.retry_budget import RetryBudget
-from ..balancing.route_stats import Costs
+from ..balancing.route_stats import RouteStats
 from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
 from ..balancing.upstream import Upstream, UpstreamRecord
 from ..balancing.upstream_stats import PEER_FAILURE_WEIGHT, PROBE_TIMEOUT, OpenCall
@@ -122,12 +122,12 @@
         self.allowance = ProbeAllowance(self.scene.probes_per_second)
         self.allowance.vms = self.scene.vms
         self.patience = Patience()
-        costs = Costs(self.scene.far_megabyte)
-        chooser = self.make_chooser(Candidates(self.name, self.upstreams), costs, self)
+        route_stats = RouteStats(self.scene.far_megabyte)
+        chooser = self.make_chooser(Candidates(self.name, self.upstreams), route_stats, self)
         self.dispatch = Dispatch(
             chooser,
-            Hedging(chooser, costs, self.scheduler),
-            AttemptRecorder(costs, self),
+            Hedging(chooser, route_stats, self.scheduler),
+            AttemptRecorder(route_stats, self),
             self.scheduler,
             lambda: RetryBudget(RETRY_RATIO, RETRY_WINDOW_SECONDS, RETRY_BASE),
         )
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -22,7 +22,7 @@
 from .balancing.hedging import Hedging
 from .balancing.probe_limiter import ProbeAllowance
 from .balancing.retry_budget import RetryBudget
-from .balancing.route_stats import Costs
+from .balancing.route_stats import RouteStats
 from .balancing.routes import RouteTable
 from .balancing.splitting import Splitter
 from .balancing.upstream import Upstream, UpstreamRecord
@@ -109,7 +109,9 @@
         self._build_call_path()
         self._build_servers()
         self.stop_requested = curio.UniversalEvent()
-        self.settings_reloader = SettingsReloader(settings, self.costs, self.store, self.decisions)
+        self.settings_reloader = SettingsReloader(
+            settings, self.route_stats, self.store, self.decisions
+        )
 
     async def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
@@ -203,13 +205,13 @@
             clock,
             self.allowance,
         )
-        self.costs = Costs(self.settings.choice.far_megabyte)
+        self.route_stats = RouteStats(self.settings.choice.far_megabyte)
         candidates = Candidates(self.settings.vm.name, self.upstreams)
-        chooser = Chooser(candidates, self.costs, clock, self.random)
+        chooser = Chooser(candidates, self.route_stats, clock, self.random)
         dispatch = Dispatch(
             chooser,
-            Hedging(chooser, self.costs, clock),
-            AttemptRecorder(self.costs, self.sharing),
+            Hedging(chooser, self.route_stats, clock),
+            AttemptRecorder(self.route_stats, self.sharing),
             clock,
             lambda: RetryBudget(bounds.retry_ratio, bounds.retry_window, bounds.retry_slack),
         )
--- a/sequoiabridge/relay/reloading.py
+++ b/sequoiabridge/relay/reloading.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ..balancing.route_stats import Costs
+from ..balancing.route_stats import RouteStats
 from ..config.gateway_settings import GatewaySettings
 from ..config.problem import Invalid
 from .decisions import DecisionLog
@@ -24,9 +24,11 @@
         reload_requested: A signal has asked for it.
     """
 
-    def __init__(self, settings: GatewaySettings, costs: Costs, store, decisions: DecisionLog):
+    def __init__(
+        self, settings: GatewaySettings, route_stats: RouteStats, store, decisions: DecisionLog
+    ):
         self.settings = settings
-        self.costs = costs
+        self.route_stats = route_stats
         self.store = store
         self.decisions = decisions
         self.reload_requested = False
@@ -44,7 +46,7 @@
             self.decisions.event("reload-refused", why=str(error))
             return
         self.settings.bounds = fresh.bounds
-        self.costs.far_megabyte = fresh.choice.far_megabyte
+        self.route_stats.transfer_cost_per_mb = fresh.choice.far_megabyte
         self.store.address = fresh.store.address
         self.decisions.event("reload", store=fresh.store.address)
 
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -11,7 +11,7 @@
 from ...balancing.dispatch import Dispatch
 from ...balancing.hedging import Hedging
 from ...balancing.retry_budget import RetryBudget
-from ...balancing.route_stats import Costs
+from ...balancing.route_stats import RouteStats
 from ...balancing.routes import Route, Target
 from ...balancing.steps import CancelAttempt, Send, Wait
 from ...exceptions import Refusal
@@ -41,12 +41,12 @@
         log, _ = decision_log(self.clock)
         self.known = UpstreamList("here", self.clock, log, lambda u: None)
         self.known.update([record(f"u{n}", born=1) for n in range(upstreams)], [], 1)
-        costs = Costs(0.0)
-        chooser = Chooser(Candidates("vm", self.known), costs, self.clock, Random(1))
+        route_stats = RouteStats(0.0)
+        chooser = Chooser(Candidates("vm", self.known), route_stats, self.clock, Random(1))
         self.dispatch = Dispatch(
             chooser,
-            Hedging(chooser, costs, self.clock),
-            AttemptRecorder(costs, Deaf()),
+            Hedging(chooser, route_stats, self.clock),
+            AttemptRecorder(route_stats, Deaf()),
             self.clock,
             lambda: RetryBudget(0.2, 10.0, 1000),
         )
--- a/sequoiabridge/tests/relay/test_reloading.py
+++ b/sequoiabridge/tests/relay/test_reloading.py
@@ -2,7 +2,7 @@
 
 import json
 
-from ...balancing.route_stats import Costs
+from ...balancing.route_stats import RouteStats
 from ...config.gateway_settings import GatewaySettings
 from ...relay.reloading import SettingsReloader
 from .fakes import decision_log
@@ -35,7 +35,7 @@
     file.write_text(SETTINGS_TEXT.format(port=5))
     log, lines = decision_log()
     store = Store()
-    reloader = SettingsReloader(GatewaySettings.load(file), Costs(1.0), store, log)
+    reloader = SettingsReloader(GatewaySettings.load(file), RouteStats(1.0), store, log)
     return reloader, file, store, lines
 
 
