--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -64,7 +64,7 @@
         Raises:
             Refusal: There is none.
         """
-        self._budget(call).called(self.clock.now())
+        self._budget(call).record_call(self.clock.now())
         yield from self._first(call)
         while True:
             now = self.clock.now()
@@ -127,7 +127,7 @@
             call.note = "its body has been passed on"
         elif call.deadline - self.clock.now() < LEAST_TIME:
             call.note = "no time left"
-        elif call.was_sent and not self._budget(call).has(self.clock.now()):
+        elif call.was_sent and not self._budget(call).has_token(self.clock.now()):
             call.note = "the budget of repeats is spent"
         else:
             return True
@@ -143,7 +143,7 @@
 
     def _hedge(self, call: Call, attempt: CallAttempt) -> Steps[None]:
         budget = self._budget(call)
-        if not budget.has(self.clock.now()):
+        if not budget.has_token(self.clock.now()):
             self.hedging.look_later(call, attempt)
             call.note = "the budget of repeats is spent"
             return
--- a/sequoiabridge/balancing/probe_limiter.py
+++ b/sequoiabridge/balancing/probe_limiter.py
@@ -2,32 +2,32 @@
 
 from __future__ import annotations
 
-KEPT_SHARE = 0.7
+USED_SHARE = 0.7
 """Part of the limit that is used: callers are spread unevenly over the VMs, and the limit counts
 what all of them send."""
 
-SAVED = 4.0
+BURST_SECONDS = 4.0
 """Seconds' worth of unused checks that are kept for a burst of calls; the limit is on the mean of a
 day."""
 
-USUAL_FLEET = 20
+DEFAULT_VM_COUNT = 20
 """VMs that are assumed to share the limit while their number is not known."""
 
 
-class ProbeAllowance:
+class ProbeRateLimiter:
     """A bucket that fills with this VM's share of the fleet's health checks.
 
     Args:
         per_upstream: Health checks a second that one upstream may get from all VMs.
     """
 
-    __slots__ = ("per_upstream", "vms", "left", "at", "denied")
+    __slots__ = ("rate_per_upstream", "vm_count", "tokens", "refilled_at", "denied")
 
-    def __init__(self, per_upstream: float):
-        self.per_upstream = per_upstream
-        self.vms = USUAL_FLEET
-        self.left = 0.0
-        self.at: float | None = None
+    def __init__(self, rate_per_upstream: float):
+        self.rate_per_upstream = rate_per_upstream
+        self.vm_count = DEFAULT_VM_COUNT
+        self.tokens = 0.0
+        self.refilled_at: float | None = None
         self.denied = 0
 
     def take(self, wanted: int, upstreams: int, now: float) -> int:
@@ -36,12 +36,12 @@
         Args:
             upstreams: How many upstreams there are.
         """
-        rate = self.per_upstream * KEPT_SHARE * upstreams / max(1, self.vms)
-        most = rate * SAVED
-        passed = SAVED if self.at is None else now - self.at
-        self.left = min(most, self.left + passed * rate)
-        self.at = now
-        given = min(wanted, int(self.left))
-        self.left -= given
-        self.denied += wanted - given
-        return given
+        rate = self.rate_per_upstream * USED_SHARE * upstreams / max(1, self.vm_count)
+        max_tokens = rate * BURST_SECONDS
+        elapsed = BURST_SECONDS if self.refilled_at is None else now - self.refilled_at
+        self.tokens = min(max_tokens, self.tokens + elapsed * rate)
+        self.refilled_at = now
+        granted = min(wanted, int(self.tokens))
+        self.tokens -= granted
+        self.denied += wanted - granted
+        return granted
--- a/sequoiabridge/balancing/retry_budget.py
+++ b/sequoiabridge/balancing/retry_budget.py
@@ -8,15 +8,15 @@
 
 from collections import deque
 
-KEPT_SHARE = 0.75
+USED_SHARE = 0.75
 """Part of the fleet's ratio that is used. The limit counts the repeats of any span of the window's
 length against the calls of that span, the one before or half a window before; the rest of the
 ratio covers calls that fall just outside of it."""
 
-LARGEST_FLEET = 128
+MAX_VM_COUNT = 128
 """VMs that the limit's fixed part is shared between."""
 
-LEAST_FREE = 1.0
+MIN_FREE_RETRIES = 1.0
 """Repeats that a VM may make in a window whatever its calls: without it a quiet VM could never
 repeat a call."""
 
@@ -30,36 +30,36 @@
         free: Repeats that the fleet may send in a window beside those.
     """
 
-    __slots__ = ("ratio", "window", "free", "calls", "repeats", "refused")
+    __slots__ = ("ratio", "window", "free_retries", "calls", "retries", "refused")
 
-    def __init__(self, ratio: float, window: float, free: float):
-        self.ratio = ratio * KEPT_SHARE
+    def __init__(self, ratio: float, window: float, free_retries: float):
+        self.ratio = ratio * USED_SHARE
         self.window = window
-        self.free = max(LEAST_FREE, free / LARGEST_FLEET)
+        self.free_retries = max(MIN_FREE_RETRIES, free_retries / MAX_VM_COUNT)
         self.calls: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.retries: deque[float] = deque()
         self.refused = 0
 
-    def called(self, now: float) -> None:
+    def record_call(self, now: float) -> None:
         """A caller's call for the service came."""
         self.calls.append(now)
-        self._forget(now)
+        self._expire(now)
 
-    def has(self, now: float) -> bool:
+    def has_token(self, now: float) -> bool:
         """Return whether one more repeat may be sent now."""
-        self._forget(now)
-        return len(self.repeats) + 1 <= self.free + self.ratio * len(self.calls)
+        self._expire(now)
+        return len(self.retries) + 1 <= self.free_retries + self.ratio * len(self.calls)
 
     def take(self, now: float) -> bool:
         """Take one repeat; return False if there is none left."""
-        if not self.has(now):
+        if not self.has_token(now):
             self.refused += 1
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         oldest = now - self.window
-        for times in (self.calls, self.repeats):
+        for times in (self.calls, self.retries):
             while times and times[0] < oldest:
                 times.popleft()
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -13,7 +13,7 @@
 from ..balancing.hedging import Hedging
 from ..balancing.load import UpstreamLoad
 from ..balancing.prior_wait import Patience
-from ..balancing.probe_limiter import ProbeAllowance
+from ..balancing.probe_limiter import ProbeRateLimiter
 from ..balancing.retry_budget import RetryBudget
 from ..balancing.route_stats import RouteStats
 from ..balancing.steps import BackgroundProbe, CancelAttempt, Probe, Send, Sleep, Step
@@ -119,8 +119,8 @@
     def restart(self) -> None:
         """Discard everything learned and start anew."""
         self.upstreams = StaticUpstreams(self.models, self.data_centre)
-        self.allowance = ProbeAllowance(self.scene.probes_per_second)
-        self.allowance.vms = self.scene.vms
+        self.probe_limiter = ProbeRateLimiter(self.scene.probes_per_second)
+        self.probe_limiter.vm_count = self.scene.vms
         self.patience = Patience()
         route_stats = RouteStats(self.scene.far_megabyte)
         chooser = self.make_chooser(Candidates(self.name, self.upstreams), route_stats, self)
@@ -208,7 +208,7 @@
 
     def _probe_all(self, call: ModelCall, step: Probe) -> None:
         count = len(self.upstreams.by_id)
-        allowed = self.allowance.take(len(step.upstreams), count, self.scheduler.now())
+        allowed = self.probe_limiter.take(len(step.upstreams), count, self.scheduler.now())
         generation, pending = call.generation, allowed
 
         def on_report() -> None:
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -20,7 +20,7 @@
 from .balancing.chooser import Chooser
 from .balancing.dispatch import Dispatch
 from .balancing.hedging import Hedging
-from .balancing.probe_limiter import ProbeAllowance
+from .balancing.probe_limiter import ProbeRateLimiter
 from .balancing.retry_budget import RetryBudget
 from .balancing.route_stats import RouteStats
 from .balancing.routes import RouteTable
@@ -182,7 +182,7 @@
     def _build_fleet(self) -> None:
         """Build what this daemon and the others tell each other."""
         vm, listen = self.settings.vm, self.settings.listen
-        self.allowance = ProbeAllowance(self.settings.bounds.probes_per_second)
+        self.probe_limiter = ProbeRateLimiter(self.settings.bounds.probes_per_second)
         self.sharing = Sharing(self.upstreams, self.clock)
         address = f"{listen.fleet_ip}:{listen.fleet_ports[-1]}"
         me = Hello(vm.name, address, vm.data_centre, vm.link)
@@ -203,7 +203,7 @@
             self.sharing,
             self.counters,
             clock,
-            self.allowance,
+            self.probe_limiter,
         )
         self.route_stats = RouteStats(self.settings.choice.far_megabyte)
         candidates = Candidates(self.settings.vm.name, self.upstreams)
@@ -347,7 +347,7 @@
     def _update_probe_share(self) -> None:
         """Share the limit on health checks between the daemons that are known now."""
         if self.members.peers:
-            self.allowance.vms = self.members.count
+            self.probe_limiter.vm_count = self.members.count
 
     def _count_store_call(self, failed: bool) -> None:
         self.counters.store_calls += 1
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from ..balancing.probe_limiter import ProbeAllowance
+from ..balancing.probe_limiter import ProbeRateLimiter
 from ..balancing.upstream import Upstream
 from ..balancing.upstream_stats import PROBE_TIMEOUT
 from ..exceptions import NoFreeConnection, UpstreamFailed
@@ -46,9 +46,9 @@
         sharing: Sharing,
         counters: Counters,
         clock: Clock,
-        allowance: ProbeAllowance,
+        probe_limiter: ProbeRateLimiter,
     ):
-        self.allowance = allowance
+        self.probe_limiter = probe_limiter
         self.connector = connector
         self.dialect = dialect
         self.configuration = configuration
@@ -65,7 +65,7 @@
         limit on health checks demands it.
         """
         now, known = self.clock.now(), self.upstreams.configured_count
-        upstreams = upstreams[: self.allowance.take(len(upstreams), known, now)]
+        upstreams = upstreams[: self.probe_limiter.take(len(upstreams), known, now)]
         if not upstreams:
             return
         batch = ProbeBatch(len(upstreams))
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -12,7 +12,7 @@
     estimate_cost,
     lacks_capacity,
 )
-from ...balancing.probe_limiter import KEPT_SHARE, ProbeAllowance
+from ...balancing.probe_limiter import USED_SHARE, ProbeRateLimiter
 from ...balancing.retry_budget import RetryBudget
 from ...balancing.routes import Route, Target
 from ...balancing.splitting import Splitter
@@ -38,7 +38,7 @@
     for _ in range(6000):
         now += random.expovariate(60)
         budget = fleet[min(12, int(random.expovariate(0.3)))]
-        budget.called(now)
+        budget.record_call(now)
         calls.append(now)
         for _ in range(3):
             if budget.take(now):
@@ -53,20 +53,20 @@
 
 def test_a_quiet_vm_may_repeat_a_call_but_not_all_calls():
     budget = RetryBudget(0.2, 10.0, 56)
-    budget.called(1.0)
+    budget.record_call(1.0)
     assert [budget.take(1.0 + n / 10) for n in range(3)] == [True, False, False]
     assert budget.take(11.2)
 
 
 def test_the_fleet_keeps_to_the_limit_on_health_checks_over_a_day():
-    fleet, sent = [ProbeAllowance(60.0) for _ in range(18)], 0
-    for allowance in fleet:
-        allowance.vms = 18
+    fleet, sent = [ProbeRateLimiter(60.0) for _ in range(18)], 0
+    for probe_limiter in fleet:
+        probe_limiter.vm_count = 18
     for step in range(3000):
-        for allowance in fleet:
-            sent += allowance.take(10, 37, step / 100)
+        for probe_limiter in fleet:
+            sent += probe_limiter.take(10, 37, step / 100)
     assert sent / 37 / 30.0 <= 60.0
-    assert sent / 37 / 30.0 >= 60.0 * KEPT_SHARE * 0.9
+    assert sent / 37 / 30.0 >= 60.0 * USED_SHARE * 0.9
 
 
 def test_the_cheapest_upstream_is_the_one_that_is_likely_to_answer_in_time():
