--- a/sequoiabridge/balancing/candidates.py
+++ b/sequoiabridge/balancing/candidates.py
@@ -65,9 +65,9 @@
 
     def _pick(self, service: str) -> Neighbours:
         known = self.upstreams.of_service(service)
-        near = self._part([u for u in known if u.near], MOST_NEAR)
+        near = self._part([u for u in known if u.is_local], MOST_NEAR)
         wanted = MOST_FAR + max(0, MOST_FAR - len(near))
-        far = self._part([u for u in known if not u.near], wanted)
+        far = self._part([u for u in known if not u.is_local], wanted)
         return Neighbours(near, far)
 
     def _part(self, upstreams: list[Upstream], most: int) -> list[Upstream]:
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -123,7 +123,7 @@
         now = self.clock.now()
         needs = self._needs(call)
         estimates = [
-            estimate_cost(needs, upstream, now) for upstream in upstreams if upstream.takes_work
+            estimate_cost(needs, upstream, now) for upstream in upstreams if upstream.accepts_calls
         ]
         estimates.sort(key=lambda one: one.cost)
         call.considered = estimates[:SHOWN] or call.considered
--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -223,7 +223,7 @@
     saturation_cost = cost_of_saturation(slots, queue_position, call.overload_ratio)
     cost += saturation_cost
     cost += OVERDUE_COST * stats.overdue_calls(now)
-    if not upstream.near:
+    if not upstream.is_local:
         cost += call.transfer_cost
     if not stats.healthy:
         cost += UNHEALTHY_COST
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -136,7 +136,7 @@
     def _look(self, call: Call) -> Steps[None]:
         """See how open attempts do; let another upstream try too if they do badly."""
         for attempt in list(call.open_attempts):
-            if attempt.upstream.is_over:
+            if attempt.upstream.has_restarted:
                 yield CancelAttempt(attempt)
             elif attempt.next_check_at <= self.clock.now():
                 yield from self._hedge(call, attempt)
--- a/sequoiabridge/balancing/upstream.py
+++ b/sequoiabridge/balancing/upstream.py
@@ -24,7 +24,7 @@
         "data_centre",
         "slots",
         "draining",
-        "cold_for",
+        "cold_seconds",
         "version",
         "born",
     )
@@ -37,7 +37,7 @@
         data_centre: str,
         slots: int,
         draining: bool,
-        cold_for: float,
+        cold_seconds: float,
         version: str,
         born: int | None = None,
     ):
@@ -47,7 +47,7 @@
         self.data_centre = data_centre
         self.slots = slots
         self.draining = draining
-        self.cold_for = cold_for
+        self.cold_seconds = cold_seconds
         self.version = version
         self.born = born
 
@@ -65,14 +65,14 @@
         is_over: It has started again: nothing that was sent to this lifetime will be answered.
     """
 
-    __slots__ = ("record", "stats", "near", "warm_at", "replaced", "leaves_at", "is_over")
+    __slots__ = ("record", "stats", "is_local", "warm_at", "replaced", "forget_at", "has_restarted")
 
-    def __init__(self, record: UpstreamRecord, near: bool, now: float):
+    def __init__(self, record: UpstreamRecord, is_local: bool, now: float):
         self.stats = UpstreamStats()
-        self.near = near
+        self.is_local = is_local
         self.replaced = False
-        self.is_over = False
-        self.listed(record, now)
+        self.has_restarted = False
+        self.update_record(record, now)
 
     @property
     def id(self) -> str:
@@ -90,15 +90,15 @@
         return lifetime_name(self.record.id, self.record.born)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_calls(self) -> bool:
         """Return whether it may get new calls."""
-        return not (self.record.draining or self.replaced or self.is_over)
+        return not (self.record.draining or self.replaced or self.has_restarted)
 
-    def listed(self, record: UpstreamRecord, now: float) -> None:
+    def update_record(self, record: UpstreamRecord, now: float) -> None:
         """Take in the platform's latest entry."""
         self.record = record
-        self.warm_at = now + record.cold_for
-        self.leaves_at: float | None = None
+        self.warm_at = now + record.cold_seconds
+        self.forget_at: float | None = None
 
 
 def lifetime_name(id: str, born: int | None) -> str:
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -204,7 +204,7 @@
             self._resume_later(call, max(0.0, until - self.scheduler.now()), None)
 
     def _one_way_latency(self, upstream: Upstream) -> float:
-        return self.scene.near if upstream.near else self.scene.far
+        return self.scene.near if upstream.is_local else self.scene.far
 
     def _probe_all(self, call: ModelCall, step: Probe) -> None:
         count = len(self.upstreams.by_id)
@@ -315,7 +315,7 @@
 
     def _share_with_peers(self, upstream: Upstream, update: Callable[[Upstream], None]) -> None:
         """Apply an update at each peer after the network latency, unless the message is lost."""
-        if self.isolated or not upstream.near:
+        if self.isolated or not upstream.is_local:
             return
         for peer in self.peers:
             if not peer.isolated and self.random.random() >= self.scene.words_lost:
--- a/sequoiabridge/platform/entries.py
+++ b/sequoiabridge/platform/entries.py
@@ -43,7 +43,7 @@
         data_centre=as_text(info.get("zone"), "zone"),
         slots=as_whole(info.get("slots"), "slots", 1, MOST_SLOTS),
         draining=_state(status) == DRAINING,
-        cold_for=as_number(status.get("cold_remaining_s"), "its cold time", 0.0, LONGEST_COLD),
+        cold_seconds=as_number(status.get("cold_remaining_s"), "its cold time", 0.0, LONGEST_COLD),
         version=as_text(info.get("version"), "version"),
         born=_born(entry),
     )
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -88,7 +88,7 @@
             self.error = error
             await self._failed(UpstreamFailed(str(error), sent=self.sent))
         except curio.CancelledError:
-            if self.upstream.is_over:
+            if self.upstream.has_restarted:
                 self._set_ending(Ending.RESTARTED, "the upstream has started again")
             else:
                 self._set_ending(Ending.CANCELLED, "given up")
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -75,7 +75,7 @@
 
     def _is_shared(self, upstream: Upstream) -> bool:
         """Return whether the others of this data centre send to the upstream as well."""
-        return upstream.near
+        return upstream.is_local
 
     def _handle(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -85,7 +85,7 @@
         if not self.lapsed:
             return known
         now = self.clock.now()
-        return [u for u in known if u.leaves_at is None or now < u.leaves_at]
+        return [u for u in known if u.forget_at is None or now < u.forget_at]
 
     def find_lifetime(self, name: str) -> Upstream | None:
         """Return the upstream of which this is the present lifetime, None if it is another's."""
@@ -129,14 +129,14 @@
         for id in unusable:
             if id in self.by_id:
                 self._remove(self.by_id[id], "its entry cannot be used any more")
-        missing = [id for id in gone if id in self.by_id and self.by_id[id].leaves_at is None]
+        missing = [id for id in gone if id in self.by_id and self.by_id[id].forget_at is None]
         self._handle_missing(missing, now)
         self._rebuild_index()
 
     def expire(self) -> None:
         """Forget upstreams whose lapsed entries have not come back; the timers call it."""
         now = self.clock.now()
-        over = [u for u in self.lapsed if u.leaves_at is not None and u.leaves_at <= now]
+        over = [u for u in self.lapsed if u.forget_at is not None and u.forget_at <= now]
         for upstream in over:
             self._remove(upstream, "its lapsed entry did not come back")
         if over:
@@ -144,7 +144,7 @@
 
     def reported_unhealthy(self, upstream: Upstream) -> None:
         """An upstream called itself unwell: without an entry, that means that it is leaving."""
-        if upstream.leaves_at is None or upstream.is_over:
+        if upstream.forget_at is None or upstream.has_restarted:
             return
         self._remove(upstream, "its entry lapsed, and it says that it is leaving")
         self._rebuild_index()
@@ -181,7 +181,7 @@
         began = record.draining and not known.record.draining
         if record.address != known.address:
             self.on_retire(known)
-        known.listed(record, now)
+        known.update_record(record, now)
         if began:
             self.decisions.event("upstream-drains", upstream=record.id, version=self.version)
             self.on_retire(known)
@@ -195,7 +195,7 @@
 
     def _end_lifetime(self, upstream: Upstream) -> None:
         """An upstream has started again: what was known of it, and is open there, is over."""
-        upstream.is_over = True
+        upstream.has_restarted = True
         self.decisions.event("upstream-restarted", upstream=upstream.id, version=self.version)
         self.on_retire(upstream)
 
@@ -214,8 +214,8 @@
             if upstream.record.draining or now >= self.lapse_window_end:
                 self._remove(upstream, "its entry is gone")
                 continue
-            upstream.leaves_at = self.lapse_window_end
-            self.decisions.event("upstream-lapsed", upstream=id, kept_until=upstream.leaves_at)
+            upstream.forget_at = self.lapse_window_end
+            self.decisions.event("upstream-lapsed", upstream=id, kept_until=upstream.forget_at)
 
     def _remove(self, upstream: Upstream, why: str) -> None:
         del self.by_id[upstream.id]
@@ -238,12 +238,12 @@
     def _rebuild_index(self) -> None:
         self.changes += 1
         self.by_service = {}
-        self.lapsed = [u for u in self.by_id.values() if u.leaves_at is not None]
+        self.lapsed = [u for u in self.by_id.values() if u.forget_at is not None]
         self.configured_count = sum(
             self._is_configured(upstream) for upstream in self.by_id.values()
         )
         for upstream in self.by_id.values():
-            if upstream.takes_work:
+            if upstream.accepts_calls:
                 self.by_service.setdefault(upstream.record.service, []).append(upstream)
 
 
@@ -264,7 +264,7 @@
         "service": upstream.record.service,
         "address": upstream.address,
         "software": upstream.record.version,
-        "near": upstream.near,
+        "near": upstream.is_local,
         "born": upstream.record.born,
         "draining": upstream.record.draining,
         "replaced": upstream.replaced,
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -53,7 +53,7 @@
 def test_a_good_entry_is_read_whole():
     found = upstream_record(row(GOOD))
     assert (found.id, found.service, found.address) == ("i-1", "s", "10.0.0.7:8080")
-    assert (found.data_centre, found.slots, found.draining, found.cold_for) == (
+    assert (found.data_centre, found.slots, found.draining, found.cold_seconds) == (
         "here",
         4,
         False,
@@ -145,7 +145,7 @@
         found = upstream_record(row(entry))
     except BadEntry:
         return
-    assert found.slots >= 1 and 0.0 <= found.cold_for < 1e6
+    assert found.slots >= 1 and 0.0 <= found.cold_seconds < 1e6
     assert found.service.isprintable() and found.address.count(":") == 1
 
 
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -100,7 +100,7 @@
     known.was_replaced(first)
     assert names(known) == ["b"]
     before, after = restarted(known)
-    assert before is first and before.is_over and not before.takes_work
+    assert before is first and before.has_restarted and not before.accepts_calls
     assert names(known) == ["a", "b"] and left == ["a", "a"]
     assert after.stats.failure_rate(clock.now()) < 0.05
     assert not after.stats.is_unresponsive(clock.now()) and after.stats.open_calls == []
@@ -127,7 +127,7 @@
     assert names(known) == ["a", "b"]
     known.store_recovered()
     known.replace([record("b", born=1000)], 4)
-    assert known.by_id["a"].leaves_at is not None
+    assert known.by_id["a"].forget_at is not None
     known.update([record("a", born=3000)], [], 5)
     clock.advance(LAPSE_GRACE + 1.0)
     known.expire()
