--- a/sequoiabridge/balancing/candidates.py
+++ b/sequoiabridge/balancing/candidates.py
@@ -7,22 +7,22 @@
 
 from .upstream import Upstream
 
-MOST_NEAR = 8
+MAX_LOCAL = 8
 """Upstreams of its own data centre that a VM keeps connections to, for each service. Five are asked
 before a call; some more leave a choice when several are busy or away."""
 
-MOST_FAR = 5
+MAX_REMOTE = 5
 """Upstreams of other data centres likewise; they are asked only when all near ones are bad."""
 
 
-class Neighbours:
+class CandidateSet:
     """The upstreams that a VM looks at for one service."""
 
-    __slots__ = ("near", "far")
+    __slots__ = ("local", "remote")
 
-    def __init__(self, near: list[Upstream], far: list[Upstream]):
-        self.near = near
-        self.far = far
+    def __init__(self, local: list[Upstream], remote: list[Upstream]):
+        self.local = local
+        self.remote = remote
 
 
 class UpstreamSource(ABC):
@@ -32,10 +32,10 @@
         changes: Grows with each change of that.
     """
 
-    changes = 0
+    generation = 0
 
     @abstractmethod
-    def of_service(self, service: str) -> list[Upstream]:
+    def for_service(self, service: str) -> list[Upstream]:
         """Return the upstreams of a service that may get work."""
 
 
@@ -50,30 +50,30 @@
     def __init__(self, vm: str, upstreams: UpstreamSource):
         self.vm = vm
         self.upstreams = upstreams
-        self.changes = -1
-        self.neighbours: dict[str, Neighbours] = {}
+        self.generation = -1
+        self.by_service: dict[str, CandidateSet] = {}
 
-    def of_service(self, service: str) -> Neighbours:
+    def for_service(self, service: str) -> CandidateSet:
         """Return the upstreams of a service that are looked at."""
-        if self.changes != self.upstreams.changes:
-            self.changes = self.upstreams.changes
-            self.neighbours = {}
-        found = self.neighbours.get(service)
-        if found is None:
-            found = self.neighbours[service] = self._pick(service)
-        return found
-
-    def _pick(self, service: str) -> Neighbours:
-        known = self.upstreams.of_service(service)
-        near = self._part([u for u in known if u.is_local], MOST_NEAR)
-        wanted = MOST_FAR + max(0, MOST_FAR - len(near))
-        far = self._part([u for u in known if not u.is_local], wanted)
-        return Neighbours(near, far)
-
-    def _part(self, upstreams: list[Upstream], most: int) -> list[Upstream]:
-        if len(upstreams) <= most:
+        if self.generation != self.upstreams.generation:
+            self.generation = self.upstreams.generation
+            self.by_service = {}
+        candidates = self.by_service.get(service)
+        if candidates is None:
+            candidates = self.by_service[service] = self._pick(service)
+        return candidates
+
+    def _pick(self, service: str) -> CandidateSet:
+        known = self.upstreams.for_service(service)
+        local = self._subset([u for u in known if u.is_local], MAX_LOCAL)
+        max_remote = MAX_REMOTE + max(0, MAX_REMOTE - len(local))
+        remote = self._subset([u for u in known if not u.is_local], max_remote)
+        return CandidateSet(local, remote)
+
+    def _subset(self, upstreams: list[Upstream], limit: int) -> list[Upstream]:
+        if len(upstreams) <= limit:
             return upstreams
-        return sorted(upstreams, key=self._rank)[:most]
+        return sorted(upstreams, key=self._rank)[:limit]
 
     def _rank(self, upstream: Upstream) -> bytes:
         return blake2b(f"{self.vm}/{upstream.id}".encode(), digest_size=8).digest()
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -91,7 +91,7 @@
             raise no_attempt_left(call, attempt.why, overload_ratio)
 
     def _first(self, call: Call) -> Steps[None]:
-        estimate = yield from self.chooser.place(call)
+        estimate = yield from self.chooser.choose_or_hold(call)
         if estimate is None:
             raise no_upstream(call)
         yield from self._start(call, estimate)
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -28,7 +28,7 @@
 """A time in seconds, or a factor, that is never reached."""
 
 WITHOUT: dict[str, dict[str, float]] = {
-    "asking": {"chooser.MOST_ASKED": 0},
+    "asking": {"chooser.MAX_PROBED": 0},
     "hedging": {"hedging.FIRST_LOOK": NEVER, "hedging.LEAST_LOOK": NEVER},
     "repeats": {"dispatch.MOST_SENDS": 1},
     "holding": {"chooser.HOLD_SHARE": 0.0},
@@ -39,7 +39,7 @@
     "failures": {"upstream_stats.FAILURE_DECAY_SECONDS": 1e-6},
     "overdue": {"cost_model.OVERDUE_COST": 0.0},
     "coming-back-at-once": {"refusals.SHORT_RETRY_AFTER": RETRY_AFTER},
-    "far-cost": {"chooser.GAIN": -NEVER},
+    "far-cost": {"chooser.MIN_REMOTE_GAIN": -NEVER},
 }
 """Overrides that disable each mechanism. To disable messages between VMs, set `words_lost` in the
 scene."""
--- a/sequoiabridge/experiment/players.py
+++ b/sequoiabridge/experiment/players.py
@@ -41,14 +41,14 @@
 
     models: dict[str, ModelUpstream]
 
-    def place(self, call: Call) -> Steps[CostEstimate | None]:
+    def choose_or_hold(self, call: Call) -> Steps[CostEstimate | None]:
         return (yield from self.choose(call))
 
     def lacks_capacity(self, call: Call, estimate: CostEstimate) -> bool:
         return False
 
     def choose(self, call: Call) -> Steps[CostEstimate | None]:
-        upstreams = self.candidates.upstreams.of_service(call.service)
+        upstreams = self.candidates.upstreams.for_service(call.service)
         untried = [upstream for upstream in upstreams if upstream.id not in call.tried_ids]
         if not untried:
             return None
@@ -112,7 +112,7 @@
     free capacity of each upstream to other calls, and is refused if there is no more.
     """
 
-    def place(self, call: Call) -> Steps[CostEstimate | None]:
+    def choose_or_hold(self, call: Call) -> Steps[CostEstimate | None]:
         """Return the best upstream as soon as one has capacity.
 
         Return None, which refuses the call, if it can no longer be in time and no upstream has
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -77,7 +77,7 @@
             self.by_id[model.id] = upstream
             self.by_service.setdefault(model.service.name, []).append(upstream)
 
-    def of_service(self, service: str) -> list[Upstream]:
+    def for_service(self, service: str) -> list[Upstream]:
         return self.by_service.get(service, [])
 
 
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -64,7 +64,7 @@
         self.decisions = decisions
         self.on_retire = on_retire
         self.version: int | None = None
-        self.changes = 0
+        self.generation = 0
         self.by_id: dict[str, Upstream] = {}
         self.by_service: dict[str, list[Upstream]] = {}
         self.lapse_window_end = 0.0
@@ -79,7 +79,7 @@
         """Return whether the platform's list has been read at all."""
         return self.version is not None
 
-    def of_service(self, service: str) -> list[Upstream]:
+    def for_service(self, service: str) -> list[Upstream]:
         """Return the upstreams of a service that may get work."""
         known = self.by_service.get(service, [])
         if not self.lapsed:
@@ -236,7 +236,7 @@
             self.removed_births.popitem(last=False)
 
     def _rebuild_index(self) -> None:
-        self.changes += 1
+        self.generation += 1
         self.by_service = {}
         self.lapsed = [u for u in self.by_id.values() if u.forget_at is not None]
         self.configured_count = sum(
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ...balancing.candidates import MOST_NEAR, Candidates
+from ...balancing.candidates import MAX_LOCAL, Candidates
 from ...balancing.cost_model import (
     MAX_OCCUPANCY_AGE,
     CallRequirements,
@@ -202,12 +202,12 @@
     known = UpstreamList("here", ManualClock(), log, lambda u: None)
     known.update([record(f"u{n}") for n in range(40)], [], 1)
     candidates = Candidates("vm-1", known)
-    before = {u.id for u in candidates.of_service("s").near}
-    assert len(before) == MOST_NEAR
-    assert before != {u.id for u in Candidates("vm-2", known).of_service("s").near}
+    before = {u.id for u in candidates.for_service("s").local}
+    assert len(before) == MAX_LOCAL
+    assert before != {u.id for u in Candidates("vm-2", known).for_service("s").local}
     known.update([record("new")], [], 2)
-    after = {u.id for u in candidates.of_service("s").near}
-    assert len(before & after) >= MOST_NEAR - 1
+    after = {u.id for u in candidates.for_service("s").local}
+    assert len(before & after) >= MAX_LOCAL - 1
 
 
 FOUR = (3, 0, 4, 1.0)
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -16,7 +16,7 @@
 
 
 def names(known):
-    return sorted(u.id for u in known.of_service("s"))
+    return sorted(u.id for u in known.for_service("s"))
 
 
 def test_a_draining_and_a_missing_upstream_get_no_more_work_at_once():
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -164,7 +164,7 @@
         for id in ("r0", "r1"):
             scene.upstreams[id].draining = True
             await scene.relist(id)
-        await scene.until(lambda: len(scene.gateway.upstreams.of_service("reads")) == 1)
+        await scene.until(lambda: len(scene.gateway.upstreams.for_service("reads")) == 1)
         ran = len(scene.upstreams["r0"].runs) + len(scene.upstreams["r1"].runs)
         for number in range(5):
             assert (await scene.call(READ, f"c{number}")).body.startswith(b"r9")
