--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -18,15 +18,15 @@
 from .retry_budget import RetryBudget
 from .steps import CancelAttempt, Send, Steps, Wait
 
-MOST_SENDS = 4
+MAX_SENDS = 4
 """Upstreams that a call is offered to at most, those that refused it included: when four have no
 room, the service has none, and a later try of the caller does better."""
 
-RESTART_LOOK = 0.5
+RESTART_POLL_INTERVAL = 0.5
 """Seconds between two looks whether the upstream that has a call has started again. The connection
 to one that did so behind a cut stays open and silent until the call's deadline."""
 
-LEAST_TIME = 0.02
+MIN_ATTEMPT_TIME = 0.02
 """Seconds that must be left for another attempt; a round trip and a probe take a few."""
 
 
@@ -58,22 +58,22 @@
         self.hedges = 0
         self.retries = 0
 
-    def way(self, call: Call) -> Steps[CallAttempt]:
+    def run(self, call: Call) -> Steps[CallAttempt]:
         """Return the attempt whose answer is the call's.
 
         Raises:
             Refusal: There is none.
         """
-        self._budget(call).record_call(self.clock.now())
-        yield from self._first(call)
+        self._retry_budget(call).record_call(self.clock.now())
+        yield from self._send_first(call)
         while True:
             now = self.clock.now()
             if now >= call.deadline:
                 raise timed_out(call)
-            wake_at = min(self.hedging.next_look(call), call.deadline, now + RESTART_LOOK)
+            wake_at = min(self.hedging.next_check(call), call.deadline, now + RESTART_POLL_INTERVAL)
             attempt = yield Wait(wake_at)
             if attempt is None:
-                yield from self._look(call)
+                yield from self._check_attempts(call)
                 continue
             call.open_attempts.remove(attempt)
             self.recorder.record(call, attempt)
@@ -83,14 +83,14 @@
                 call.fallback = attempt
             if attempt.error is not None:
                 raise attempt.error
-            if call.open_attempts or (yield from self._again(call)):
+            if call.open_attempts or (yield from self._retry(call)):
                 continue
             if call.fallback is not None:
                 return call.fallback
             overload_ratio = self.chooser.overload.ratio(call.service, self.clock.now())
             raise no_attempt_left(call, attempt.why, overload_ratio)
 
-    def _first(self, call: Call) -> Steps[None]:
+    def _send_first(self, call: Call) -> Steps[None]:
         estimate = yield from self.chooser.choose_or_hold(call)
         if estimate is None:
             raise no_upstream(call)
@@ -100,40 +100,40 @@
         attempt = yield Send(estimate)
         call.attempts.append(attempt)
         call.open_attempts.append(attempt)
-        self.hedging.begin(call, attempt)
+        self.hedging.schedule_first_check(call, attempt)
 
-    def _again(self, call: Call) -> Steps[bool]:
+    def _retry(self, call: Call) -> Steps[bool]:
         """Send the call to another upstream if that is allowed; return whether it was sent."""
-        if not self._may_repeat(call):
+        if not self._may_retry(call):
             return False
         estimate = yield from self.chooser.choose(call)
         if estimate is None or self.chooser.lacks_capacity(call, estimate):
             call.note = "no other upstream has a place"
             return False
-        if call.was_sent and not self._budget(call).take(self.clock.now()):
+        if call.was_sent and not self._retry_budget(call).take(self.clock.now()):
             call.note = "the budget of repeats is spent"
             return False
         self.retries += 1
         yield from self._start(call, estimate)
         return True
 
-    def _may_repeat(self, call: Call) -> bool:
-        ran = call.possible_runs
-        if ran and not call.route.idempotent:
+    def _may_retry(self, call: Call) -> bool:
+        possible_runs = call.possible_runs
+        if possible_runs and not call.route.idempotent:
             call.note = "it may have run"
-        elif ran >= call.route.max_attempts or len(call.attempts) >= MOST_SENDS:
+        elif possible_runs >= call.route.max_attempts or len(call.attempts) >= MAX_SENDS:
             call.note = "no attempt left"
         elif not call.replayable and call.was_sent:
             call.note = "its body has been passed on"
-        elif call.deadline - self.clock.now() < LEAST_TIME:
+        elif call.deadline - self.clock.now() < MIN_ATTEMPT_TIME:
             call.note = "no time left"
-        elif call.was_sent and not self._budget(call).has_token(self.clock.now()):
+        elif call.was_sent and not self._retry_budget(call).has_token(self.clock.now()):
             call.note = "the budget of repeats is spent"
         else:
             return True
         return False
 
-    def _look(self, call: Call) -> Steps[None]:
+    def _check_attempts(self, call: Call) -> Steps[None]:
         """See how open attempts do; let another upstream try too if they do badly."""
         for attempt in list(call.open_attempts):
             if attempt.upstream.has_restarted:
@@ -142,12 +142,12 @@
                 yield from self._hedge(call, attempt)
 
     def _hedge(self, call: Call, attempt: CallAttempt) -> Steps[None]:
-        budget = self._budget(call)
+        budget = self._retry_budget(call)
         if not budget.has_token(self.clock.now()):
-            self.hedging.look_later(call, attempt)
+            self.hedging.postpone_check(call, attempt)
             call.note = "the budget of repeats is spent"
             return
-        estimate = yield from self.hedging.better(call, attempt)
+        estimate = yield from self.hedging.find_hedge(call, attempt)
         if estimate is None or attempt.ending is not None:
             return
         if not budget.take(self.clock.now()):
@@ -156,7 +156,7 @@
         self.hedges += 1
         yield from self._start(call, estimate)
 
-    def _budget(self, call: Call) -> RetryBudget:
+    def _retry_budget(self, call: Call) -> RetryBudget:
         budget = self.budgets.get(call.service)
         if budget is None:
             budget = self.budgets[call.service] = self.new_budget()
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -14,23 +14,23 @@
 from .steps import Probe, Steps
 from .upstream_stats import PROBE_WAIT
 
-FIRST_LOOK = 1.3
+FIRST_CHECK_FACTOR = 1.3
 """Times its expected duration after which a call is looked at first: work times spread by a third
 around their mean, so most calls have ended by then."""
 
-LEAST_LOOK = 0.2
+MIN_FIRST_CHECK_SHARE = 0.2
 """Part of the target latency that passes before the first look at least."""
 
-LOOK_EVERY = 0.15
+CHECK_INTERVAL_SHARE = 0.15
 """Part of the target latency between two looks."""
 
-ALIVE = 2.0
+STUCK_FACTOR = 2.0
 """Times its duration at the upstream's present speed after which a call is thought to be stuck."""
 
-LEAST_LEFT = 0.25
+MIN_REMAINING_SHARE = 0.25
 """Part of that duration that is thought to be left at least while the call is not stuck."""
 
-WORTHWHILE = 0.8
+MAX_HEDGE_RATIO = 0.8
 """A second upstream must be expected to answer within this part of what the first still needs."""
 
 
@@ -42,37 +42,39 @@
         self.route_stats = route_stats
         self.clock = clock
 
-    def begin(self, call: Call, attempt: CallAttempt) -> None:
+    def schedule_first_check(self, call: Call, attempt: CallAttempt) -> None:
         """Set when a new attempt is looked at first."""
         target = call.route.target_latency
-        wait = max(FIRST_LOOK * attempt.estimate.expected_duration, LEAST_LOOK * target)
+        wait = max(
+            FIRST_CHECK_FACTOR * attempt.estimate.expected_duration, MIN_FIRST_CHECK_SHARE * target
+        )
         attempt.next_check_at = attempt.started + min(wait, target)
 
-    def next_look(self, call: Call) -> float:
+    def next_check(self, call: Call) -> float:
         """Return when to look at the running attempts; the deadline if no second one is allowed."""
-        if not self._allowed(call):
+        if not self._may_hedge(call):
             return call.deadline
         return min((attempt.next_check_at for attempt in call.open_attempts), default=call.deadline)
 
-    def look_later(self, call: Call, attempt: CallAttempt) -> None:
+    def postpone_check(self, call: Call, attempt: CallAttempt) -> None:
         """Set when an attempt is looked at again."""
-        attempt.next_check_at = self.clock.now() + LOOK_EVERY * call.route.target_latency
+        attempt.next_check_at = self.clock.now() + CHECK_INTERVAL_SHARE * call.route.target_latency
 
-    def better(self, call: Call, attempt: CallAttempt) -> Steps[CostEstimate | None]:
+    def find_hedge(self, call: Call, attempt: CallAttempt) -> Steps[CostEstimate | None]:
         """Return an upstream that should try the call too, None if the first does well enough."""
-        self.look_later(call, attempt)
-        if not self._allowed(call):
+        self.postpone_check(call, attempt)
+        if not self._may_hedge(call):
             return None
         stats = attempt.upstream.stats
         if not stats.is_unresponsive(self.clock.now()):
             yield Probe([attempt.upstream], PROBE_WAIT)
-        left = self._time_left(call, attempt)
-        if left <= 0.0:
+        remaining = self._remaining_time(call, attempt)
+        if remaining <= 0.0:
             return None
         estimate = yield from self.chooser.choose(call)
         if (
             estimate is None
-            or estimate.expected_duration > WORTHWHILE * left
+            or estimate.expected_duration > MAX_HEDGE_RATIO * remaining
             or estimate.queue_position > 0
         ):
             return None
@@ -80,11 +82,11 @@
             return None
         return estimate
 
-    def _allowed(self, call: Call) -> bool:
-        repeatable = call.route.idempotent and call.replayable
-        return repeatable and call.possible_or_pending_runs < call.route.max_attempts
+    def _may_hedge(self, call: Call) -> bool:
+        may_run_again = call.route.idempotent and call.replayable
+        return may_run_again and call.possible_or_pending_runs < call.route.max_attempts
 
-    def _time_left(self, call: Call, attempt: CallAttempt) -> float:
+    def _remaining_time(self, call: Call, attempt: CallAttempt) -> float:
         """Return the seconds that an attempt is expected to need still; infinite if it is stuck."""
         stats, now = attempt.upstream.stats, self.clock.now()
         if stats.is_unresponsive(now):
@@ -93,7 +95,7 @@
         duration = (
             self.route_stats.work(call) * max(1.0, slowdown) * max(1.0, stats.latency_ratio_at(now))
         )
-        taken = now - attempt.started
-        if taken > ALIVE * max(duration, attempt.estimate.expected_duration):
+        elapsed = now - attempt.started
+        if elapsed > STUCK_FACTOR * max(duration, attempt.estimate.expected_duration):
             return float("inf")
-        return max(LEAST_LEFT * duration, duration - taken)
+        return max(MIN_REMAINING_SHARE * duration, duration - elapsed)
--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -29,8 +29,8 @@
 
 WITHOUT: dict[str, dict[str, float]] = {
     "asking": {"chooser.MAX_PROBED": 0},
-    "hedging": {"hedging.FIRST_LOOK": NEVER, "hedging.LEAST_LOOK": NEVER},
-    "repeats": {"dispatch.MOST_SENDS": 1},
+    "hedging": {"hedging.FIRST_CHECK_FACTOR": NEVER, "hedging.MIN_FIRST_CHECK_SHARE": NEVER},
+    "repeats": {"dispatch.MAX_SENDS": 1},
     "holding": {"chooser.HOLD_SHARE": 0.0},
     "crowding": {"overload.PRIOR_CALLS": NEVER},
     "patience": {"prior_wait.TRUSTED_SHARE": NEVER},
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -137,7 +137,7 @@
         """Start a call, whose route is set already."""
         call.apply_route(call.route, caller_timeout)
         call.add_prior_wait(self.patience.waited(call.route.name, caller_timeout))
-        call.steps = self.dispatch.way(call)
+        call.steps = self.dispatch.run(call)
         self._advance(call, None)
 
     def abandon(self, call: ModelCall) -> None:
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -64,7 +64,7 @@
 
     async def _run_steps(self, call: RelayedCall, race: Race) -> Answer:
         """Take step after step."""
-        steps, result = self.dispatch.way(call), None
+        steps, result = self.dispatch.run(call), None
         while True:
             try:
                 step = steps.send(result)
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -54,7 +54,7 @@
         route = Route("r", b"/", idempotent, 2.0, 0.5, max_attempts, 1, (Target("s", 1.0),))
         self.call.apply_route(route, 2.0)
         self.call.service = "s"
-        self.way = self.dispatch.way(self.call)
+        self.way = self.dispatch.run(self.call)
         self.step = next(self.way)
 
     def go_on(self, found=None):
--- a/sequoiabridge/tests/balancing/test_hedging.py
+++ b/sequoiabridge/tests/balancing/test_hedging.py
@@ -21,7 +21,7 @@
 
 
 def allowed(call):
-    return Hedging(None, None, ManualClock())._allowed(call)
+    return Hedging(None, None, ManualClock())._may_hedge(call)
 
 
 def test_an_attempt_that_is_still_connecting_counts_as_one_that_may_run():
