--- a/sequoiabridge/experiment/mechanisms.py
+++ b/sequoiabridge/experiment/mechanisms.py
@@ -33,7 +33,7 @@
     "repeats": {"dispatch.MAX_SENDS": 1},
     "holding": {"chooser.HOLD_SHARE": 0.0},
     "crowding": {"overload.PRIOR_CALLS": NEVER},
-    "patience": {"prior_wait.TRUSTED_SHARE": NEVER},
+    "patience": {"prior_wait.MIN_USUAL_SHARE": NEVER},
     "others": {"cost_model.MIN_OVERLOAD_WEIGHT": 0.0, "cost_model.SATURATED_FACTOR": 1.0},
     "pace": {"upstream_stats.LATENCY_RATIO_WEIGHT": 0.0},
     "failures": {"upstream_stats.FAILURE_DECAY_SECONDS": 1e-6},
--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -12,7 +12,7 @@
 from ..balancing.dispatch import Dispatch
 from ..balancing.hedging import Hedging
 from ..balancing.load import UpstreamLoad
-from ..balancing.prior_wait import Patience
+from ..balancing.prior_wait import PriorWaitEstimator
 from ..balancing.probe_limiter import ProbeRateLimiter
 from ..balancing.retry_budget import RetryBudget
 from ..balancing.route_stats import RouteStats
@@ -121,7 +121,7 @@
         self.upstreams = StaticUpstreams(self.models, self.data_centre)
         self.probe_limiter = ProbeRateLimiter(self.scene.probes_per_second)
         self.probe_limiter.vm_count = self.scene.vms
-        self.patience = Patience()
+        self.wait_estimator = PriorWaitEstimator()
         route_stats = RouteStats(self.scene.far_megabyte)
         chooser = self.make_chooser(Candidates(self.name, self.upstreams), route_stats, self)
         self.dispatch = Dispatch(
@@ -136,7 +136,7 @@
     def accept(self, call: ModelCall, caller_timeout: float) -> None:
         """Start a call, whose route is set already."""
         call.apply_route(call.route, caller_timeout)
-        call.add_prior_wait(self.patience.waited(call.route.name, caller_timeout))
+        call.add_prior_wait(self.wait_estimator.estimate(call.route.name, caller_timeout))
         call.steps = self.dispatch.run(call)
         self._advance(call, None)
 
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from ..balancing.prior_wait import Patience
+from ..balancing.prior_wait import PriorWaitEstimator
 from ..balancing.refusals import internal_error
 from ..balancing.routes import Route
 from ..balancing.splitting import Splitter
@@ -60,7 +60,7 @@
         self.clock = clock
         self.why_not_serving = why_not_serving
         self.request_ids = count(1)
-        self.patience = Patience()
+        self.wait_estimator = PriorWaitEstimator()
 
     def next_id(self) -> str:
         """Return an id for a call that brought none."""
@@ -99,7 +99,7 @@
 
     async def _relay(self, call: RelayedCall) -> Answer:
         call.apply_route_version(self._route(call), self.configuration.version)
-        call.add_prior_wait(self.patience.waited(call.route.name, call.metadata.timeout))
+        call.add_prior_wait(self.wait_estimator.estimate(call.route.name, call.metadata.timeout))
         call.service = self.splitter.service_for(call.route)
         limit = self.configuration.table.limits.max_body
         await buffer_body(call.request, limit, call.deadline - self.clock.now())
