--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -1,4 +1,4 @@
-"""Follows what the platform's store says: a whole reading first, then each change."""
+"""Follows tables of the platform's store: a full read first, then long polls for changes."""
 
 from __future__ import annotations
 
@@ -18,47 +18,37 @@
 from .entry_errors import EntryErrorLog
 
 LONG_POLL_TIMEOUT = 25.0
-"""Seconds that a question for changes waits in the store; it allows 30. Each question costs, a
-waiting one does not."""
+"""Seconds that a poll waits in the store for a change; the store allows at most 30."""
 
 SENTINEL_POLL_TIMEOUT = 2.0
-"""The same for the watchers that are to notice when the store falls silent: it then forgets what
-waits in it. Theirs is missed 2.6 s later at the latest, and all ask anew. Without it, all watchers
-waited for up to 26 s, with an old configuration in force."""
+"""Seconds that a sentinel's poll waits; a short one notices soon that the store is unavailable."""
 
 CHANGE_BATCH_INTERVAL = 0.5
-"""Seconds between an answer and the next question, so that a burst of changes comes in one answer:
-entries of upstreams that have just started change with each heartbeat. With the beacon's 0.3 s a
-change is known everywhere within a second; it must be in force within 2."""
+"""Seconds between an answer with changes and the next poll, so that bursts come in one answer."""
 
 FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.1, 0.4
-"""Seconds before a call that failed is made again; doubles up to the longest. A VM that was cut off
-must know of all that left meanwhile 3 seconds after it is back, 2 of which it may spend on
-waiting for lapsed entries."""
+"""Seconds before a failed call is retried; doubles up to the maximum."""
 
 MAX_REMOVALS = 200
-"""Removed rows that are remembered for daemons that ask what changed; a day of the users' grown
-sites removes some dozens."""
+"""Maximum number of removed rows that are kept to answer peers that ask for changes."""
 
 SLOW_RETRY_FACTOR = 10.0
-"""Times that delay for daemons that hear of the store's return from others: refused calls are paid
-for too, and all daemons together made over 1,000 of them in 8 seconds."""
+"""Factor on the retry delay of daemons that learn of the store's recovery from watchers."""
 
 DECODING_ERRORS = (BadEntry, ValueError, KeyError, TypeError, AttributeError, ArithmeticError)
-"""What decoding raises for a row that some other writer wrote. Of the configuration, which the
-store takes only if it is valid, just the fields in use are decoded, unchecked."""
+"""Errors that decoding raises for a row with invalid content."""
 
 Entry = TypeVar("Entry")
 
 
 class Update(Generic[Entry]):
-    """What a reading brought.
+    """Changes of a feed, decoded.
 
     Attributes:
-        version: The store's version that it is up to.
-        entries: Entries that are new or changed; all of them in a snapshot.
-        removed: Keys of entries that are gone.
-        problems: Entries that cannot be used, even if they could be before.
+        version: Version of the store that the update leads to.
+        entries: Entries that are new or changed; all of them after a full read.
+        removed: Keys of removed entries.
+        problems: Errors of entries that cannot be used, which may replace usable ones.
     """
 
     __slots__ = ("version", "entries", "removed", "problems")
@@ -76,18 +66,20 @@
 
     @property
     def has_changes(self) -> bool:
-        """Return whether it says anything."""
+        """Return whether there is any change."""
         return bool(self.entries or self.removed or self.problems)
 
 
 class Feed(ABC, Generic[Entry]):
-    """Something in the store that can be read whole and followed.
+    """A table of the store that can be read whole and polled for changes.
 
-    Attributes:
-        rows_by_key: The rows as they were read last, by key, for other daemons.
+    Methods that read raise `StoreUnavailable`; `read_changes` raises `HistoryLost` when all rows
+    must be read again.
 
-    Hooks raise `StoreUnavailable`, and `changes` raises `HistoryLost` when a new snapshot is
-    needed.
+    Attributes:
+        rows_by_key: The present rows, by key.
+        removals: The latest removed rows.
+        history_start: Version since which all changes are known; None before the first read.
     """
 
     name = "feed"
@@ -103,14 +95,18 @@
 
     @abstractmethod
     async def read_changes(self, after: int, wait: float) -> Changes:
-        """Return what changed after a version, or nothing after `wait` seconds."""
+        """Return the changes after a version; none if there is no change within `wait` seconds."""
 
     @abstractmethod
     def decode(self, row: StoredRow) -> Entry | None:
-        """Return a row's entry, None if it has none; raise `BadEntry` if it cannot be used."""
+        """Return a row's entry, or None if it has none.
+
+        Raises:
+            BadEntry: The row cannot be used.
+        """
 
     def replace_rows(self, rows: Rows) -> Update[Entry]:
-        """Take in all rows."""
+        """Replace all rows; return the update."""
         fresh = {row.key: row for row in rows.rows}
         for key, row in self.rows_by_key.items():
             if key not in fresh:
@@ -121,7 +117,7 @@
         return self._decode_rows(rows.version, self.rows_by_key.values())
 
     def update_rows(self, changes: Changes) -> Update[Entry]:
-        """Take in changes; the latest word on each key counts."""
+        """Apply changes; return the update. The last change of each key counts."""
         latest = {row.key: row for row in changes.rows}
         for key, row in latest.items():
             if row.value is not None:
@@ -132,7 +128,7 @@
         return self._decode_rows(changes.version, latest.values())
 
     def changes_since(self, after: int) -> list[StoredRow] | None:
-        """Return the rows that changed after a version, None if that is not known any more."""
+        """Return the rows that changed after a version; None if the history starts later."""
         if self.history_start is None or after < self.history_start:
             return None
         changed = [row for row in self.rows_by_key.values() if row.version > after]
@@ -160,20 +156,23 @@
 
 
 class Follower(Part, Generic[Entry]):
-    """Keeps up with one feed for as long as the daemon runs.
+    """Keeps a feed up to date while the daemon runs.
 
     Args:
-        on_snapshot, on_changes: Take in what was read.
-        on_store_lost: Called when the store stops answering.
-        on_store_recovered: Called when the store answers again.
+        on_snapshot: Called with the update of a full read.
+        on_changes: Called with each update of changed rows.
+        on_store_lost: Called when the store becomes unavailable.
+        on_store_recovered: Called when the store is available again.
 
     Attributes:
-        version: The store's version that is known here, None before the first reading.
-        store_unavailable: True while the store does not answer.
-        active: The store is to be followed; else others do, and `apply_snapshot` is called.
-        slow_retries: Others ask often enough while the store is away, and tell when it is back.
-        poll_timeout: Seconds that a question for changes may wait in the store.
-        poll_sent_at: When the question was sent that waits in the store now; None if none does.
+        version: Version of the store up to which changes are known, None before the first read.
+        store_unavailable: True from a failed call to the store until the next good one.
+        failures: Number of failed calls in a row.
+        active: This daemon polls the store; else rows come from peers by `apply_snapshot` and
+            `apply_changes`.
+        slow_retries: Retry less often, since watchers report when the store is available again.
+        poll_timeout: Seconds that a poll may wait in the store.
+        poll_sent_at: When the pending poll was sent; None if none is pending.
     """
 
     def __init__(
@@ -209,23 +208,23 @@
         self.entry_errors = EntryErrorLog(decisions)
 
     async def set_active(self, active: bool) -> None:
-        """Begin or end following; a question that waits in the store is not taken back."""
+        """Start or stop polling; a pending poll is not cancelled."""
         self.active = active
         self.activated.clear()
         if active:
             await self.activated.set()
         if not active and self.store_unavailable:
-            # Others follow the store, so it is back.
+            # Other daemons are watchers, so the store is available.
             self._record_answer(0)
 
     async def repoll(self) -> None:
-        """Take back the question that waits in the store, and ask for an answer at once."""
+        """Cancel the pending poll and send another that does not wait for a change."""
         self.repoll_requested = True
         if self.poll_task is not None:
             await self.poll_task.cancel(blocking=False)
 
     def apply_snapshot(self, rows: Rows) -> None:
-        """Take in all rows as another daemon knows them, if they are newer."""
+        """Apply all rows, from the store or a peer, if they are newer than the present ones."""
         if self.version is not None and rows.version <= self.version:
             return
         update = self.feed.replace_rows(rows)
@@ -233,7 +232,7 @@
         self._record_update(update)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take in what changed since this daemon's version, as another daemon knows it."""
+        """Apply a peer's changes after this daemon's version if they are newer than that."""
         if self.version is None or changes.version <= self.version:
             return
         update = self.feed.update_rows(changes)
@@ -241,8 +240,10 @@
         self._record_update(update)
 
     def rows_after(self, after: int | None) -> Rows | None:
-        """Return what is known here: `Changes` after a version, or all `Rows` where that is not
-        known or no version is given; None before the first reading."""
+        """Return `Changes` after a version, or all `Rows` if none is given or it is too old.
+
+        Returns None before the first read.
+        """
         if self.version is None:
             return None
         changed = None if after is None else self.feed.changes_since(after)
@@ -251,7 +252,7 @@
         return Rows(list(self.feed.rows_by_key.values()), self.version)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Poll the store while active, until cancelled."""
         while True:
             if not self.active:
                 await self.activated.wait()
@@ -264,7 +265,7 @@
             await curio.sleep(delay)
 
     async def _step(self) -> float:
-        """Read once; return the seconds until the next reading."""
+        """Read once; return the seconds until the next read."""
         if self.version is None:
             rows = await self.feed.read_all()
             self._record_answer(self.failures)
@@ -276,7 +277,7 @@
             return 0.0
         self._record_answer(0)
         if after != self.version:
-            # Another daemon was quicker with all rows: what came is older, or in them.
+            # Rows from a peer were applied meanwhile; the changes are older or included.
             return 0.0
         update = self.feed.update_rows(changes)
         if update.has_changes:
@@ -285,8 +286,8 @@
         return CHANGE_BATCH_INTERVAL if update.has_changes else 0.0
 
     async def _poll(self, after: int) -> Changes | None:
-        """Ask what changed; return None if the question was taken back."""
-        # After a failure the store is asked for an answer at once: it tells that it is back.
+        """Poll for changes; return None if the poll was cancelled by `repoll`."""
+        # After a failure, an answer at once shows that the store is available again.
         return_at_once = self.store_unavailable or self.repoll_requested
         self.repoll_requested = False
         wait = 0.0 if return_at_once else self.poll_timeout
@@ -307,7 +308,8 @@
         self.entry_errors.record(self.feed.name, update.problems)
 
     def _history_lost(self) -> float:
-        """Read everything next; return the seconds until then: 0, unless it happens in a row."""
+        """Schedule a full read; return the seconds until then, 0 unless history was lost in a
+        row."""
         self.decisions.event("history-lost", feed=self.feed.name, version=self.version)
         self.version = None
         delay = 0.0 if not self.failures else FIRST_RETRY_DELAY * 2**self.failures
@@ -315,7 +317,7 @@
         return min(MAX_RETRY_DELAY, delay)
 
     def _record_failure(self, error: StoreUnavailable) -> float:
-        """Note a failure; return the seconds until the next try."""
+        """Note a failed call; return the seconds until the retry."""
         delay = min(MAX_RETRY_DELAY, FIRST_RETRY_DELAY * 2**self.failures)
         self.failures += 1
         if not self.store_unavailable:
--- a/sequoiabridge/tests/relay/test_feeds.py
+++ b/sequoiabridge/tests/relay/test_feeds.py
@@ -1,4 +1,4 @@
-"""Following the store: first reading, changes, lost history, outages."""
+"""Following a table of the store: first read, changes, lost history, outages."""
 
 from random import Random
 
@@ -12,16 +12,16 @@
 
 
 class ScriptedFeed(Feed):
-    """Gives scripted answers; an exception among them is raised. Ends by waiting for ever."""
+    """Returns scripted answers or raises them if they are exceptions; then waits for ever."""
 
     def __init__(self, *answers):
         super().__init__()
         self.answers = list(answers)
-        self.asked = []
+        self.requests = []
         self.done = curio.Event()
 
-    async def next(self, what):
-        self.asked.append(what)
+    async def next_answer(self, request):
+        self.requests.append(request)
         if not self.answers:
             await self.done.set()
             await curio.sleep(3600)
@@ -31,10 +31,10 @@
         return answer
 
     async def read_all(self):
-        return await self.next("all")
+        return await self.next_answer("all")
 
     async def read_changes(self, after, wait):
-        return await self.next((after, wait))
+        return await self.next_answer((after, wait))
 
     def decode(self, row):
         return row.key
@@ -44,9 +44,9 @@
     return Rows([StoredRow("t", "", key, b"", version) for key in keys], version)
 
 
-def follow(*answers):
-    """Play answers; return what was asked, what was taken in, and the losses seen."""
-    feed, taken, losses = ScriptedFeed(*answers), [], []
+def play(*answers):
+    """Play answers; return the requests, the updates and the events of losing the store."""
+    feed, updates, store_events = ScriptedFeed(*answers), [], []
     log, _ = decision_log()
 
     async def main():
@@ -55,10 +55,10 @@
             ManualClock(),
             Random(1),
             log,
-            lambda u: taken.append(("all", u.version, u.entries)),
-            lambda u: taken.append(("changes", u.version, u.entries)),
-            lambda: losses.append("lost"),
-            lambda: losses.append("regained"),
+            lambda u: updates.append(("all", u.version, u.entries)),
+            lambda u: updates.append(("changes", u.version, u.entries)),
+            lambda: store_events.append("lost"),
+            lambda: store_events.append("regained"),
         )
         await follower.set_active(True)
         task = await curio.spawn(follower.run())
@@ -66,44 +66,44 @@
         await task.cancel()
 
     curio.run(main)
-    return feed.asked, taken, losses
+    return feed.requests, updates, store_events
 
 
-def test_a_store_without_any_row_is_read_once_and_followed_from_version_0():
-    asked, taken, _ = follow(update(0))
-    assert asked == ["all", (0, LONG_POLL_TIMEOUT)] and taken == [("all", 0, [])]
+def test_an_empty_store_is_read_once_and_polled_from_version_0():
+    requests, updates, _ = play(update(0))
+    assert requests == ["all", (0, LONG_POLL_TIMEOUT)] and updates == [("all", 0, [])]
 
 
-def test_changes_are_taken_in_and_gone_on_from():
-    asked, taken, _ = follow(update(3, "a"), update(5, "b"), update(7))
-    assert [a for a in asked if a != "all"] == [
+def test_changes_are_applied_and_the_next_poll_starts_after_them():
+    requests, updates, _ = play(update(3, "a"), update(5, "b"), update(7))
+    assert [a for a in requests if a != "all"] == [
         (3, LONG_POLL_TIMEOUT),
         (5, LONG_POLL_TIMEOUT),
         (7, LONG_POLL_TIMEOUT),
     ]
-    assert taken == [("all", 3, ["a"]), ("changes", 5, ["b"])], "an empty answer is no change"
+    assert updates == [("all", 3, ["a"]), ("changes", 5, ["b"])], "an empty answer is no change"
 
 
-def test_everything_is_read_again_when_history_is_lost():
-    asked, taken, losses = follow(update(3), HistoryLost("gone"), update(9, "x"))
-    assert asked[:3] == ["all", (3, LONG_POLL_TIMEOUT), "all"] and losses == []
-    assert taken[-1] == ("all", 9, ["x"])
+def test_all_rows_are_read_again_when_history_is_lost():
+    requests, updates, store_events = play(update(3), HistoryLost("gone"), update(9, "x"))
+    assert requests[:3] == ["all", (3, LONG_POLL_TIMEOUT), "all"] and store_events == []
+    assert updates[-1] == ("all", 9, ["x"])
 
 
-def test_after_an_outage_the_store_is_asked_for_an_answer_at_once():
+def test_after_an_outage_the_store_is_polled_without_waiting():
     down = StoreUnavailable("away")
-    asked, _, losses = follow(update(3), down, down, update(4), update(5))
-    assert asked[1:5] == [(3, LONG_POLL_TIMEOUT), (3, 0.0), (3, 0.0), (4, LONG_POLL_TIMEOUT)]
-    assert losses == ["lost", "regained"]
+    requests, _, store_events = play(update(3), down, down, update(4), update(5))
+    assert requests[1:5] == [(3, LONG_POLL_TIMEOUT), (3, 0.0), (3, 0.0), (4, LONG_POLL_TIMEOUT)]
+    assert store_events == ["lost", "regained"]
 
 
-def test_a_question_that_is_taken_back_is_asked_again_for_an_answer_at_once():
-    feed, taken = ScriptedFeed(update(3)), []
+def test_a_cancelled_poll_is_sent_again_without_waiting():
+    feed, updates = ScriptedFeed(update(3)), []
     log, _ = decision_log()
 
     async def main():
         follower = Follower(
-            feed, ManualClock(), Random(1), log, taken.append, taken.append, list, list
+            feed, ManualClock(), Random(1), log, updates.append, updates.append, list, list
         )
         await follower.set_active(True)
         task = await curio.spawn(follower.run())
@@ -117,4 +117,4 @@
         await task.cancel()
 
     curio.run(main)
-    assert feed.asked == ["all", (3, LONG_POLL_TIMEOUT), (3, 0.0)]
+    assert feed.requests == ["all", (3, LONG_POLL_TIMEOUT), (3, 0.0)]
--- a/sequoiabridge/tests/relay/test_watchers.py
+++ b/sequoiabridge/tests/relay/test_watchers.py
@@ -69,15 +69,15 @@
         members.add_peer(hello(other))
     members.add_peer(hello("far", "there"))
     members.joined = True
-    taken = []
+    updates = []
     follower = Follower(
-        ScriptedFeed(), clock, None, log, taken.append, taken.append, lambda: None, lambda: None
+        ScriptedFeed(), clock, None, log, updates.append, updates.append, lambda: None, lambda: None
     )
     channel = RecordingChannel()
     watchers = Watchers(
         members, channel, {FEED: follower}, FakeReader(rows), log, clock, first_start
     )
-    return watchers, channel, taken, follower
+    return watchers, channel, updates, follower
 
 
 def heartbeat(vm, version=5, data_centre="here"):
@@ -125,7 +125,7 @@
     watchers.handle_heartbeat(heartbeat(VMS[0]))
     clock.advance(0.2)
     step(watchers)
-    assert not follower.active, "its heartbeat may still lie unread"
+    assert not follower.active, "its heartbeat may still be in the socket"
     clock.advance(TAKEOVER_DELAY)
     watchers.handle_heartbeat(heartbeat(VMS[0]))
     step(watchers)
@@ -134,13 +134,13 @@
 
 def test_newer_versions_are_read_from_peers_and_older_ones_are_not():
     clock = ManualClock(10.0)
-    watchers, _, taken, follower = build_watchers(VMS[3], clock, rows(7))
+    watchers, _, updates, follower = build_watchers(VMS[3], clock, rows(7))
     watchers.handle_heartbeat(heartbeat(VMS[0], 7))
     step(watchers)
     assert watchers.reader.reads == [(f"{VMS[0]}:2", FEED)] and follower.version == 7
     watchers.handle_heartbeat(heartbeat(VMS[0], 6))
     step(watchers)
-    assert len(watchers.reader.reads) == 1 and len(taken) == 1
+    assert len(watchers.reader.reads) == 1 and len(updates) == 1
 
 
 def test_a_watcher_whose_poll_hangs_reads_from_a_peer_after_a_delay():
