--- a/sequoiabridge/policy/__init__.py
+++ b/sequoiabridge/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions only: no I/O, no clock, no curio."""
+"""Load-balancing decisions, without I/O, clock or event loop."""
--- a/sequoiabridge/policy/admission.py
+++ b/sequoiabridge/policy/admission.py
@@ -1,8 +1,8 @@
-"""Which calls of a service run now, wait, or are refused at once.
+"""Admission control of a service: decides which calls run, wait or are refused.
 
-Calls over the concurrency limit wait in a bounded queue, ordered by deadline. A call whose window
-can't be met is refused as soon as that is known, with an estimate of when to try again. While
-others wait, one caller's calls take at most its share of the limit and of the queue.
+Calls over the concurrency limit wait in a bounded queue, ordered by deadline. A call that can't
+meet its deadline is refused as soon as that is known, with an estimate of when to retry. While
+others wait, the calls of one caller take at most its share of the limit and of the queue.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 
 from ..outcome import Reason
 from .concurrency import ConcurrencyLimit
-from .latency_estimate import ESTIMATE_DECAY_SECONDS, LatencyEstimate
 from .tickets import ADMITTED, QUEUED, Decision, Ticket, Verdict
+from .usual import ESTIMATE_DECAY_SECONDS, LatencyEstimate
 
 INTERVAL_WEIGHT = 0.1
-"""Weight of the newest gap between two ends of calls in its mean."""
+"""Weight of the newest interval between ends of calls in the moving average."""
 
 MAX_KINDS = 64
-"""Kinds of call whose latencies are told apart; all others count as one."""
+"""Maximum number of kinds of call with a latency estimate each; the others share one."""
 
 MAX_STALE_ENTRIES = 64
-"""Entries of calls that left which the queue may hold beside those that wait."""
+"""Heap entries of calls that no longer wait that are kept before the heap is rebuilt."""
 
 MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS = 0.05, 10.0
-"""Bounds in seconds of `retry_after`."""
+"""Bounds of `retry_after`."""
 
 
 class AdmissionQueue:
-    """Admission of one service on one daemon.
+    """Admission control of one service on one daemon.
 
     Args:
-        limit: How many calls may run at a time.
-        queue_limit: How many calls may wait.
-        caller_share: Share (0 to 1) of the limit and of the queue that one caller may take while
-            others wait.
+        limit: Limit on the running calls.
+        queue_limit: Maximum number of waiting calls.
+        caller_share: Share (0 to 1) of the limit and of the queue that one caller may take
+            while others wait.
     """
 
     def __init__(self, limit: ConcurrencyLimit, queue_limit: int, caller_share: float):
@@ -52,12 +52,12 @@
         self.running_by: Counter[str] = Counter()
         self.waiting_by: Counter[str] = Counter()
         self.heap: list[tuple[float, int, Ticket]] = []
-        self.displaced: list[Ticket] = []  # refused already, for the next `expire`
+        self.displaced: list[Ticket] = []  # to be refused by the next `expire`
         self.sequence = 0
         self.refused: Counter[Reason] = Counter()
 
     def offer(self, ticket: Ticket, now: float) -> Decision:
-        """Decide on a new call; a queued one comes back from `release` or from `expire`."""
+        """Decide on a new call; `release` or `expire` returns a queued one later."""
         expected = self.expected_latency(ticket.kind, now)
         if now + expected >= ticket.deadline:
             return self._refuse(Reason.CANNOT_MEET_WINDOW, now)
@@ -74,7 +74,9 @@
         return QUEUED
 
     def release(self, ticket: Ticket, now: float, latency: float, ok: bool) -> list[Ticket]:
-        """An admitted call ended after `latency` seconds; return the calls admitted now."""
+        """Record the end of an admitted call after `latency` seconds; return the calls admitted
+        now.
+        """
         if ticket.admitted_at is None:
             return []
         time_left = ticket.deadline - ticket.admitted_at
@@ -85,7 +87,7 @@
         return self.withdraw(ticket, now)
 
     def withdraw(self, ticket: Ticket, now: float) -> list[Ticket]:
-        """An admitted call ended in a way that says nothing of the upstreams; as `release`."""
+        """Like `release`, for a call whose end says nothing about the load of the upstreams."""
         if ticket.admitted_at is None:
             return []
         ticket.admitted_at = None
@@ -94,7 +96,7 @@
         return self._admit_waiting(now)
 
     def abandon(self, ticket: Ticket, now: float) -> list[Ticket]:
-        """The caller left; return the calls admitted now if that freed a place."""
+        """Remove a call whose caller disconnected; return the calls admitted in its place."""
         if ticket.waiting:
             self._unqueue(ticket)
             return []
@@ -103,9 +105,9 @@
         return self.withdraw(ticket, now)
 
     def expire(self, now: float) -> list[Ticket]:
-        """Take out and return the waiting calls to refuse now; call it after `offer` too.
+        """Remove and return the waiting calls to refuse now; to be called after `offer` too.
 
-        Their window can no longer be met, or a call of more weight took their place.
+        They can no longer meet their deadline, or were displaced by a call of more weight.
         """
         expired, self.displaced = self.displaced, []
         while self.heap:
@@ -120,7 +122,7 @@
         return expired
 
     def next_expiry(self, now: float) -> float | None:
-        """Return the time at which `expire` should run next, or None if nothing waits."""
+        """Return the time at which to call `expire` next, or None if no call waits."""
         if self.displaced:
             return float("-inf")
         while self.heap and not self.heap[0][2].waiting:
@@ -131,23 +133,23 @@
         return first.deadline - self.expected_latency(first.kind, now)
 
     def expected_latency(self, kind: str, now: float) -> float:
-        """Return the seconds that a call of the kind needs once admitted."""
+        """Return the estimated seconds that a call of the kind takes once admitted."""
         known = self.latencies.get(kind)
         return known.read(now) if known is not None else 0.0
 
     def can_meet(self, ticket: Ticket, now: float) -> bool:
-        """Return whether the call could still be answered in its window if admitted now."""
+        """Return whether the call would meet its deadline if admitted now."""
         return now + self.expected_latency(ticket.kind, now) <= ticket.deadline
 
     def retry_after(self, now: float) -> float:
-        """Return the seconds after which the queue of now should have drained."""
+        """Return the estimated seconds until the calls that wait now have been admitted."""
         return min(
             MAX_RETRY_AFTER_SECONDS,
             max(MIN_RETRY_AFTER_SECONDS, self._expected_wait(self.waiting + 1, now)),
         )
 
     def dump(self, now: float) -> dict:
-        """Describe the state for operators."""
+        """Return the state for operators."""
         return {
             "limit": self.limit.allowed,
             "running": self.running,
@@ -185,7 +187,7 @@
             heapify(self.heap)
 
     def _displace(self, weight: float) -> bool:
-        """Take the latest of the lightest waiting calls out if it is lighter than `weight`."""
+        """Displace the lightest waiting call, of several the latest, if lighter than `weight`."""
         lightest = min(
             (t for _, _, t in self.heap if t.waiting),
             key=lambda t: (t.weight, -t.deadline),
@@ -206,7 +208,7 @@
         return self.latencies.setdefault(kind, LatencyEstimate())
 
     def _update_end_interval(self, now: float) -> None:
-        """Take in the gap since the last end of a call, if any waited then."""
+        """Update the mean interval between ends of calls while calls wait."""
         self.interval_updated_at = now
         if self.last_end is not None:
             interval = now - self.last_end
@@ -216,37 +218,37 @@
         self.last_end = now if self.waiting else None
 
     def _expected_wait(self, ahead: int, now: float) -> float:
-        """Return the expected seconds until `ahead` calls have found a place."""
+        """Return the estimated seconds until `ahead` calls have been admitted."""
         interval = self.end_interval * exp(
             (self.interval_updated_at - now) / ESTIMATE_DECAY_SECONDS
         )
         return ahead * interval
 
     def _misses_deadline_in_queue(self, ticket: Ticket, expected: float, now: float) -> bool:
-        """Return whether its turn in the queue comes too late for the call."""
+        """Return whether the call would be admitted too late to meet its deadline."""
         latest = ticket.deadline - expected
         if now + self._expected_wait(self.waiting + 1, now) <= latest:
-            return False  # Even behind all that wait, so that none need be counted.
+            return False  # In time even at the end of the queue.
         return now + self._expected_wait(self._ahead_of(ticket), now) > latest
 
     def _ahead_of(self, ticket: Ticket) -> int:
-        """Return how many waiting calls have an earlier deadline, this one counted."""
+        """Return how many waiting calls have no later deadline, this one counted."""
         return 1 + sum(t.waiting and t.deadline <= ticket.deadline for _, _, t in self.heap)
 
     def _over_queue_share(self, caller: str) -> bool:
-        """Return whether a caller holds its share of the queue; alone it may have it all."""
+        """Return whether a caller has its share of the queue; a sole caller may use all of it."""
         alone = self.running_by.keys() <= {caller} and self.waiting_by.keys() <= {caller}
         return not alone and self.waiting_by[caller] >= max(1, self.caller_share * self.queue_limit)
 
     def _over_running_share(self, caller: str) -> bool:
-        """Return whether a caller runs its share of the limit while others wait."""
+        """Return whether a caller has its share of the limit while others wait."""
         others_wait = self.waiting > self.waiting_by[caller]
         return others_wait and self.running_by[caller] >= max(
             1, self.caller_share * self.limit.allowed
         )
 
     def _admit_waiting(self, now: float) -> list[Ticket]:
-        """Admit by deadline; callers that have their share come after all others."""
+        """Admit calls by deadline; those of callers over their share come last."""
         admitted: list[Ticket] = []
         deferred: list[Ticket] = []
         while self.heap and self.running < self.limit.allowed:
--- a/sequoiabridge/policy/averages.py
+++ b/sequoiabridge/policy/averages.py
@@ -1,4 +1,4 @@
-"""Averages over the upstreams of a service, towards which old evidence fades."""
+"""Averages over the upstreams of a service, towards which stale measurements decay."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
     from .upstream_state import UpstreamState
 
 INITIAL_LATENCY_SECONDS = 0.01
-"""Seconds assumed for a call before anything was measured."""
+"""Assumed latency of a call before the first measurement."""
 
 MIN_REFRESH_OUTCOMES = 8
-"""Outcomes after which the averages of a small pool are worked out anew."""
+"""Minimum number of outcomes between two refreshes of the averages."""
 
 INTERVAL_WEIGHT = 0.02
-"""Weight of the newest gap between two calls in their mean."""
+"""Weight of the newest interval between calls in the moving average."""
 
 MAX_INTERVAL_SECONDS = 1.0
-"""Seconds that one gap between calls counts as at most."""
+"""Upper bound on an interval between calls that enters the average."""
 
 
 class PoolAverages:
-    """Averages over the upstreams of a service, towards which old evidence fades.
+    """Averages over the upstreams of a service, towards which stale measurements decay.
 
-    Each upstream counts once, however many calls it gets: else the one that attracts the most
-    work, perhaps wrongly, would set the measure.
+    Each upstream counts once, whatever its share of the calls, so that a single upstream that
+    receives most of them does not define the average.
 
     Attributes:
         latency: Median of the upstreams' mean latencies, in seconds.
-        other_load: Mean work per slot that upstreams reported beside this daemon's own.
-        failure_share: Mean share of calls that failed.
-        latency_known: Whether any latency was measured yet.
-        call_interval: Mean seconds between two calls of this daemon.
+        other_load: Mean number of other daemons' calls per slot, from load reports.
+        failure_share: Mean share of failed calls.
+        latency_known: Whether a latency has been measured.
+        call_interval: Mean interval between two calls of this daemon, in seconds.
     """
 
     __slots__ = (
@@ -56,21 +56,21 @@
         self.last_call_at: float | None = None
 
     def record_call(self, now: float) -> None:
-        """Count a call of this daemon, for the mean gap between them."""
+        """Update the mean interval between this daemon's calls."""
         if self.last_call_at is not None:
             interval = min(MAX_INTERVAL_SECONDS, now - self.last_call_at)
             self.call_interval += INTERVAL_WEIGHT * (interval - self.call_interval)
         self.last_call_at = now
 
     def record_outcome(self, upstreams: Collection[UpstreamState], now: float) -> None:
-        """Count one more outcome; work the averages out anew once each upstream had about one."""
+        """Count an outcome; refresh the averages after about one outcome per upstream."""
         self.outcomes_until_refresh -= 1
         if self.outcomes_until_refresh <= 0:
             self.outcomes_until_refresh = max(MIN_REFRESH_OUTCOMES, len(upstreams))
             self.refresh(upstreams, now)
 
     def refresh(self, upstreams: Collection[UpstreamState], now: float) -> None:
-        """Work the averages out anew."""
+        """Recompute the averages."""
         latencies = [u.latency for u in upstreams if u.samples]
         if latencies:
             self.latency = median(latencies)
--- a/sequoiabridge/policy/base.py
+++ b/sequoiabridge/policy/base.py
@@ -1,6 +1,6 @@
-"""Base classes of the decisions about which upstream a request goes to.
+"""Base classes for choosing the upstream of a call.
 
-Nothing here does I/O or reads a clock: time and random numbers are arguments.
+Time and random numbers are arguments; nothing here does I/O or reads a clock.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 
 class Failure(Enum):
-    """How an attempt at an upstream ended without a usable answer."""
+    """Why an attempt ended without a usable answer."""
 
     CONNECT = "connect"
-    """No connection could be opened."""
+    """The connection could not be opened."""
     RESET = "reset"
-    """The connection broke before the answer was whole."""
+    """The connection closed before the answer was complete."""
     TIMEOUT = "timeout"
-    """Silence until the attempt's time was up."""
+    """No answer came before the attempt timed out."""
     ERROR = "error"
     """A 5xx answer."""
     SHED = "shed"
-    """The upstream said that it did not run the request."""
+    """The upstream refused the request without running it."""
     CANCELLED = "cancelled"
-    """The daemon gave up on it (the loser of a hedge, or the caller left): no fault of its."""
+    """The daemon cancelled the attempt: it lost to a hedge, or the caller disconnected."""
 
 
 class LoadReport:
-    """An upstream's word on its load; `age` is how old it was when it was heard, in seconds."""
+    """An upstream's load report; `age` is its age in seconds when it was received."""
 
     __slots__ = ("in_flight", "slots", "age")
 
@@ -44,7 +44,7 @@
 
 
 class ScoredUpstream:
-    """One upstream as it was weighed in a choice, for the journal of decisions."""
+    """An upstream with its score in one choice, for the journal of decisions."""
 
     __slots__ = ("name", "score", "detail")
 
@@ -55,11 +55,11 @@
 
 
 class Chooser(ABC):
-    """Picks an upstream.
+    """Picks the upstream for an attempt.
 
     Hooks:
-        choose: Called once for each attempt, on the request path: keep it cheap.
-        explain: Called only when somebody wants to know; same arguments' view as `choose`.
+        choose: Called for each attempt, on the request path; must be cheap.
+        explain: Called only when the scores are to be recorded or shown.
     """
 
     @abstractmethod
@@ -72,7 +72,8 @@
     ) -> UpstreamState | None:
         """Return the upstream for the next attempt, or None if none may be used.
 
-        `tried` names upstreams that have had this request already; they come last.
+        `tried` names the upstreams that this call has been sent to; they are used only if no other
+        is left.
         """
 
     def shortlist(
@@ -82,9 +83,9 @@
         count: int,
         tried: Collection[str] = (),
     ) -> Sequence[UpstreamState]:
-        """Return the `count` best candidates, best first; none from a chooser without a measure."""
+        """Return the `count` best candidates, best first; empty if the chooser has no scores."""
         return ()
 
     def explain(self, candidates: Sequence[UpstreamState], now: float) -> list[ScoredUpstream]:
-        """Return how each candidate weighs at `now`, best first."""
+        """Return the score of each candidate at `now`, best first."""
         return [ScoredUpstream(c.name, 0.0, "not weighed") for c in candidates]
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -1,4 +1,4 @@
-"""Ways to pick an upstream: ours (`evidence`) and the baselines it is measured against."""
+"""Strategies for choosing an upstream: a scoring one (`evidence`) and baselines for comparison."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from .upstream_state import UpstreamState
 
 MAX_JITTER_SHARE = 0.1
-"""Largest random share added to a cost, so that daemons with the same news part."""
+"""Maximum random share added to a score, so that daemons with equal reports choose differently."""
 
 OVERDUE_FREE_RATIO = 2.0
-"""A call in flight counts against its upstream from this multiple of the pool's latency."""
+"""Age of the oldest call in flight, as a multiple of the pool's latency, that costs nothing."""
 
 OVERDUE_COST = 0.5
-"""Work per slot that one more multiple of lateness counts as."""
+"""Cost of the oldest call's excess age per multiple of the pool's latency, in calls per slot."""
 
 MAX_OVERDUE_RATIO = 20.0
-"""Multiples of lateness that count at most: an upload may take an hour."""
+"""Maximum excess age that counts, as a multiple of the pool's latency; uploads may take long."""
 
 FAILURE_COST = 6.0
-"""Work per slot that failing on every call counts as, next to a pool that never fails."""
+"""Cost of failing every call in a pool without failures, in calls per slot."""
 
 IGNORED_FAILURE_SHARE = 0.1
-"""Share of failures over the pool's that is let pass, so that old failures are forgotten."""
+"""Excess over the pool's share of failed calls that costs nothing, to forget old failures."""
 
 SHED_COST = 4.0
-"""Work per slot that a fresh refusal counts as."""
+"""Cost while the upstream is backing off after shedding a request, in calls per slot."""
 
 SUSPECT_COST = 1.0
-"""Work per slot that other VMs' suspicion counts as, at most."""
+"""Cost of being suspected by other VMs, in calls per slot."""
 
 ROUNDING_FACTOR = 1.0 - 1e-9
-"""Keeps a bound under the score that it bounds, whatever the rounding of either."""
+"""Keeps the lower bound of a score below the score despite rounding errors."""
 
 SLOW_LATENCY_RATIO = 2.0
-"""Latency, as a multiple of the pool's, from which an upstream counts as slow."""
+"""Latency, as a multiple of the pool's, above which an upstream counts as slow."""
 
 
 def untried(candidates: Sequence[UpstreamState], tried: Collection[str]) -> Sequence[UpstreamState]:
-    """Return the candidates that have not had the request yet, or all if all have had it."""
+    """Return the candidates that the call has not been sent to, or all if it was sent to each."""
     if not tried:
         return candidates
     return [c for c in candidates if c.name not in tried] or candidates
 
 
 class EvidenceChooser(Chooser):
-    """The least of all candidates by estimated work, slowness, lateness and failures."""
+    """Chooses the lowest score of load, latency, overdue calls and failures."""
 
     def choose(
         self,
@@ -66,8 +66,8 @@
             other_calls = candidate.averages.other_load * slots
             if candidate.other_calls < other_calls:
                 other_calls = candidate.other_calls
-            # A bound that costs a fraction of the score: however old the report, others' work
-            # counts as something between it and the average, and all other evidence adds.
+            # A lower bound that is cheaper than the score: the estimate of other daemons' calls
+            # lies between the report and the average, and all other terms add to the score.
             lower_bound = (other_calls + len(candidate.start_times) + 1.0) / slots
             if lower_bound * factor * rounding > lowest:
                 continue
@@ -86,7 +86,7 @@
         return nsmallest(count, untried(candidates, tried), key=lambda c: self.score(c, now))
 
     def score(self, upstream: UpstreamState, now: float) -> float:
-        """Return the upstream's cost for one more call; the least is chosen."""
+        """Return the cost of sending one more call to the upstream; the lowest is chosen."""
         cost = upstream.load(now) + 1.0 / upstream.slots
         if upstream.samples and upstream.latency > SLOW_LATENCY_RATIO * upstream.averages.latency:
             cost *= max(1.0, upstream.latency_ratio(now) / SLOW_LATENCY_RATIO)
@@ -111,7 +111,7 @@
         return sorted(weighed, key=lambda w: w.score)
 
     def detail(self, upstream: UpstreamState, now: float) -> str:
-        """Return the evidence behind a score in one line."""
+        """Return the inputs of a score in one line."""
         age = now - upstream.report_at
         report = "no report"
         if upstream.report is not None:
@@ -125,7 +125,7 @@
 
 
 class RandomChooser(Chooser):
-    """Baseline: any candidate."""
+    """Baseline: a random candidate."""
 
     def choose(self, candidates, now, random, tried=()):
         candidates = untried(candidates, tried)
@@ -133,7 +133,7 @@
 
 
 class RoundRobinChooser(Chooser):
-    """Baseline: one after another."""
+    """Baseline: the candidates in turn."""
 
     def __init__(self):
         self.turn: int | None = None
@@ -149,7 +149,7 @@
 
 
 class LeastOwnChooser(Chooser):
-    """Baseline: the least of this daemon's own calls in flight; ties at random."""
+    """Baseline: the fewest of this daemon's own calls in flight; ties are broken at random."""
 
     def choose(self, candidates, now, random, tried=()):
         candidates = untried(candidates, tried)
@@ -160,7 +160,7 @@
 
 
 class TwoChoicesChooser(Chooser):
-    """Baseline: of two candidates at random, the one with fewer own calls in flight."""
+    """Baseline: of two random candidates, the one with fewer of this daemon's calls in flight."""
 
     def choose(self, candidates, now, random, tried=()):
         candidates = untried(candidates, tried)
@@ -177,13 +177,17 @@
     "least-own": LeastOwnChooser,
     "two-choices": TwoChoicesChooser,
 }
-"""Choosers by the name that the service option `chooser` takes."""
+"""Choosers by their name in the service option `chooser`."""
 
 
 def chooser_named(name: str) -> Chooser:
-    """Return a new chooser; raises `ConfigurationError` for a name that is not known."""
+    """Return a new chooser.
+
+    Raises:
+        ConfigurationError: No chooser has that name.
+    """
     kind = CHOOSERS.get(name)
     if kind is None:
         known = ", ".join(sorted(CHOOSERS))
-        raise ConfigurationError(f"no chooser is named {name!r}; write one of: {known}")
+        raise ConfigurationError(f"unknown chooser {name!r}; expected one of: {known}")
     return kind()
--- a/sequoiabridge/policy/concurrency.py
+++ b/sequoiabridge/policy/concurrency.py
@@ -1,10 +1,10 @@
-"""How many calls of a service one daemon lets run at a time, adapted to what they meet.
+"""Adaptive limit on the concurrent calls of a service (additive increase, multiplicative decrease).
 
-Additive increase, multiplicative decrease, judged once a round. A round is crowded when its calls
-took a large part of the time they had, and clearly longer than calls need when few run; both must
-hold, so that neither tight windows nor slow work alone shrink the limit. Now and then one round
-runs at half the limit to learn anew how long calls need. `docs/design/limits.md` has the
-alternatives.
+The limit is adjusted once per round of calls. A round is congested if many calls failed, or if
+calls took both a large share of the time that they had and clearly longer than the base latency.
+Requiring both keeps short deadlines or slow work alone from lowering the limit. From time to time a
+round runs at half the limit to measure the base latency again. Alternatives are discussed in
+`docs/design/limits.md`.
 """
 
 from __future__ import annotations
@@ -12,40 +12,40 @@
 from math import exp
 
 CONGESTED_TIME_SHARE = 0.25
-"""Mean part of the time left to a call, when admitted, from which a round may be crowded."""
+"""Mean share of the calls' time left at admission above which a slow round is congested."""
 
 CONGESTED_LATENCY_RATIO = 1.5
-"""Mean latency, as a multiple of the base, from which a round may be crowded."""
+"""Mean latency, as a multiple of the base latency, above which a round is slow."""
 
 DECREASE_FACTOR = 0.85
-"""Factor on the limit after a bad round."""
+"""Factor on the limit after a congested round."""
 
 INCREASE_CALLS = 1.0
-"""Calls by which the limit grows after a good round that used it."""
+"""Number of calls added to the limit after an uncongested round that used it."""
 
 MIN_USED_SHARE = 0.8
-"""Share of the limit that must run for it to grow."""
+"""Share of the limit that must have been in use for it to grow."""
 
 MAX_FAILED_SHARE = 0.1
-"""Share of failed calls that makes a round a bad one."""
+"""Share of failed calls above which a round is congested."""
 
 MIN_ROUND_CALLS = 32
-"""Answers that make a round at least."""
+"""Minimum number of calls in a round."""
 
 BASE_DECAY_SECONDS = 60.0
-"""Seconds in which the base follows a lasting rise by 63%; a fall it follows at once."""
+"""Time constant with which the base latency follows a rise; it follows a fall at once."""
 
 HALVED_ROUND_INTERVAL_SECONDS = 5.0
-"""Seconds between rounds at half the limit."""
+"""Minimum interval between rounds at half the limit."""
 
 
 class ConcurrencyLimit:
-    """The adaptive limit; `allowed` is the number of calls that may run.
+    """Adaptive concurrency limit; `allowed` is the number of calls that may run.
 
     Args:
-        initial: Limit at the start.
-        lowest: It never falls under this, so that recovery is noticed.
-        highest: It never grows over this.
+        initial: Initial limit.
+        lowest: Minimum limit, so that some calls still run and recovery is noticed.
+        highest: Maximum limit.
     """
 
     def __init__(self, initial: int, lowest: int = 1, highest: int = 1000):
@@ -60,11 +60,11 @@
 
     @property
     def allowed(self) -> int:
-        """How many calls may run at a time."""
+        """Number of calls that may run at a time."""
         return max(self.lowest, int(self.value / 2 if self.halved else self.value))
 
     def start_round(self) -> None:
-        """Forget the counts of the last round."""
+        """Reset the counters for a new round."""
         self.answers = 0
         self.failed = 0
         self.peak_running = 0
@@ -74,14 +74,14 @@
     def record_end(
         self, now: float, latency: float, time_left: float, ok: bool, running: int
     ) -> None:
-        """A call ended; judge the round when it is full.
+        """Record the end of a call; adjust the limit at the end of a round.
 
         Args:
-            now: Present time.
-            latency: Seconds that it ran.
-            time_left: Seconds that it had when it was admitted.
-            ok: It got a usable answer.
-            running: Calls that ran, it included.
+            now: Current time.
+            latency: Seconds for which the call ran.
+            time_left: Seconds until its deadline when it was admitted.
+            ok: Whether it got a usable answer.
+            running: Number of running calls, this one included.
         """
         self.peak_running = max(self.peak_running, running)
         if ok:
--- a/sequoiabridge/policy/crashes.py
+++ b/sequoiabridge/policy/crashes.py
@@ -1,13 +1,13 @@
-"""Which requests crash the upstreams that run them, counted over the whole fleet.
+"""Detects requests that crash the upstreams that run them, from reports of the whole fleet.
 
-A request is known by its fingerprint (of its key, or of method, path and body). When an upstream's
-connections break, every request that was with it is a suspect in that crash. The blame for a crash
-is shared between its suspects by the square of how many upstreams died with each, and with the
-crashes around it that a suspect had no part in (the upstreams then seem to die of something else).
-A request that was answered since is no suspect any more.
+A request is identified by a fingerprint (of its key, or of method, path and body). When an
+upstream's connections break, each request in flight to it is a suspect. The blame for a crash is
+divided among its suspects, weighted by the square of the number of upstreams that crashed with
+each. Crashes at about the same time without a suspect lower its blame, since they point to another
+cause. A request that has been answered since is no longer a suspect.
 
-A blocked request is let through once in a while, as a trial: an innocent one is answered and free
-again, one that does crash upstreams costs one of them and waits twice as long for its next trial.
+A blocked request is let through occasionally as a trial. If it is answered, it is unblocked; if
+another upstream crashes, the delay before its next trial doubles.
 """
 
 from __future__ import annotations
@@ -15,31 +15,30 @@
 from collections.abc import Iterable
 
 MIN_BLOCK_BLAME = 1.2
-"""Blame, summed over distinct upstreams, at which a fingerprint is blocked: 1 for each at most."""
+"""Blame from which a fingerprint is blocked; each distinct upstream adds at most 1."""
 
 MIN_UPSTREAMS = 2
-"""Distinct upstreams that must have died with a blocked request."""
+"""Minimum number of distinct upstreams that must have crashed with a blocked request."""
 
 SAME_CRASH_SECONDS = 1.0
-"""Seconds within which broken connections of one upstream are one crash."""
+"""Maximum time between broken connections of one upstream that count as the same crash."""
 
 NEARBY_SECONDS = 10.0
-"""Seconds before and after a crash within which others speak for a common cause."""
+"""Maximum time between crashes that may have a common cause."""
 
 CRASH_RETENTION_SECONDS = 3600.0
 """Seconds after which a crash is forgotten."""
 
 TRIAL_DELAY_SECONDS = 5.0
-"""Seconds without a crash after which a blocked request gets a trial; each further upstream that
-dies with it doubles them. A harmful request then costs at most 10 upstreams an hour (5 s doubled
-nine times is 43 minutes); a harmless one is refused for some seconds."""
+"""Seconds without a crash before the first trial of a blocked request; doubles with each further
+upstream that crashes."""
 
 MAX_CRASHES = 2000
-"""Crashes remembered at most; the oldest go first."""
+"""Maximum number of crashes that are kept; the oldest are dropped first."""
 
 
 class Crash:
-    """One crash of an upstream: `at` is wall time, `learned_at` monotonic time."""
+    """A crash of an upstream: at wall time `at`, known to this daemon since `learned_at`."""
 
     __slots__ = ("upstream", "at", "learned_at", "suspects", "vms")
 
@@ -52,7 +51,7 @@
 
 
 class CrashSuspect:
-    """One suspect as operators see it."""
+    """A suspect as it is listed for operators."""
 
     __slots__ = ("fingerprint", "blocked", "blame", "upstreams", "vms", "last_crash_at")
 
@@ -66,14 +65,15 @@
 
 
 class CrashLedger:
-    """Crashes of the upstreams of one service, and the requests that are stopped for them.
+    """Crashes of the upstreams of one service, and the requests blocked because of them.
 
     Args:
-        min_upstreams: Distinct upstreams that must have died with a request before it is stopped.
+        min_upstreams: Distinct upstreams that must have crashed with a request before it is
+            blocked.
 
     Attributes:
         blocked_fingerprints: Fingerprints of blocked requests.
-        last_trial_at: When blocked requests had their latest trial, by fingerprint.
+        last_trial_at: Time of the latest trial of each blocked request, by fingerprint.
     """
 
     def __init__(self, min_upstreams: int = MIN_UPSTREAMS):
@@ -85,10 +85,10 @@
         self.last_trial_at: dict[str, float] = {}
 
     def record_crash(self, fingerprint: str, upstream: str, vm: str, at: float, now: float) -> bool:
-        """A request was with an upstream when that died; return whether that is news.
+        """Record that a request was in flight to a crashed upstream; return whether that is new.
 
-        To be called for each request whose connection broke before its answer, here or at another
-        VM; `at` is the wall time of the event.
+        Called for each request whose connection broke before its answer, on this VM or another one;
+        `at` is the wall time of the crash.
         """
         self._drop_expired(now)
         if at <= self.released_at.get(fingerprint, float("-inf")):
@@ -103,16 +103,16 @@
         return True
 
     def record_answer(self, fingerprint: str, at: float) -> bool:
-        """A request was answered whole at the wall time `at`; return whether it was a suspect."""
+        """Record a complete answer at wall time `at`; return whether the request was a suspect."""
         if fingerprint not in self.by_fingerprint:
             return False
         self._clear(fingerprint, at)
         return True
 
     def release(self, fingerprint: str, at: float) -> bool:
-        """It may run again, whatever happened up to `at`; return if it was known.
+        """Clear the request of crashes up to `at`; return whether it was a suspect.
 
-        The operator says so, or another VM that saw it answered whole.
+        Called when an operator releases the request, or another VM got a complete answer.
         """
         known = fingerprint in self.by_fingerprint
         self.released_at[fingerprint] = max(at, self.released_at.pop(fingerprint, at))
@@ -122,14 +122,14 @@
         return known
 
     def is_blocked(self, fingerprint: str, now: float) -> bool:
-        """Return whether a request with the fingerprint must not run."""
+        """Return whether requests with the fingerprint are blocked."""
         if fingerprint not in self.blocked_fingerprints:
             return False
         self._drop_expired(now)
         return fingerprint in self.blocked_fingerprints
 
     def take_trial(self, fingerprint: str, now: float) -> bool:
-        """Let a blocked request through once if its time has come; return whether it may run."""
+        """Return whether a blocked request may run now as a trial; if so, record the trial."""
         crashes = self.by_fingerprint.get(fingerprint, ())
         last = max((crash.learned_at for crash in crashes), default=now)
         further = self._upstream_count(fingerprint) - self.min_upstreams
@@ -142,7 +142,7 @@
         return True
 
     def blame(self, fingerprint: str) -> float:
-        """Return the blame that the fingerprint carries, at most 1 for each distinct upstream."""
+        """Return the blame of the fingerprint, at most 1 for each distinct upstream."""
         shares: dict[str, float] = {}
         for crash in self.by_fingerprint.get(fingerprint, ()):
             share = self._blame_share(fingerprint, crash)
@@ -150,7 +150,7 @@
         return sum(shares.values())
 
     def list_suspects(self, now: float) -> list[CrashSuspect]:
-        """Return all suspects, the most blamed first."""
+        """Return all suspects, highest blame first."""
         self._drop_expired(now)
         rows = [
             CrashSuspect(f, f in self.blocked_fingerprints, self.blame(f), crashes)
@@ -198,7 +198,7 @@
         self.last_trial_at.pop(fingerprint, None)
 
     def _clear(self, fingerprint: str, at: float) -> None:
-        """Take the fingerprint out of all crashes up to `at`."""
+        """Remove the fingerprint from all crashes up to `at`."""
         kept = []
         for crash in self.by_fingerprint.pop(fingerprint, []):
             if crash.at <= at:
--- a/sequoiabridge/policy/drains.py
+++ b/sequoiabridge/policy/drains.py
@@ -1,8 +1,8 @@
-"""Which upstreams said that they are leaving, by their own incarnation numbers.
+"""Drain state of upstreams, ordered by their incarnation numbers.
 
-The word may come from any side (an answer, the platform's list, another VM), late or twice, and
-before the configuration names the upstream. The highest incarnation wins; at the same one, leaving
-wins, so that only the upstream's own newer word undoes a drain.
+Updates come from several sources (an answer, the platform's list, another VM). They may be late or
+repeated, or precede the configuration of the upstream. The highest incarnation wins; at equal
+incarnations draining wins, so that only a newer incarnation of the upstream undoes a drain.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Container
 
 MAX_UNKNOWN_UPSTREAMS = 256
-"""Words kept about upstreams that the configuration does not name (yet)."""
+"""Maximum number of upstreams outside the configuration whose state is kept."""
 
 
 class DrainState:
-    """An upstream's newest state: whether it is leaving, and its incarnation."""
+    """Whether an upstream is leaving, and the incarnation that said so."""
 
     __slots__ = ("incarnation", "leaving")
 
@@ -24,18 +24,18 @@
 
 
 class DrainLedger:
-    """The newest word of each upstream of a service."""
+    """Latest drain state of each upstream of a service."""
 
     def __init__(self):
         self.states: dict[str, DrainState] = {}
 
     def draining(self, name: str) -> int | None:
-        """Return the incarnation with which the upstream is leaving, or None if it stays."""
+        """Return the incarnation that is draining, or None if the upstream is not draining."""
         state = self.states.get(name)
         return state.incarnation if state is not None and state.leaving else None
 
     def drain(self, name: str, incarnation: int) -> bool:
-        """The upstream is leaving; return whether that is news."""
+        """Mark the upstream as draining; return whether that changed its state."""
         state = self.states.get(name)
         if state is not None:
             if incarnation < state.incarnation:
@@ -46,7 +46,7 @@
         return True
 
     def resume(self, name: str, incarnation: int) -> bool:
-        """The upstream is back; return whether that is news."""
+        """Mark the upstream as active again; return whether that changed its state."""
         state = self.states.get(name)
         if state is not None and incarnation <= state.incarnation:
             return False
@@ -54,7 +54,7 @@
         return True
 
     def forget_unknown(self, known: Container[str]) -> None:
-        """Keep only the newest words about upstreams that are not `known`."""
+        """Drop all but the newest states of upstreams that are not in `known`."""
         unknown = [name for name in self.states if name not in known]
         for name in unknown[:-MAX_UNKNOWN_UPSTREAMS]:
             del self.states[name]
--- a/sequoiabridge/policy/ejection.py
+++ b/sequoiabridge/policy/ejection.py
@@ -1,8 +1,8 @@
-"""When an upstream gets no work for a while, and how it comes back.
+"""Outlier ejection: upstreams that fail or are slow get no calls for a while.
 
-An upstream is ejected when it fails much more than the rest of its pool, or is much slower. It
-comes back on trial, one call of this daemon at a time, and each ejection in a row lasts twice as
-long as the one before. Only a share of the pool is ever ejected.
+An upstream is ejected when it fails much more often than its pool, or is much slower. After the
+ejection it is on trial, with one call of this daemon at a time. Each consecutive ejection lasts
+twice as long as the one before. Only a share of the pool may be ejected at once.
 """
 
 from __future__ import annotations
@@ -12,41 +12,42 @@
 from .upstream_state import UpstreamState
 
 BASE_EJECTION_SECONDS = 0.25
-"""Seconds of a first ejection, at least."""
+"""Minimum duration of a first ejection."""
 
 BASE_EJECTION_CALLS = 200
-"""Calls of this daemon that a first ejection lasts at least: trials spoil few of them."""
+"""Minimum duration of a first ejection, in calls of this daemon; limits the share of trials."""
 
 MAX_EJECTION_SECONDS = 16.0
-"""Seconds that an ejection lasts at most."""
+"""Maximum duration of an ejection, before jitter."""
 
 MIN_CONSECUTIVE_FAILURES = 3
-"""Failures in a row for which an upstream is ejected, if its pool does better."""
+"""Consecutive failures from which an upstream may be ejected."""
 
 MIN_FAILURE_SHARE = 0.4
-"""Share of failures from which an upstream may be ejected."""
+"""Share of failed calls above which an upstream may be ejected."""
 
 MIN_FAILURE_RATIO = 1.5
-"""How many times the pool's share of failures an ejected upstream's must be."""
+"""Share of failed calls, as a multiple of the pool's, above which it may be ejected."""
 
 MAX_LATENCY_RATIO = 4.0
-"""Latency, as a multiple of the pool's, for which an upstream is ejected."""
+"""Latency, as a multiple of the pool's, above which an upstream is ejected."""
 
 MAX_OVERDUE_RATIO = 8.0
-"""Age of a call in flight, as a multiple of the pool's latency, for the same."""
+"""Age of the oldest call in flight, as a multiple of the pool's latency, above which a slow
+upstream is ejected."""
 
 MIN_LATENCY_SAMPLES = 2
-"""Answers without which an upstream is not ejected for its latency."""
+"""Minimum number of answers before an upstream may be ejected for its latency."""
 
 TRIAL_LATENCY_RATIO = 3.0
-"""Latency, as a multiple of the pool's, up to which an answer on trial is a good one."""
+"""Maximum latency of a successful trial call, as a multiple of the pool's."""
 
 TRIAL_ANSWERS = 3
-"""Good answers in a row that end a trial."""
+"""Successful trial calls after which the trial ends."""
 
 
 class Ejector:
-    """Ejects upstreams of one service and takes them back; at most `cap` of them at a time."""
+    """Ejects outliers among the upstreams of a service; at most a share `cap` of them at once."""
 
     def __init__(self, cap: float, random: Random):
         self.cap = cap
@@ -54,13 +55,13 @@
         self.count = 0
 
     def max_ejected(self, total: int) -> int:
-        """Return how many of `total` upstreams may be out: the cap, but one of three or more."""
+        """Return how many of `total` upstreams may be ejected: at least 1 of three or more."""
         if self.cap <= 0.0 or total < 3:
             return 0
         return max(1, int(self.cap * total))
 
     def should_eject(self, upstream: UpstreamState, now: float) -> bool:
-        """Return whether its failures or its latency stand out from its pool."""
+        """Return whether the upstream's failures or latency are outliers in its pool."""
         averages = upstream.averages
         if upstream.consecutive_failures >= MIN_CONSECUTIVE_FAILURES:
             share = upstream.failure_share(now)
@@ -73,7 +74,10 @@
         )
 
     def eject(self, upstream: UpstreamState, now: float, ejected: int, total: int) -> bool:
-        """Eject it unless the cap forbids; `ejected` of `total` upstreams are out already."""
+        """Eject the upstream and return True, or False if the cap is reached.
+
+        `ejected` of the `total` upstreams are ejected already.
+        """
         if ejected >= self.max_ejected(total):
             return False
         first = max(BASE_EJECTION_SECONDS, BASE_EJECTION_CALLS * upstream.averages.call_interval)
@@ -86,7 +90,7 @@
         return True
 
     def judge_trial(self, upstream: UpstreamState, now: float, slow: bool) -> bool:
-        """Take in an answer of an upstream on trial; return whether it must be ejected again."""
+        """Record the answer to a trial call; return whether to eject the upstream again."""
         if slow:
             return True
         upstream.good_trials += 1
--- a/sequoiabridge/policy/options.py
+++ b/sequoiabridge/policy/options.py
@@ -1,13 +1,13 @@
-"""A service's options that the choice depends on."""
+"""Service options that affect the choice of an upstream."""
 
 
 class PoolOptions:
-    """A service's options that the choice depends on.
+    """Service options that affect the choice of an upstream.
 
     Attributes:
-        eject_cap: Share of the upstreams that may be ejected at a time.
-        tail_weight: 0 = the cost of measuring counts most, 1 = tail latency does.
-        probes_per_1000: Probes paid by 1,000 calls.
+        eject_cap: Maximum share of the upstreams that may be ejected at once.
+        tail_weight: 0 favours few probes, 1 favours low tail latency.
+        probes_per_1000: Probes allowed per 1,000 calls.
     """
 
     __slots__ = ("eject_cap", "tail_weight", "probes_per_1000")
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -1,4 +1,4 @@
-"""All upstreams of one service as one daemon sees them, and the choice between them."""
+"""The upstreams of one service as this daemon sees them, and the choice among them."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from .upstream_state import PoolAverages, UpstreamSpec, UpstreamState
 
 UNSAMPLED_POOL_SIZE = 64
-"""Upstreams up to which every choice looks at all of them."""
+"""Maximum number of upstreams for which each choice considers all of them."""
 
 SAMPLE_SIZE = 32
-"""Upstreams that a choice looks at in a larger pool, so that its cost stays flat."""
+"""Number of upstreams that a choice in a larger pool samples."""
 
 MAX_RECENTLY_PROBED = 5
-"""Upstreams probed last that a choice in a larger pool looks at too."""
+"""Number of recently probed upstreams that a choice in a larger pool considers too."""
 
 SLOW_START_SECONDS = 5.0
 """Seconds over which the share of a cold upstream grows to a full one."""
 
 SLOW_START_MIN_SHARE = 0.1
-"""Share of a full upstream's chances that a cold one starts with."""
+"""Initial share of the choices that consider a cold upstream."""
 
 MIN_SHED_BACKOFF_SECONDS = 0.02
-"""Seconds for which a first refusal keeps work away; doubles with each in a row."""
+"""Backoff after a first shed request; doubles with each consecutive one."""
 
 MAX_SHED_BACKOFF_SECONDS = 0.64
-"""Seconds for which refusals keep work away at most."""
+"""Maximum backoff after shed requests, before jitter."""
 
 PEER_REPORT_DELAY_SECONDS = 0.05
-"""Seconds after which words of other VMs take effect at the latest, many at a time."""
+"""Maximum delay before suspicions of peers take effect, so that many are applied at once."""
 
 
 class PoolState:
-    """The candidates of one service; told of every call, answer, failure and word about them."""
+    """The upstreams of one service, updated with each call, answer, failure and report."""
 
     def __init__(self, name: str, options: PoolOptions, chooser: Chooser, random: Random):
         self.name = name
@@ -57,13 +57,13 @@
         self.refresh_at = float("-inf")
 
     def configure(self, options: PoolOptions, chooser: Chooser) -> None:
-        """Take over changed options of the service; the measurements stay."""
+        """Apply changed service options; the measurements stay."""
         self.options = options
         self.ejector.cap = options.eject_cap
         self.chooser = chooser
 
     def set_upstreams(self, specs: Sequence[UpstreamSpec], now: float) -> None:
-        """Take over the configured upstreams; the measurements of those that stay are kept."""
+        """Apply the configured upstreams; the measurements of those that stay are kept."""
         first = not self.upstreams
         old, self.upstreams = self.upstreams, {}
         for spec in specs:
@@ -82,7 +82,7 @@
         self._refresh(now)
 
     def choose(self, now: float, tried: Collection[str] = ()) -> UpstreamState | None:
-        """Return the upstream for the next attempt, or None if there is none to use."""
+        """Return the upstream for the next attempt, or None if there is none."""
         return self.chooser.choose(self._candidates(now, tried), now, self.random, tried)
 
     def shortlist(
@@ -92,7 +92,7 @@
         return self.chooser.shortlist(self._candidates(now, tried), now, count, tried)
 
     def explain(self, now: float) -> list[ScoredUpstream]:
-        """Return how each upstream weighs now, best first, then those that get no work."""
+        """Return the scores of the usable upstreams, best first, then the unusable ones and why."""
         if now >= self.refresh_at:
             self._refresh(now)
         weighed = self.chooser.explain(self.usable, now)
@@ -103,7 +103,7 @@
         return weighed
 
     def why_unusable(self, upstream: UpstreamState, now: float) -> str:
-        """Return why the upstream gets no new work, or an empty string if it may."""
+        """Return why the upstream gets no new calls, or an empty string if it may get some."""
         if upstream.gone:
             return "gone from the configuration"
         if upstream.drained:
@@ -119,7 +119,7 @@
         return ""
 
     def record_send(self, upstream: UpstreamState, now: float) -> None:
-        """A call goes to the upstream."""
+        """Record that a call is sent to the upstream."""
         upstream.record_start(now)
         self.averages.record_call(now)
         if upstream.on_trial:
@@ -133,7 +133,7 @@
         elapsed: float,
         report: LoadReport | None = None,
     ) -> None:
-        """A whole answer came; a 5xx counts as a failure, and its speed as no virtue."""
+        """Record a complete answer; a 5xx counts as a failure, and its latency is ignored."""
         if status >= 500:
             self.record_failure(upstream, now, Failure.ERROR, elapsed)
             return
@@ -153,7 +153,7 @@
     def record_failure(
         self, upstream: UpstreamState, now: float, failure: Failure, elapsed: float
     ) -> None:
-        """An attempt ended without a usable answer."""
+        """Record an attempt that ended without a usable answer."""
         upstream.record_end(now, elapsed)
         if failure in (Failure.CANCELLED, Failure.TIMEOUT):
             self._record_min_latency(upstream, now, elapsed)
@@ -174,7 +174,7 @@
         sender: str,
         now: float,
     ) -> None:
-        """Another VM's word on an upstream: a report like its own, and at most a suspicion."""
+        """Record a peer's load report on an upstream, and whether the peer suspects it."""
         upstream = self.upstreams.get(name)
         if upstream is None or age < 0.0:
             return
@@ -186,11 +186,14 @@
         self.refresh_at = min(self.refresh_at, now + PEER_REPORT_DELAY_SECONDS)
 
     def undrained_upstreams(self) -> list[UpstreamState]:
-        """Return the upstreams that neither leave nor are drained by the operator."""
+        """Return the upstreams that neither are draining nor are drained by the operator."""
         return [u for u in self.upstreams.values() if u.draining is None and not u.drained]
 
     def possible_suspects(self) -> Iterator[UpstreamState]:
-        """Yield upstreams at work or perhaps slow: a cheap test before `is_local_suspect`."""
+        """Yield upstreams that have calls, are on trial or may be slow.
+
+        A cheap filter to apply before `is_local_suspect`.
+        """
         slow = self.averages.latency * SUSPECT_LATENCY_RATIO
         for upstream in self.upstreams.values():
             maybe_slow = upstream.samples and upstream.latency > slow
@@ -198,28 +201,31 @@
                 yield upstream
 
     def record_probe(self, name: str, now: float, elapsed: float, report: LoadReport) -> None:
-        """A probe was answered: a report like any other, but no proof that calls go well."""
+        """Record the load report of a probe; it is neither a success nor a latency of a call."""
         upstream = self.upstreams.get(name)
         if upstream is not None:
             upstream.record_report(now, report)
             self.recently_probed.append(upstream)
 
     def drain(self, name: str, incarnation: int, now: float) -> bool:
-        """The upstream is leaving; return whether that is news."""
+        """Mark an upstream as draining; return whether that changed its state."""
         news = self.drains.drain(name, incarnation)
         if news:
             self._apply_drain(name, now)
         return news
 
     def resume(self, name: str, incarnation: int, now: float) -> bool:
-        """The upstream is back; only a newer incarnation undoes a drain. Return if that is news."""
+        """Mark an upstream as active again; return whether that changed its state.
+
+        Only a newer incarnation undoes a drain.
+        """
         news = self.drains.resume(name, incarnation)
         if news:
             self._apply_drain(name, now)
         return news
 
     def dump(self, now: float) -> dict:
-        """Describe the state of the pool for operators."""
+        """Return the state of the pool for operators."""
         return {
             "chooser": type(self.chooser).__name__,
             "mean latency ms": round(self.averages.latency * 1000, 2),
@@ -232,7 +238,7 @@
         }
 
     def _candidates(self, now: float, tried: Collection[str]) -> Sequence[UpstreamState]:
-        """Return whom to choose from: all of a small pool; of a large one some, and the probed."""
+        """Return the upstreams to choose from: all, or a sample of many and those probed last."""
         if now >= self.refresh_at:
             self._refresh(now)
         candidates: Sequence[UpstreamState] = self.usable
@@ -261,7 +267,7 @@
         self._refresh(now)
 
     def _refresh(self, now: float) -> None:
-        """Work out anew which upstreams may be used, and until when that holds."""
+        """Recompute which upstreams are usable, and until when that holds."""
         undrained = self.undrained_upstreams()
         self.usable = [u for u in undrained if not self.why_unusable(u, now)]
         self.refresh_at = apply_suspicions(undrained, self.ejector.max_ejected(len(undrained)), now)
@@ -279,7 +285,7 @@
     def _apply_slow_start(
         self, candidates: Sequence[UpstreamState], now: float
     ) -> Sequence[UpstreamState]:
-        """Leave each cold upstream out of some choices, of fewer as it warms up."""
+        """Leave cold upstreams out of some choices, of fewer as they warm up."""
         kept = []
         for upstream in candidates:
             if upstream.cold_since is not None:
@@ -301,7 +307,7 @@
             self._refresh(now)
 
     def _record_min_latency(self, upstream: UpstreamState, now: float, elapsed: float) -> None:
-        """No answer came in `elapsed` seconds: that counts as a latency if it is a long one."""
+        """Record `elapsed` seconds without an answer as a latency if they exceed the estimate."""
         if elapsed > self.averages.latency * max(1.0, upstream.latency_ratio(now)):
             upstream.record_latency(now, elapsed)
             if self.ejector.should_eject(upstream, now):
--- a/sequoiabridge/policy/probing.py
+++ b/sequoiabridge/policy/probing.py
@@ -1,8 +1,7 @@
-"""Which upstreams to probe, paid from a token bucket that the calls of a service fill.
+"""Chooses which upstreams to probe; a token bucket that calls fill limits the number of probes.
 
-A probe that is not paid is not sent. What pays best was measured (`docs/design/choosing.md`): to
-ask the few best candidates right before a choice. Probes in the background go to suspects, and to
-evidence that is very old.
+Probes of the best candidates right before a choice gain most (`docs/design/choosing.md`).
+Background probes go to suspects and to upstreams with old load reports.
 """
 
 from __future__ import annotations
@@ -14,40 +13,40 @@
 from .upstream_state import UpstreamState
 
 MAX_TOKENS = 8.0
-"""Probes that may be saved up."""
+"""Capacity of the token bucket, in probes."""
 
 RESERVED_TOKENS = 6
-"""Probes that background probes leave for asking before a choice."""
+"""Tokens that background probes leave for probes before a choice."""
 
 MIN_CHOICE_PROBES, MAX_CHOICE_PROBES = 3, 5
-"""Upstreams that are asked before one choice."""
+"""Bounds of the number of upstreams probed before one choice."""
 
 MIN_STALE_SECONDS, MAX_STALE_SECONDS = 0.001, 2.0
-"""Seconds of age from which the evidence on the best candidates is worth asking anew, at
-`tail_weight` 1 and 0; the latter also for probes in the background."""
+"""Report age from which the best candidates are probed before a choice, at `tail_weight` 1 and 0;
+the latter also applies to background probes."""
 
 MAX_ROUND_TRIP_SHARE = 0.3
-"""A round trip is waited for only if it takes at most this share of the pool's latency."""
+"""Maximum round trip, as a share of the pool's latency, for which a choice waits for probes."""
 
 INITIAL_ROUND_TRIP_SECONDS = 0.002
-"""Seconds assumed for a probe before one was answered."""
+"""Assumed round trip before the first probe is answered."""
 
 ROUND_TRIP_WEIGHT = 0.1
-"""Weight of the newest round trip in the mean."""
+"""Weight of the newest round trip in the moving average."""
 
 PROBE_INTERVAL_SECONDS = 0.1
-"""Seconds between two probes of one upstream in the background, at least."""
+"""Minimum interval between a probe and the next background probe of the same upstream."""
 
 
 class ProbeBudget:
-    """Pays probes of one service and counts what they cost.
+    """Token bucket for the probes of one service, and counters of what they cost.
 
     Args:
-        per_1000: Probes that 1,000 calls pay for.
-        tail_weight: 0 = the cost of measuring counts most, 1 = tail latency does.
+        per_1000: Probes allowed per 1,000 calls.
+        tail_weight: 0 favours few probes, 1 favours low tail latency.
 
     Attributes:
-        calls, probes: Counted since the start.
+        calls, probes: Totals since the start.
         bytes: Bytes sent and received by probes.
         upstream_time: Seconds that upstreams spent on probes, as far as known.
     """
@@ -62,7 +61,7 @@
         self.upstream_time = 0.0
 
     def configure(self, per_1000: float, tail_weight: float) -> None:
-        """Take over changed options of the service; what was earned and spent stays."""
+        """Apply changed service options; tokens and counters stay."""
         self.per_call = per_1000 / 1000.0
         self.choice_probes = min(MAX_CHOICE_PROBES, max(MIN_CHOICE_PROBES, round(self.per_call)))
         self.stale_age = MAX_STALE_SECONDS * (MIN_STALE_SECONDS / MAX_STALE_SECONDS) ** min(
@@ -70,12 +69,12 @@
         )
 
     def record_calls(self, calls: int, now: float) -> None:
-        """Calls came in: they pay for probes."""
+        """Count calls, and add the tokens that they allow."""
         self.calls += calls
         self.tokens = min(MAX_TOKENS, self.tokens + calls * self.per_call)
 
     def choice_targets(self, pool: PoolState, now: float, tried: Collection[str] = ()) -> list[str]:
-        """Return the upstreams to probe before the next choice; wait `wait_timeout` at most."""
+        """Return the upstreams to probe before the next choice; wait at most `wait_timeout()`."""
         if (
             self.tokens < self.choice_probes
             or self.round_trip > MAX_ROUND_TRIP_SHARE * pool.averages.latency
@@ -87,18 +86,18 @@
         return self._take(best, now)
 
     def wait_timeout(self) -> float:
-        """Return the seconds to wait for the answers to `choice_targets` before choosing anyhow."""
+        """Return the seconds to wait for the answers of `choice_targets`."""
         return 2.0 * self.round_trip
 
     def background_targets(self, pool: PoolState, now: float) -> list[str]:
-        """Return whom to probe in the background: suspects first, then the oldest evidence."""
+        """Return the upstreams to probe in the background: suspects, then the oldest reports."""
         available = int(self.tokens) - RESERVED_TOKENS
         if available < 1:
             return []
         return self._take(self._probe_candidates(pool, now)[:available], now)
 
     def take_token(self) -> bool:
-        """Take one probe from the bucket for another purpose; return False if it is empty."""
+        """Take a token for any other probe; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -106,7 +105,7 @@
         return True
 
     def record_answer(self, elapsed: float, size: int, upstream_time: float = 0.0) -> None:
-        """A probe came back: its round trip, its bytes both ways, the upstream's seconds for it."""
+        """Record an answered probe: round trip, bytes both ways, seconds spent by the upstream."""
         self.round_trip += ROUND_TRIP_WEIGHT * (elapsed - self.round_trip)
         self.record_cost(size, upstream_time)
 
@@ -116,7 +115,7 @@
         self.upstream_time += upstream_time
 
     def dump(self, now: float) -> dict:
-        """Describe the spend per 1,000 calls."""
+        """Return the cost per 1,000 calls for operators."""
         per = 1000.0 / max(1, self.calls)
         return {
             "tokens": round(self.tokens, 2),
@@ -152,7 +151,7 @@
 
 
 def _candidates(pool: PoolState) -> Sequence[UpstreamState]:
-    """Return the upstreams that a probe may be spent on: all, or a sample of many."""
+    """Return the upstreams that may be probed: all, or a sample of a large pool."""
     undrained = pool.undrained_upstreams()
     return (
         undrained
--- a/sequoiabridge/policy/quantiles.py
+++ b/sequoiabridge/policy/quantiles.py
@@ -1,26 +1,26 @@
-"""Latency quantiles from a histogram with logarithmic bins, in which old values fade."""
+"""Latency quantiles from a histogram with logarithmic bins and decaying counts."""
 
 from __future__ import annotations
 
 from math import log
 
 MIN_LATENCY_SECONDS = 0.0001
-"""Seconds; everything shorter falls into the first bin."""
+"""Upper bound of the first bin."""
 
 BIN_RATIO = 1.1
-"""Each bin ends at this multiple of the one before: quantiles are right within 10%."""
+"""Ratio of the upper bounds of neighbouring bins; quantiles are exact to 10%."""
 
 BIN_COUNT = 180
-"""Enough bins to reach over 2,500 seconds."""
+"""Number of bins; they cover latencies up to 2,500 seconds."""
 
 MAX_TOTAL = 1000
-"""Weight of values after which all counts are halved, so that the recent ones decide."""
+"""Total count at which all counts are halved, so that recent latencies dominate."""
 
 LOG_BIN_RATIO = log(BIN_RATIO)
 
 
 class LatencyHistogram:
-    """Counts latencies in bins; `quantile` reads them back."""
+    """Histogram of latencies in which recent ones weigh more."""
 
     __slots__ = ("counts", "total")
 
@@ -29,7 +29,7 @@
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
-        """Count one latency."""
+        """Add a latency in seconds."""
         index = (
             0
             if seconds <= MIN_LATENCY_SECONDS
@@ -42,7 +42,7 @@
             self.total /= 2
 
     def quantile(self, share: float) -> float | None:
-        """Return the latency in seconds that a `share` (0 to 1) of calls stay under, or None."""
+        """Return the latency in seconds at the quantile `share` (0 to 1), or None if empty."""
         if self.total <= 0.0:
             return None
         remaining = share * self.total
--- a/sequoiabridge/policy/retries.py
+++ b/sequoiabridge/policy/retries.py
@@ -1,8 +1,8 @@
-"""When a call may be tried again, when it is hedged, and how much of either the fleet affords.
+"""Retry budget, hedging delay, and the rule for when a call may be retried.
 
-The budget counts retries (hedges too) against successes over a sliding window, with what other
-VMs say of theirs, so that the fleet together keeps the ratio: a pool that fails whole yields no
-successes, and so no retries.
+The budget limits retries and hedges to a share of the successes in a sliding window. Peers exchange
+their counts, so that the limit holds for the whole fleet. A pool that fails entirely yields no
+successes, and so allows hardly any retries.
 """
 
 from __future__ import annotations
@@ -12,41 +12,40 @@
 from .quantiles import LatencyHistogram
 
 PERIOD_SECONDS = 1.0
-"""Seconds that are counted and told together."""
+"""Length of a period for which retries and successes are counted and reported to peers."""
 
 WINDOW_PERIODS = 10
-"""Periods that the budget looks back over, the present one included."""
+"""Number of periods in the sliding window, the current one included."""
 
 MIN_FLEET_RETRIES = 10
-"""Retries that the fleet may make in a window in which hardly any call came."""
+"""Retries that the fleet may make in a window with hardly any successes."""
 
 MIN_PERIOD_RETRIES = 1
-"""Retries that each VM may make in a period whatever the ratio says: a little traffic earns hardly
-anything, and one retry a second and VM is no storm."""
+"""Retries that each VM may make in a period, whatever the ratio."""
 
 PERIOD_SPEND_SHARE = 0.25
-"""Share of the room that the VMs spend in a period.
+"""Share of the remaining budget that the VMs together may spend in a period.
 
-They learn of each other's spending a period late; a quarter is the most that never overshoots.
+Counts of peers are a period late; with a larger share the fleet could exceed its budget.
 """
 
 MAX_HEDGE_QUANTILE, MIN_HEDGE_QUANTILE = 0.99, 0.9
-"""Share of calls that are answered before a hedge is sent, at `tail_weight` 0 and 1."""
+"""Latency quantile used as the hedging delay, at `tail_weight` 0 and 1."""
 
 MIN_HEDGE_SECONDS = 0.005
-"""Seconds before which no hedge is sent."""
+"""Minimum hedging delay."""
 
 DEFAULT_HEDGE_SECONDS = 0.1
-"""Seconds to a hedge while too few latencies are known."""
+"""Hedging delay while too few latencies are known."""
 
 MIN_HEDGE_SAMPLES = 50
-"""Latencies without which the default holds."""
+"""Minimum number of latencies from which the hedging delay is computed."""
 
 MAX_ATTEMPTS = 3
-"""Attempts at a call, the first and hedges included."""
+"""Maximum number of attempts per call, the first one and hedges included."""
 
 MIN_ATTEMPT_SECONDS = 0.005
-"""Seconds that must be left for another attempt."""
+"""Minimum time left for another attempt."""
 
 
 class PeriodCount:
@@ -62,7 +61,7 @@
 
 
 class RetryReport:
-    """What a VM tells the others: its counts of the period that ended last."""
+    """A VM's counts of the last complete period, as reported to its peers."""
 
     __slots__ = ("period", "retries", "successes")
 
@@ -73,13 +72,13 @@
 
 
 class RetryBudget:
-    """Retries of one service as a share of successes, over all VMs that were heard lately.
+    """Limits the retries of one service to a share of the successes of all VMs with recent counts.
 
-    At the start of each period the room left in the fleet's budget is shared out between the
-    VMs; what a VM's own successes earn in the period is its own.
+    At the start of each period the remaining budget of the fleet is divided among the VMs. What a
+    VM's own successes add during the period is its own.
 
     Args:
-        ratio: Retries for each success.
+        ratio: Retries per success.
     """
 
     def __init__(self, ratio: float):
@@ -90,7 +89,7 @@
         self.refused = 0
 
     def take(self, now: float) -> bool:
-        """Take one retry from the budget; return False if there is none left."""
+        """Take one retry from the budget; return False if none is left."""
         count = self._current(now)
         earned = self.grant + self.ratio * count.successes
         first = MIN_FLEET_RETRIES / (1 + len(self.peers))
@@ -102,20 +101,20 @@
         return True
 
     def record_success(self, now: float) -> None:
-        """A call was answered well."""
+        """Record a successful call."""
         self._current(now).successes += 1
 
     def record_peer_counts(
         self, vm: str, period: int, retries: int, successes: int, now: float
     ) -> None:
-        """Another VM's counts of one of its periods; an old or repeated word changes nothing."""
+        """Record a peer's counts of one period; late and repeated reports are ignored."""
         counts = self.peers.setdefault(vm, [])
         if retries < 0 or successes < 0 or (counts and period <= counts[-1].period):
             return
         counts.append(PeriodCount(period, now, retries, successes))
 
     def report(self, now: float) -> RetryReport | None:
-        """Return the counts of the last whole period for the other VMs, or None if all are 0."""
+        """Return the counts of the last complete period for the peers, or None if all are 0."""
         last = self._current(now).period - 1
         for count in self.own:
             if count.period == last and (count.retries or count.successes):
@@ -123,7 +122,7 @@
         return None
 
     def dump(self, now: float) -> dict:
-        """Describe the state for operators."""
+        """Return the state for operators."""
         self._current(now)
         peer_counts = [count for counts in self.peers.values() for count in counts]
         return {
@@ -138,7 +137,9 @@
         }
 
     def _current(self, now: float) -> PeriodCount:
-        """Return the count of the present period; on a new one, share out the room."""
+        """Return the counts of the current period; at the start of one, divide the remaining
+        budget.
+        """
         period = int(now / PERIOD_SECONDS)
         if self.own and self.own[-1].period == period:
             return self.own[-1]
@@ -157,10 +158,10 @@
 
 
 def hedge_delay(latencies: LatencyHistogram, tail_weight: float) -> float:
-    """Return the seconds of silence after which an idempotent call is hedged.
+    """Return the seconds without an answer after which an idempotent call is hedged.
 
-    The delay is the latency that most calls stay under: 99% at `tail_weight` 0, where a hedge's
-    extra work counts most, down to 90% at 1, where the tail does.
+    The delay is a quantile of the latencies: 99% at `tail_weight` 0, where the additional load
+    counts most, down to 90% at 1, where tail latency does.
     """
     if latencies.total < MIN_HEDGE_SAMPLES:
         return DEFAULT_HEDGE_SECONDS
@@ -171,7 +172,7 @@
 
 
 class RetryRule(Protocol):
-    """What is asked of the operator's rule before a call is repeated."""
+    """The part of the operator's rule for a call that retries depend on."""
 
     idempotent: bool
 
@@ -179,14 +180,15 @@
 def may_retry(
     rule: RetryRule, sent: bool, proven_not_run: bool, attempts: int, time_left: float
 ) -> bool:
-    """Return whether a failed call may be tried again, the budget apart.
+    """Return whether a failed call may be retried, apart from the budget.
 
     Args:
         rule: Whether the call is idempotent.
-        sent: A byte of it may have reached an upstream in any attempt so far.
-        proven_not_run: Each upstream that got a byte said by its agreed signal that it did not run.
-        attempts: Attempts so far.
-        time_left: Seconds until the answer is of no use.
+        sent: Whether a byte may have reached an upstream in any attempt so far.
+        proven_not_run: Whether each upstream that got a byte signalled that it did not run the
+            call.
+        attempts: Number of attempts so far.
+        time_left: Seconds until the deadline.
     """
     if attempts >= MAX_ATTEMPTS or time_left < MIN_ATTEMPT_SECONDS:
         return False
--- a/sequoiabridge/policy/suspicions.py
+++ b/sequoiabridge/policy/suspicions.py
@@ -1,6 +1,7 @@
-"""What other VMs' suspicion of an upstream is worth: little alone, and nothing against many.
+"""Suspicions of upstreams that peers report.
 
-A suspicion makes an upstream a worse choice; it never takes it out of the pool.
+A suspicion raises the score of an upstream but never ejects it. It counts only if several VMs share
+it, and not if too many upstreams are suspected.
 """
 
 from __future__ import annotations
@@ -10,20 +11,21 @@
 from .upstream_state import UpstreamState
 
 SUSPICION_SECONDS = 2.0
-"""Seconds for which another VM's suspicion counts."""
+"""Seconds after which a reported suspicion expires."""
 
 MIN_SUSPECTING_VMS = 2
-"""Other VMs that must suspect an upstream before it counts."""
+"""Minimum number of other VMs that must suspect an upstream."""
 
 SUSPECT_OVERDUE_RATIO = 4.0
-"""Age of a call in flight, as a multiple of the pool's latency, that makes a suspect."""
+"""Age of the oldest call in flight, as a multiple of the pool's latency, above which an upstream is
+suspected."""
 
 SUSPECT_LATENCY_RATIO = 2.0
-"""Latency, as a multiple of the pool's, that makes a suspect."""
+"""Latency, as a multiple of the pool's, above which an upstream is suspected."""
 
 
 def is_local_suspect(upstream: UpstreamState, now: float) -> bool:
-    """Return whether this VM's own calls speak against the upstream; only that is told on."""
+    """Return whether this VM's own calls make the upstream a suspect; only this goes to peers."""
     return (
         upstream.on_trial
         or upstream.overdue_ratio(now) > SUSPECT_OVERDUE_RATIO
@@ -32,16 +34,16 @@
 
 
 def record_suspicion(upstream: UpstreamState, sender: str, age: float, now: float) -> None:
-    """Note that another VM suspected the upstream `age` seconds ago."""
+    """Record that a peer suspected the upstream `age` seconds ago."""
     if age < SUSPICION_SECONDS:
         upstream.suspected_by[sender] = now + SUSPICION_SECONDS - age
 
 
 def apply_suspicions(upstreams: Sequence[UpstreamState], max_suspected: int, now: float) -> float:
-    """Set `suspected` of each upstream, of none if more than `max_suspected` would be.
+    """Set `suspected` on each upstream; on none if more than `max_suspected` would be.
 
     Returns:
-        The time at which the first suspicion ends.
+        The time at which the first suspicion expires.
     """
     next_end = float("inf")
     suspected = []
--- a/sequoiabridge/policy/tickets.py
+++ b/sequoiabridge/policy/tickets.py
@@ -1,4 +1,4 @@
-"""Calls that ask to be admitted, and what is decided on them."""
+"""Calls that request admission, and the decisions on them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Ticket:
-    """One call that asks to be admitted; times are seconds on the daemon's clock."""
+    """A call that requests admission; times are seconds on the daemon's monotonic clock."""
 
     __slots__ = ("caller", "deadline", "arrived_at", "weight", "kind", "admitted_at", "waiting")
 
@@ -25,7 +25,7 @@
 
 
 class Verdict(Enum):
-    """What becomes of a call that was offered."""
+    """Result of an admission request."""
 
     ADMITTED = "admitted"
     QUEUED = "queued"
@@ -33,7 +33,7 @@
 
 
 class Decision:
-    """The verdict on one call; `reason` and `retry_after` (seconds) go with a refusal."""
+    """A verdict on a call; `reason` and `retry_after` (seconds) are set for a refusal."""
 
     __slots__ = ("verdict", "reason", "retry_after")
 
--- a/sequoiabridge/policy/upstream_state.py
+++ b/sequoiabridge/policy/upstream_state.py
@@ -1,7 +1,7 @@
-"""What one daemon knows of each upstream of a service, and how old each piece of it is.
+"""State of one upstream as this daemon sees it, with the age of each measurement.
 
-Times are seconds on the daemon's monotonic clock. Every piece of evidence fades: with age it moves
-towards the average of the pool, so that old news neither attracts nor repels work for long.
+Times are seconds on the daemon's monotonic clock. Measurements decay with age towards the average
+of the pool, so that stale ones neither attract nor repel calls for long.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from .base import LoadReport
 
 REPORT_DECAY_LATENCIES = 1.5
-"""Times the pool's latency in which a load report loses 63% of its weight.
+"""Time constant of the decay of a load report, as a multiple of the pool's latency.
 
-A queue lives as long as the calls in it: news of it ages by their length, not by the clock.
+A queue changes as its calls complete, so a report goes stale with their latency.
 """
 
 LATENCY_DECAY_SECONDS = 5.0
-"""Seconds in which the mean latency of an upstream loses 63% of its weight, at least."""
+"""Minimum time constant of the decay of an upstream's mean latency."""
 
 FAILURE_DECAY_SECONDS = 2.0
-"""Seconds in which the share of failures loses 63% of its weight, at least."""
+"""Minimum time constant of the decay of the share of failed calls."""
 
 LATENCY_DECAY_CALLS = 500
-"""Calls of this daemon in which the same happens at least: a quiet daemon must not forget sooner
-than it can learn."""
+"""Minimum time constant of the decay of the mean latency, in calls of this daemon, so that a daemon
+with few calls keeps enough measurements."""
 
 FAILURE_DECAY_CALLS = 500
-"""The same for failures."""
+"""Minimum time constant of the decay of the share of failed calls, in calls of this daemon."""
 
 MAX_IDLE_FAILURE_SHARE = 0.05
-"""Share of failures from which a report of little work is no reason to choose an upstream."""
+"""Share of failed calls above which a load report below the average is ignored."""
 
 LATENCY_WEIGHT = 0.2
-"""Weight of the newest latency in an upstream's mean."""
+"""Weight of the newest latency in an upstream's moving average."""
 
 OUTCOME_WEIGHT = 0.2
-"""Weight of the newest outcome in an upstream's share of failures."""
+"""Weight of the newest outcome in the share of failed calls."""
 
 
 class UpstreamSpec:
-    """One upstream as the fleet's configuration describes it."""
+    """One upstream in the fleet's configuration."""
 
     __slots__ = ("name", "address", "slots", "connections", "data_centre", "drained", "pool")
 
@@ -66,19 +66,19 @@
 
 
 class UpstreamState:
-    """One upstream as this daemon sees it.
+    """State of one upstream as this daemon sees it.
 
     Attributes:
-        draining: Incarnation with which the upstream said that it is leaving, or None.
-        drained: The operator wants no new work on it.
-        gone: It has left the configuration; only calls in flight still refer to it.
-        cold_since: Time from which its share of the work grows (slow start), or None.
-        ejected_until: Time before which it gets no work; 0.0 when it is not ejected.
-        ejections: How often in a row it was ejected; sets the back-off.
-        on_trial: It is back from an ejection and must first answer well, one call at a time.
-        start_times: Starting times of this daemon's calls in flight, oldest first.
-        other_calls: Work of other daemons, from the last report, in calls.
-        trust: 0 to 1, how far its reports agree with what its latency shows.
+        draining: Incarnation that is draining, or None.
+        drained: Whether the operator drains it.
+        gone: Whether it has left the configuration; only calls in flight still refer to it.
+        cold_since: Start of its slow start, or None.
+        ejected_until: End of its latest ejection; 0.0 if it was never ejected.
+        ejections: Number of consecutive ejections, which determines their duration.
+        on_trial: Whether it gets one call at a time after an ejection, until enough succeed.
+        start_times: Start times of this daemon's calls in flight, oldest first.
+        other_calls: Calls of other daemons in flight, from the latest load report.
+        trust: 0 to 1, how far its load reports agree with its latency.
     """
 
     __slots__ = (
@@ -143,7 +143,7 @@
         self.probed_at = float("-inf")
 
     def configure(self, spec: UpstreamSpec) -> None:
-        """Take over what the configuration says; the evidence stays."""
+        """Apply the configuration; the measurements stay."""
         self.name = spec.name
         self.address = spec.address
         self.pool = spec.pool
@@ -154,15 +154,15 @@
 
     @property
     def in_flight(self) -> int:
-        """This daemon's own calls that are with the upstream."""
+        """Number of this daemon's calls in flight to the upstream."""
         return len(self.start_times)
 
     def record_start(self, now: float) -> None:
-        """Count one more call in flight."""
+        """Add a call in flight."""
         insort(self.start_times, now)
 
     def record_end(self, now: float, elapsed: float) -> None:
-        """Count the call that started nearest to `now - elapsed` as ended."""
+        """Remove the call in flight that started nearest to `now - elapsed`."""
         if len(self.start_times) < 2:
             self.start_times.clear()
             return
@@ -175,7 +175,7 @@
         del self.start_times[later]
 
     def load(self, now: float) -> float:
-        """Return the estimated work at the upstream per slot, this daemon's calls included."""
+        """Return the estimated number of calls per slot, this daemon's included."""
         average = self.averages.other_load * self.slots
         weight = self.trust * exp(
             (self.report_at - now) / (REPORT_DECAY_LATENCIES * self.averages.latency)
@@ -190,7 +190,7 @@
         return (others + len(self.start_times)) / self.slots
 
     def latency_ratio(self, now: float) -> float:
-        """Return its mean latency as a multiple of the pool's; fades to 1 with age."""
+        """Return its mean latency as a multiple of the pool's; decays to 1."""
         if not self.samples:
             return 1.0
         decay = max(LATENCY_DECAY_SECONDS, LATENCY_DECAY_CALLS * self.averages.call_interval)
@@ -198,7 +198,7 @@
         return 1.0 + (self.latency / self.averages.latency - 1.0) * weight
 
     def failure_share(self, now: float) -> float:
-        """Return the recent share of its calls that failed; fades to 0 with age."""
+        """Return the recent share of its calls that failed; decays to 0."""
         if not self.last_failure_share:
             return 0.0
         decay = max(FAILURE_DECAY_SECONDS, FAILURE_DECAY_CALLS * self.averages.call_interval)
@@ -211,7 +211,7 @@
         return (now - self.start_times[0]) / self.averages.latency
 
     def record_latency(self, now: float, elapsed: float) -> None:
-        """Take in the latency of one good answer."""
+        """Record the latency of a successful answer."""
         if not self.averages.latency_known:
             self.averages.latency, self.averages.latency_known = elapsed, True
         mean = self.averages.latency * self.latency_ratio(now)
@@ -220,14 +220,14 @@
         self.latency_at = now
 
     def record_outcome(self, now: float, failed: bool) -> None:
-        """Take in whether one call failed."""
+        """Record whether a call failed."""
         share = self.failure_share(now)
         self.last_failure_share = share + OUTCOME_WEIGHT * (failed - share)
         self.last_outcome_at = now
         self.consecutive_failures = self.consecutive_failures + 1 if failed else 0
 
     def record_report(self, now: float, report: LoadReport) -> None:
-        """Take in the upstream's own word on its load, unless a newer one is known."""
+        """Record a load report, unless a newer one is known."""
         at = now - report.age
         if report.in_flight < 0 or at < self.report_at:
             return
@@ -236,7 +236,7 @@
         self.other_calls = max(0.0, float(report.in_flight - len(self.start_times)))
 
     def dump(self, now: float) -> dict:
-        """Describe the evidence for operators."""
+        """Return the state for operators."""
         return {
             "address": self.address,
             "in flight": self.in_flight,
--- a/sequoiabridge/policy/latency_estimate.py
+++ b/sequoiabridge/policy/usual.py
@@ -1,4 +1,4 @@
-"""How long calls of one kind usually take."""
+"""Estimated latency of one kind of call."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from .quantiles import LatencyHistogram
 
 EXPECTED_QUANTILE = 0.75
-"""Share of the calls of a kind that are answered within its usual latency."""
+"""Quantile of the recorded latencies that is used as the estimate."""
 
 REFRESH_ANSWERS = 32
-"""Answers after which the usual latency of a kind is read anew."""
+"""Number of answers between two updates of the estimate."""
 
 ESTIMATE_DECAY_SECONDS = 2.0
-"""Seconds without an end of a call in which the estimates lose 63%.
+"""Time constant of the exponential decay of estimates while no call ends.
 
-Else estimates so bad that they refuse every call would never be corrected.
+Without decay, an estimate so high that all calls are refused would never be corrected.
 """
 
 
 class LatencyEstimate:
-    """How long calls of one kind usually take once admitted; fades without answers."""
+    """Estimated latency of one kind of call once admitted; decays while no call is answered."""
 
     __slots__ = ("histogram", "answers", "value", "updated_at")
 
@@ -31,7 +31,7 @@
         self.updated_at = 0.0
 
     def add(self, now: float, latency: float) -> None:
-        """Take in one latency."""
+        """Record the latency of an answered call."""
         self.histogram.add(latency)
         self.updated_at = now
         self.answers += 1
@@ -39,7 +39,7 @@
             self.value = self.histogram.quantile(EXPECTED_QUANTILE) or 0.0
 
     def read(self, now: float) -> float:
-        """Return the seconds that most calls of the kind take."""
+        """Return the estimated latency in seconds."""
         return (
             self.value * exp((self.updated_at - now) / ESTIMATE_DECAY_SECONDS)
             if self.value
