--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -189,11 +189,11 @@
         for key, value in expected.items()
         if value["info"]["service"] == "s" and value["status"]["state"] == "ready"
     }
-    assert {u.id for u in known.of_service("s")} == usable
+    assert {u.id for u in known.for_service("s")} == usable
     assert known.configured_count == sum(
         value["info"]["service"] == "s" for value in expected.values()
     )
-    for upstream in known.of_service("s"):
+    for upstream in known.for_service("s"):
         assert upstream.address == expected[upstream.id]["address"]
 
 
