--- a/sequoiabridge/balancing/__init__.py
+++ b/sequoiabridge/balancing/__init__.py
@@ -1,5 +1,5 @@
-"""How calls are placed, held, repeated and refused: decisions alone, without input or output.
+"""Load-balancing decisions: where a call goes, and when it is held, retried, hedged or refused.
 
-Time comes from a clock and chance from a generator that are passed in, so the daemon and the
-experiment tool run the very same objects.
+The package does no I/O. The clock and the random generator are passed in, so that the daemon and
+the simulation of the experiment tool run the same code.
 """
--- a/sequoiabridge/balancing/candidates.py
+++ b/sequoiabridge/balancing/candidates.py
@@ -1,4 +1,4 @@
-"""Which upstreams of a service a VM looks at: all of a small one, a stable part of a large one."""
+"""Selects the upstreams of a service that this VM uses: all of them, or a stable subset of many."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from .upstream import Upstream
 
 MAX_LOCAL = 8
-"""Upstreams of its own data centre that a VM keeps connections to, for each service. Five are asked
-before a call; some more leave a choice when several are busy or away."""
+"""Maximum number of candidates per service in the VM's own data centre."""
 
 MAX_REMOTE = 5
-"""Upstreams of other data centres likewise; they are asked only when all near ones are bad."""
+"""Maximum number of candidates per service in other data centres; one more for each local candidate
+missing up to this number."""
 
 
 class CandidateSet:
-    """The upstreams that a VM looks at for one service."""
+    """The candidates of one service: upstreams in this VM's data centre and in others."""
 
     __slots__ = ("local", "remote")
 
@@ -26,25 +26,28 @@
 
 
 class UpstreamSource(ABC):
-    """Knows which upstreams may get work.
+    """Provides the upstreams that accept calls.
 
     Attributes:
-        changes: Grows with each change of that.
+        generation: Increases with each change of the upstreams.
     """
 
     generation = 0
 
     @abstractmethod
     def for_service(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that may get work."""
+        """Return the upstreams of a service that accept calls."""
 
 
 class Candidates:
-    """Picks each VM's part by a hash of VM and upstream (rendezvous hashing).
+    """Selects a subset of each service's upstreams by rendezvous hashing of VM and upstream.
 
-    The part stays the same while upstreams come and go, so that connections are kept, and differs
-    from VM to VM, so that the load spreads. A VM without enough near upstreams looks at more far
-    ones.
+    The subset hardly changes while upstreams come and go, so that connections are kept, and differs
+    between VMs, so that the load spreads. A VM with few local upstreams gets more remote ones.
+
+    Args:
+        vm: Name of this VM.
+        upstreams: Source of the upstreams of each service.
     """
 
     def __init__(self, vm: str, upstreams: UpstreamSource):
@@ -54,7 +57,7 @@
         self.by_service: dict[str, CandidateSet] = {}
 
     def for_service(self, service: str) -> CandidateSet:
-        """Return the upstreams of a service that are looked at."""
+        """Return the candidates of a service."""
         if self.generation != self.upstreams.generation:
             self.generation = self.upstreams.generation
             self.by_service = {}
--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a call: asks some candidates for their load, weighs, takes the best."""
+"""Chooses the upstream of a call: probes some candidates and takes the one of the lowest cost."""
 
 from __future__ import annotations
 
@@ -16,36 +16,32 @@
 from .upstream_stats import PROBE_WAIT
 
 MAX_PROBED = 5
-"""Upstreams that are asked before a call. In trials on the users' sites, asking 3 kept 0.978 of
-the worth of a quiet day, 5 kept 0.990 and 8 no more than 5."""
+"""Maximum number of upstreams probed before a call."""
 
 FRESH_REPORT_AGE = 0.02
-"""Seconds for which an upstream's word on its load is not asked for again; calls that were sent
-meanwhile are counted, and neighbours change only twice a second."""
+"""Age in seconds up to which a load report is used without a new probe."""
 
 MIN_REMOTE_GAIN = 0.12
-"""Worth that a far upstream must be able to save, beyond the cost of its bytes, before far ones are
-asked. Five questions move some 2.5 KB between data centres, which costs the users 0.05, and cost
-0.02 themselves; at 0.05, a quiet day of 14 VMs earned 0.832 and at 0.12 it earned 0.850 (means of
-three runs each)."""
+"""Minimum amount by which the cost of the best local upstream must exceed the transfer cost before
+remote upstreams are probed. Probes between data centres have a cost as well."""
 
 HOLD_SHARE = 0.125
-"""Part of the target latency for which a call is held when all upstreams are crowded; longer
-waiting costs callers more than trying again later."""
+"""Maximum time for which a call is held while no upstream has capacity, as a share of the target
+latency."""
 
 HOLD_POLL_INTERVAL = 0.01
-"""Seconds between two looks meanwhile; a slot becomes free every few milliseconds in a service of
-some dozen upstreams."""
+"""Seconds between two attempts to place a held call."""
 
 LOGGED_ESTIMATES = 3
-"""Weighed upstreams that the log shows of a choice."""
+"""Maximum number of cost estimates logged per choice."""
 
 
 class Chooser:
     """Chooses upstreams for calls.
 
     Args:
-        costs: What a call's work takes and what moving its bytes costs.
+        candidates: Selects the upstreams to choose from.
+        route_stats: Estimates a call's work and the cost of transferring it.
     """
 
     def __init__(
@@ -58,12 +54,12 @@
         self.overload = OverloadTracker()
 
     def choose_or_hold(self, call: Call) -> Steps[CostEstimate | None]:
-        """Return an upstream with a place for a new call, None if there is none at all.
+        """Return an upstream with capacity for a new call, None if the service has no upstream.
 
-        When all are crowded, it looks again for a little while.
+        The call is held for a short time while all upstreams lack capacity.
 
         Raises:
-            Refusal: All stay crowded.
+            Refusal: No upstream had capacity in that time.
         """
         hold_until = call.arrived + call.body_seconds + HOLD_SHARE * call.route.target_latency
         best = yield from self.choose(call)
@@ -79,11 +75,11 @@
         return best
 
     def lacks_capacity(self, call: Call, estimate: CostEstimate) -> bool:
-        """Return whether an upstream that was chosen has no place for the call."""
+        """Return whether a chosen upstream lacks capacity for the call."""
         return lacks_capacity(self._requirements(call), estimate)
 
     def choose(self, call: Call) -> Steps[CostEstimate | None]:
-        """Return the best upstream that the call was not sent to yet, None if there is none."""
+        """Return the best upstream that the call has not been sent to, None if there is none."""
         candidates = self.candidates.for_service(call.service)
         tried_ids = call.tried_ids
         local = [upstream for upstream in candidates.local if upstream.id not in tried_ids]
@@ -97,7 +93,7 @@
         return best
 
     def _probe(self, upstreams: list[Upstream]) -> Steps[None]:
-        """Ask some of them, by chance; those that lately did not answer are not waited for."""
+        """Probe a random sample; do not wait for upstreams that are currently unresponsive."""
         now = self.clock.now()
         for upstream in upstreams:
             if upstream.stats.is_probe_due(now):
--- a/sequoiabridge/balancing/load.py
+++ b/sequoiabridge/balancing/load.py
@@ -1,17 +1,17 @@
-"""What an upstream says of its load."""
+"""The load report of an upstream."""
 
 from __future__ import annotations
 
 
 class UpstreamLoad:
-    """An upstream's word on its load at the time of its answer.
+    """An upstream's report of its own load at the time of its answer.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests in its queue.
-        slots: Requests that it runs at a time.
-        slowdown: How many times longer than usual work takes there now; 1.0 is as usual. Other
-            work on its hardware changes it several times a second.
+        running: Number of requests being processed.
+        waiting: Number of requests in its queue.
+        slots: Maximum number of requests processed concurrently.
+        slowdown: Factor by which processing is currently slower than normal; 1.0 is normal. Other
+            load on its hardware (noisy neighbours) changes it several times a second.
     """
 
     __slots__ = ("running", "waiting", "slots", "slowdown")
--- a/sequoiabridge/balancing/splitting.py
+++ b/sequoiabridge/balancing/splitting.py
@@ -1,4 +1,4 @@
-"""Shares the calls of a route between its services by their weights."""
+"""Splits the calls of a route between its services by weight."""
 
 from __future__ import annotations
 
@@ -8,11 +8,10 @@
 
 
 class Splitter:
-    """Draws the service of each call so that the shares come out even over few calls.
+    """Selects the service of each call by smooth weighted round robin.
 
-    The weights' error is carried from call to call: after any run of calls each service has had
-    its share to within one call (smooth weighted round robin). Each VM begins at a place by chance,
-    so that many VMs with few calls each do not all begin with the same service.
+    After any number of calls, each service has had its share to within one call. The initial
+    credits are random, so that many VMs with few calls each do not all start with the same service.
     """
 
     __slots__ = ("random", "credits")
@@ -22,24 +21,24 @@
         self.credits: dict[str, tuple[tuple, list[float]]] = {}
 
     def service_for(self, route: Route) -> str:
-        """Return the service of the route's next call."""
+        """Return the service of the next call of `route`."""
         targets = route.targets
         if len(targets) == 1:
             return targets[0].service
         credits = self._credits(route)
         total = sum(target.weight for target in targets)
-        for place, target in enumerate(targets):
-            credits[place] += target.weight
+        for index, target in enumerate(targets):
+            credits[index] += target.weight
         chosen = max(range(len(targets)), key=credits.__getitem__)
         credits[chosen] -= total
         return targets[chosen].service
 
     def _credits(self, route: Route) -> list[float]:
-        """Return what each service is owed; anew when the weights have changed."""
-        shape = tuple((target.service, target.weight) for target in route.targets)
+        """Return the current credit of each service; reset when the targets have changed."""
+        weights = tuple((target.service, target.weight) for target in route.targets)
         kept = self.credits.get(route.name)
-        if kept is not None and kept[0] == shape:
+        if kept is not None and kept[0] == weights:
             return kept[1]
         credits = [self.random.uniform(0.0, target.weight) for target in route.targets]
-        self.credits[route.name] = (shape, credits)
+        self.credits[route.name] = (weights, credits)
         return credits
--- a/sequoiabridge/balancing/steps.py
+++ b/sequoiabridge/balancing/steps.py
@@ -1,6 +1,6 @@
-"""What decisions ask of the world: the daemon does it on the network, a model in its own time.
+"""The actions that decisions request; the daemon performs them, a simulation models them.
 
-A decision that needs something is a generator. It yields a step and is sent what came of it.
+A decision is a generator that yields steps and is sent the result of each.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class Probe:
-    """Ask upstreams for their load; go on when all have answered or `patience` seconds are over.
+    """Probe upstreams; continue when all have answered or after `timeout` seconds.
 
-    What comes later is taken in all the same.
+    Later answers are recorded as well.
     """
 
     __slots__ = ("upstreams", "timeout")
@@ -27,7 +27,7 @@
 
 
 class BackgroundProbe:
-    """Ask an upstream that did not answer lately, without waiting for its answer."""
+    """Probe an unresponsive upstream without waiting for the answer."""
 
     __slots__ = ("upstream",)
 
@@ -36,7 +36,7 @@
 
 
 class Sleep:
-    """Go on after `seconds`."""
+    """Continue after `seconds`."""
 
     __slots__ = ("seconds",)
 
@@ -45,7 +45,7 @@
 
 
 class Send:
-    """Send the call to an upstream; the attempt, which has begun, comes of it."""
+    """Send the call to the upstream of `estimate`; the result is the started attempt."""
 
     __slots__ = ("estimate",)
 
@@ -54,7 +54,7 @@
 
 
 class Wait:
-    """Wait until an attempt has ended, which comes of it, or until a time, and then None does."""
+    """Wait until an attempt has ended; the result is that attempt, or None at the time `until`."""
 
     __slots__ = ("until",)
 
@@ -63,7 +63,7 @@
 
 
 class CancelAttempt:
-    """End an attempt that still runs; `Wait` returns it soon."""
+    """Cancel a running attempt; a later `Wait` returns it."""
 
     __slots__ = ("attempt",)
 
@@ -75,4 +75,4 @@
 
 Result = TypeVar("Result")
 Steps = Generator[Step, CallAttempt | None, Result]
-"""A decision that returns a `Result` after some steps."""
+"""A decision: yields steps and returns a `Result`."""
