--- a/sequoiabridge/relay/channel.py
+++ b/sequoiabridge/relay/channel.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons."""
+"""Datagrams between daemons, over UDP."""
 
 from __future__ import annotations
 
@@ -13,15 +13,20 @@
 log = get_log("channel")
 
 MAX_DATAGRAMS_PER_BATCH = 64
-"""Datagrams that are taken in before other tasks run."""
+"""Maximum number of datagrams that are received before other tasks run."""
 
 
 class Channel:
-    """Sends and receives datagrams on one address.
+    """Sends and receives datagrams on one UDP socket.
+
+    Args:
+        on_message: Called with each message received.
 
     Attributes:
-        after_batch: Called after some datagrams have been taken in, or None.
-        sent, received, unreadable: Counts of datagrams.
+        after_batch: Awaited after each batch of datagrams, unless None.
+        sent: Number of datagrams sent.
+        received: Number of datagrams received.
+        unreadable: Number of datagrams received that were invalid.
     """
 
     def __init__(self, on_message: Callable[[Message], None]):
@@ -33,20 +38,25 @@
         self.unreadable = 0
 
     def bind(self, address: str) -> None:
-        """Listen on `address` ("IP:port"); without it, a daemon works alone."""
+        """Bind the socket to `address` ("IP:port"). If that fails, the daemon runs without
+        peers."""
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         try:
             sock.bind((host, int(port)))
         except OSError as error:
-            log.warning("No datagrams on %s: %s. Free the port.", address, error)
+            log.warning(
+                "Cannot bind UDP address %s: %s. Free the port and restart.",
+                address,
+                error,
+            )
             sock.close()
             return
         self.sock = sock
 
     def send(self, message: Message, addresses: Iterable[str]) -> None:
-        """Send a message to each address; what cannot be sent at once is lost."""
+        """Send a message to each address; datagrams that cannot be sent at once are dropped."""
         if self.sock is None:
             return
         data = encode_message(message)
@@ -56,10 +66,10 @@
                 self.sock.sendto(data, (host, int(port)))
                 self.sent += 1
             except OSError as error:
-                log.debug("A datagram to %s was lost: %s.", address, error)
+                log.debug("Dropped a datagram to %s: %s.", address, error)
 
     async def run(self) -> None:
-        """Receive until cancelled."""
+        """Receive datagrams until cancelled."""
         if self.sock is None:
             return
         while True:
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -1,8 +1,8 @@
-"""The daemons of the fleet: each writes where it is into a table, and greets those it finds there.
+"""Keeps the list of the fleet's daemons, which find each other in a table of the store.
 
-A daemon that starts again at the same address finds its row and writes none. A row is never
-removed: VMs keep nothing, and one that is replaced is missed by nobody. Rows of VMs that are gone
-cost a few datagrams.
+Each daemon writes its address into the table and sends a hello to the others. A daemon that starts
+again at the same address finds its row and writes none. Rows are never removed, since VMs keep no
+state; each row of a removed VM costs a few datagrams.
 """
 
 from __future__ import annotations
@@ -25,29 +25,33 @@
 TABLE = "daemons"
 
 FIRST_RETRY_DELAY, MAX_RETRY_DELAY = 0.5, 5.0
-"""Seconds before the store is asked again when it did not answer; doubles up to the longest. Calls
-are served without it."""
+"""Seconds before a failed attempt to join is retried; doubles up to the maximum. Calls are served
+meanwhile."""
 
 DEFAULT_LINK_MBPS = 0.0
-"""Bandwidth in Mbit/s that is assumed of a daemon that does not tell its own: others go first when
-the store is to be followed."""
+"""Bandwidth that is assumed of a daemon that does not report its own; it comes last as a
+watcher."""
 
 MAX_SHARING_PEERS = 8
-"""Other daemons of the own data centre up to which each is told of each call and load. With more,
-the datagrams would cost more processor time than the calls (32 peers: 40,000 a second in a data
-centre of the users' grown sites), and each daemon asks often enough for its few calls."""
+"""Maximum number of peers in this data centre with which each call and load report is shared. With
+more, the datagrams would take more processor time than the calls."""
 
 
 class Members(Part):
-    """The other daemons that are known.
+    """The peers that this daemon knows.
 
     Args:
+        local: This daemon.
         send_hello: Sends a hello to an address.
         first_start: The whole fleet starts for the first time, so that this daemon has no row yet.
 
     Attributes:
-        joined: The others are known.
-        failed: The store did not answer at first, so that they may not be known for long.
+        joined: The table has been read, and the peers are known.
+        join_failed: An attempt to join has failed, so that peers may be unknown for some time.
+        peers: The other daemons, by VM.
+        near_addresses: Addresses of the peers in this data centre.
+        far_addresses: Addresses of the other peers.
+        sharing_addresses: Addresses of the peers that get each call and load report.
     """
 
     name = "members"
@@ -78,11 +82,12 @@
 
     @property
     def count(self) -> int:
-        """Return how many daemons there are, this one included."""
+        """Return the number of daemons, including this one."""
         return len(self.peers) + 1
 
     async def join(self) -> None:
-        """Write where this daemon is, learn where the others are, and send_hello them."""
+        """Write this daemon's row, read the others and send them a hello; retry until it
+        succeeds."""
         delay = FIRST_RETRY_DELAY
         while True:
             try:
@@ -96,12 +101,12 @@
 
     async def _try_join(self) -> None:
         row = self._own_row()
-        found = None if self.first_start else await self.tables.rows(TABLE)
-        # Writing comes before reading: of two daemons that begin together, one must see the other.
-        if found is None or not any(r.key == row.key and r.value == row.value for r in found.rows):
+        rows = None if self.first_start else await self.tables.rows(TABLE)
+        # Write before reading: of two daemons that start together, one must see the other.
+        if rows is None or not any(r.key == row.key and r.value == row.value for r in rows.rows):
             await self.tables.transact([], [row])
-            found = await self.tables.rows(TABLE)
-        for other in found.rows:
+            rows = await self.tables.rows(TABLE)
+        for other in rows.rows:
             self._add_row(other.key, other.value)
         for address in self.all_addresses:
             self.send_hello(self.local, address)
@@ -109,9 +114,9 @@
         self.decisions.event("joined", members=self.count, near=len(self.near_addresses))
 
     def _own_row(self) -> Write:
-        me = self.local
-        where = {"address": me.address, "data_centre": me.data_centre, "link": me.link}
-        return Write(TABLE, "", me.vm, json.dumps(where).encode())
+        local = self.local
+        row = {"address": local.address, "data_centre": local.data_centre, "link": local.link}
+        return Write(TABLE, "", local.vm, json.dumps(row).encode())
 
     def _add_row(self, vm: str, value: bytes | None) -> None:
         try:
@@ -122,7 +127,7 @@
         self.add_peer(hello)
 
     def add_peer(self, hello: Hello) -> None:
-        """A daemon is there, as its row or itself says."""
+        """Add a daemon, or replace it if its address has changed."""
         if hello.vm == self.local.vm:
             return
         known = self.peers.get(hello.vm)
@@ -141,15 +146,15 @@
 
 
 def hello_from_row(vm: str, value: bytes) -> Hello:
-    """Return what a row of the daemons' table says.
+    """Decode a row of the table of daemons.
 
     Raises:
-        BadEntry: It names no daemon that can be told anything.
+        BadEntry: The row describes no daemon that can be reached.
     """
-    where = as_table(parsed(value), "the row")
+    row = as_table(parsed(value), "the row")
     return Hello(
         as_text(vm, "its key"),
-        as_address(where.get("address"), "address"),
-        as_text(where.get("data_centre"), "data_centre"),
-        as_number(where.get("link", DEFAULT_LINK_MBPS), "link", 0.0, MAX_LINK_MBPS),
+        as_address(row.get("address"), "address"),
+        as_text(row.get("data_centre"), "data_centre"),
+        as_number(row.get("link", DEFAULT_LINK_MBPS), "link", 0.0, MAX_LINK_MBPS),
     )
--- a/sequoiabridge/relay/messages.py
+++ b/sequoiabridge/relay/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other: small datagrams, each of which may be lost without harm."""
+"""Messages between daemons, each a small datagram that may be lost."""
 
 from __future__ import annotations
 
@@ -11,29 +11,31 @@
 
 HELLO, SENT, LOAD, FAILED = "hello", "sent", "load", "failed"
 CRASHED, SURVIVED, HEARTBEAT = "crashed", "survived", "beacon"
-"""First element of a datagram, a JSON list."""
+"""Message types: the first element of a datagram, which is a JSON list."""
 
 MAX_DATAGRAM_BYTES = 1200
-"""Bytes of a datagram at most, so that it travels in one packet."""
+"""Maximum size of a datagram in bytes, below the usual MTU."""
 
 MAX_LINK_MBPS = 1e9
-"""Mbit/s that a daemon may claim for its link."""
+"""Maximum bandwidth in Mbit/s that is accepted from a peer."""
 
 MAX_REQUESTS = 1_000_000
 MAX_SLOWDOWN = 1e6
-"""Requests and slowdown that an upstream may be said to have; the users' have some dozens, and
-20."""
+"""Maximum number of requests, and maximum slowdown, that are accepted in a load report."""
 
 MAX_VERSION = 2**53
-"""Largest version that JSON's numbers carry exactly."""
+"""Maximum version that a JSON number represents exactly."""
 
 ENCODER = json.JSONEncoder(separators=(",", ":"))
 
 
 class Hello:
-    """A daemon is there: its name, the address of its port for datagrams, its data centre.
+    """A daemon has started.
 
     Attributes:
+        vm: Name of its VM.
+        address: "IP:port" at which it receives datagrams.
+        data_centre: Data centre of its VM.
         link: Bandwidth of its VM's link in Mbit/s.
     """
 
@@ -51,7 +53,11 @@
 
 
 class CallSent:
-    """A daemon has sent a call to an upstream just now."""
+    """A daemon has just sent a call to an upstream.
+
+    Attributes:
+        upstream: Name of the upstream's lifetime.
+    """
 
     __slots__ = ("upstream",)
 
@@ -64,7 +70,11 @@
 
 
 class LoadReport:
-    """An upstream has versions_table its load just now."""
+    """An upstream has just reported its load.
+
+    Attributes:
+        upstream: Name of the upstream's lifetime.
+    """
 
     __slots__ = ("upstream", "load")
 
@@ -79,7 +89,11 @@
 
 
 class CallFailed:
-    """An upstream has failed a call just now."""
+    """A call to an upstream has just failed.
+
+    Attributes:
+        upstream: Name of the upstream's lifetime.
+    """
 
     __slots__ = ("upstream",)
 
@@ -92,7 +106,12 @@
 
 
 class RequestCrashed:
-    """An upstream died while it had a request with this fingerprint."""
+    """An upstream died while it ran a request.
+
+    Attributes:
+        fingerprint: Hash of the request.
+        upstream: Name of the upstream's lifetime.
+    """
 
     __slots__ = ("fingerprint", "upstream")
 
@@ -106,7 +125,11 @@
 
 
 class RequestSurvived:
-    """A request with this fingerprint, suspected of crashing upstreams, was answered."""
+    """A request that was suspected of crashing upstreams was answered.
+
+    Attributes:
+        fingerprint: Hash of the request.
+    """
 
     __slots__ = ("fingerprint",)
 
@@ -119,10 +142,11 @@
 
 
 class Heartbeat:
-    """A daemon follows the store: what it knows, by feed, and where that can be read.
+    """A daemon is live and polls the store.
 
     Attributes:
-        versions: Empty while the store does not answer that daemon.
+        address: "IP:port" at which its feeds can be read.
+        versions: Version of each feed that it has, by feed; empty while it cannot reach the store.
         link: Bandwidth of its VM's link in Mbit/s.
     """
 
@@ -151,7 +175,7 @@
 
 
 def decode_message(data: bytes) -> Message | None:
-    """Return the message of a datagram, None if it is none that this release knows."""
+    """Return the message of a datagram, None if it is invalid or of an unknown type."""
     try:
         fields = as_list(parsed(data), "the datagram")
         decoder = DECODERS.get(fields[0]) if fields and isinstance(fields[0], str) else None
@@ -160,8 +184,8 @@
         return None
 
 
-def _text(fields: list, place: int) -> str:
-    return as_text(fields[place], "a name")
+def _text(fields: list, index: int) -> str:
+    return as_text(fields[index], "a name")
 
 
 def _link(value: object) -> float:
@@ -179,7 +203,7 @@
 
 def _decode_load_report(fields: list) -> LoadReport:
     running, waiting, slots = (
-        as_whole(fields[place], "the load", 0, MAX_REQUESTS) for place in (1, 2, 3)
+        as_whole(fields[index], "the load", 0, MAX_REQUESTS) for index in (1, 2, 3)
     )
     slowdown = as_number(fields[4], "the slowdown", 0.0, MAX_SLOWDOWN)
     return LoadReport(_text(fields, 0), UpstreamLoad(running, waiting, slots, slowdown))
@@ -215,4 +239,4 @@
     SURVIVED: _decode_request_survived,
     HEARTBEAT: _decode_heartbeat,
 }
-"""Reads a datagram's elements after the first, by the first."""
+"""Decodes a datagram's elements after the first, by message type."""
--- a/sequoiabridge/relay/peer_feeds.py
+++ b/sequoiabridge/relay/peer_feeds.py
@@ -1,4 +1,4 @@
-"""Reads what another daemon knows of the store, and gives out what this one knows."""
+"""Reads feeds from peers and serves this daemon's feeds to them."""
 
 from __future__ import annotations
 
@@ -18,27 +18,26 @@
 from .messages import MAX_VERSION
 
 FEEDS_PATH = b"/feeds/"
-"""Path of the operators' port under which each feed's rows are read, by the feed's name."""
+"""Path prefix on the operators' port under which peers read each feed by its name."""
 
 READ_TIMEOUT = 1.0
-"""Seconds for a reading. It mostly takes some milliseconds; 16 daemons that read a configuration of
-1,680 routes (16 KB compressed) from one VM on a link of 5 Mbit/s take 0.4 s together."""
+"""Seconds that reading a feed from a peer may take."""
 
 COMPRESSION_LEVEL = 3
-"""Level of zlib: 294 KB of routes become 15 KB in 4 ms, 19 KB at level 1, 14 KB at level 6."""
+"""Level of zlib compression."""
 
 MAX_CACHED_RESPONSES = 8
-"""Encoded answers that are kept: all daemons of a data centre ask for the same one or two of each
-feed when something changes."""
+"""Maximum number of encoded responses that are kept. Peers ask for the same few after each
+change."""
 
 OK = 200
 
 
 class PeerReader:
-    """Reads feeds from other daemons.
+    """Reads feeds from peers.
 
     Attributes:
-        own_address: Where other daemons read from this one.
+        own_address: "IP:port" at which peers read this daemon's feeds.
     """
 
     def __init__(self, own_address: str, clock: Clock):
@@ -46,12 +45,13 @@
         self.connector = HttpConnector(clock, ConnectorLimits(idle_timeout=5.0))
 
     async def read(self, address: str, feed: str, after: int | None) -> Rows:
-        """Return what the daemon at `address` knows of a feed.
+        """Return a peer's rows of a feed.
 
-        That is `Changes` after a version, or all `Rows` if it cannot tell or none is given.
+        These are `Changes` after a version, or all `Rows` if none is given or the peer's history is
+        too short.
 
         Raises:
-            StoreUnavailable: There was no good answer.
+            StoreUnavailable: The peer gave no valid answer.
         """
         target = FEEDS_PATH + feed.encode()
         if after is not None:
@@ -60,17 +60,22 @@
             async with curio.timeout_after(READ_TIMEOUT):
                 found = await fetch(self.connector, address, b"GET", target, READ_TIMEOUT)
         except (UpstreamFailed, curio.TaskTimeout) as error:
-            raise StoreUnavailable(f"{address} gave no answer: {error!r}.") from error
+            raise StoreUnavailable(f"Peer {address} did not answer: {error!r}.") from error
         if found.status != OK:
-            raise StoreUnavailable(f"{address} does not know the {feed} ({found.status}).")
+            raise StoreUnavailable(
+                f"Peer {address} does not serve the feed {feed} (status {found.status})."
+            )
         return decode_rows(found.body)
 
 
 class FeedResponses:
-    """What other daemons are given of the feeds; each answer is encoded once.
+    """Encoded responses to peers that read this daemon's feeds.
 
     Args:
-        followers: The feeds that are followed, by name.
+        followers: Followers of the feeds, by the feed's name.
+
+    Attributes:
+        cache: The latest encoded responses, by feed, requested version and present version.
     """
 
     def __init__(self, followers: dict[str, Follower]):
@@ -78,7 +83,7 @@
         self.cache: OrderedDict[tuple[str, int | None, int], bytes] = OrderedDict()
 
     def answer(self, name: str, after: int | None) -> bytes | None:
-        """Return what is known of a feed after a version, or all of it; None if nothing is."""
+        """Return a feed's changes after a version, or all rows; None before the first read."""
         follower = self.followers.get(name)
         if follower is None or follower.version is None:
             return None
@@ -92,7 +97,7 @@
 
 
 def encode_rows(rows: Rows) -> bytes:
-    """Return rows as compressed JSON for another daemon."""
+    """Return rows as compressed JSON."""
     listed = [
         [row.table, row.part, row.key, row.value and row.value.decode("latin-1"), row.version]
         for row in rows.rows
@@ -103,17 +108,17 @@
 
 
 def decode_rows(data: bytes) -> Rows:
-    """Return the rows that another daemon gave.
+    """Return the rows of a peer's response.
 
     Raises:
-        StoreUnavailable: They cannot be read.
+        StoreUnavailable: The response is invalid.
     """
     try:
         found = as_table(parsed(zlib.decompress(data)), "the answer")
         rows = [_decode_row(as_list(row, "a row")) for row in as_list(found.get("rows"), "rows")]
         version = as_whole(found.get("version"), "version", 0, MAX_VERSION)
     except (BadEntry, zlib.error) as error:
-        raise StoreUnavailable(f"A daemon gave rows that cannot be read: {error}.") from error
+        raise StoreUnavailable(f"Invalid rows from a peer: {error}.") from error
     kind = Rows if found.get("whole") is True else Changes
     return kind(rows, version)
 
@@ -123,9 +128,9 @@
         raise BadEntry(f"a row has {len(fields)} fields")
     table, part, key, value, version = fields
     if not all(isinstance(name, str) for name in (table, part, key)):
-        raise BadEntry("a row has no key")
+        raise BadEntry("a row's table, part or key is no string")
     if value is not None and not (isinstance(value, str) and is_latin1(value)):
-        raise BadEntry("a row's value is none")
+        raise BadEntry("a row's value is not Latin-1 text")
     data = None if value is None else value.encode("latin-1")
     return StoredRow(table, part, key, data, as_whole(version, "version", 0, MAX_VERSION))
 
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -128,7 +128,7 @@
     def _record_answer(self, upstream: Upstream, answer: Answer) -> None:
         metadata = self.dialect.health_metadata(answer)
         if metadata.upstream and metadata.upstream != upstream.id:
-            self.upstreams.was_replaced(upstream)
+            self.upstreams.record_replacement(upstream)
             return
         stats = upstream.stats
         if stats.unanswered_probes:
@@ -139,7 +139,7 @@
             self.decisions.event("upstream-health", upstream=upstream.id, healthy=metadata.healthy)
         stats.record_probe_answer(metadata.healthy)
         if not metadata.healthy:
-            self.upstreams.reported_unhealthy(upstream)
+            self.upstreams.record_unhealthy(upstream)
         if metadata.load is not None:
             self.sharing.record_load_report(upstream, metadata.load)
 
--- a/sequoiabridge/relay/sharing.py
+++ b/sequoiabridge/relay/sharing.py
@@ -1,9 +1,8 @@
-"""What this daemon learns of upstreams and tells the others, and what they tell it.
+"""Shares what daemons observe of upstreams.
 
-The daemons of one data centre send to the same upstreams. Each tells the others of each call that
-it sends and of each load that it hears, so that all of them know the upstreams as well as if every
-call had gone through one. Datagrams inside a data centre cost nothing; failures, which are rare, go
-to all.
+The daemons of a data centre send calls to the same upstreams. Each reports its calls and the load
+reports that it receives to the others, so that each estimates the load of an upstream from the
+calls of all. Failures are reported to the daemons of all data centres.
 """
 
 from __future__ import annotations
@@ -31,7 +30,14 @@
 
 
 class Sharing(UpstreamObserver):
-    """Enters evidence here and tells it to others."""
+    """Records observations of upstreams, shares them with peers and records those of peers.
+
+    Attributes:
+        on_crash: Called with a peer's `RequestCrashed`.
+        on_survival: Called with a peer's `RequestSurvived`.
+        on_heartbeat: Called with a peer's `Heartbeat`.
+        on_hello: Called with a peer's `Hello`.
+    """
 
     def __init__(self, upstreams: UpstreamList, clock: Clock):
         self.upstreams = upstreams
@@ -44,37 +50,37 @@
         self.on_survival: Callable[[RequestSurvived], object] = lambda message: None
 
     def record_send(self, upstream: Upstream) -> None:
-        """This VM sends a call."""
+        """Record that this daemon sends a call."""
         upstream.stats.record_send()
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(CallSent(upstream.lifetime), self.members.sharing_addresses)
 
     def record_load_report(self, upstream: Upstream, load: UpstreamLoad) -> None:
-        """An upstream told this VM its load."""
+        """Record an upstream's load report to this daemon."""
         upstream.stats.record_load_report(load, self.clock.now())
         if self.members is not None and self._is_shared(upstream):
             self.channel.send(LoadReport(upstream.lifetime, load), self.members.sharing_addresses)
 
     def record_failure(self, upstream: Upstream) -> None:
-        """An upstream failed a call of this VM."""
+        """Record that a call of this daemon failed."""
         upstream.stats.record_failure(self.clock.now())
         self.broadcast(CallFailed(upstream.lifetime))
 
     def record_replacement(self, upstream: Upstream) -> None:
-        """Another upstream answered at its address."""
-        self.upstreams.was_replaced(upstream)
+        """Record that another upstream answered at the upstream's address."""
+        self.upstreams.record_replacement(upstream)
 
     def broadcast(self, message: Message) -> None:
-        """Tell all daemons."""
+        """Send a message to all peers."""
         if self.members is not None:
             self.channel.send(message, self.members.all_addresses)
 
     def send_hello(self, hello: Hello, address: str) -> None:
-        """Tell another daemon that this one is there."""
+        """Send this daemon's hello to one address."""
         self.channel.send(hello, [address])
 
     def _is_shared(self, upstream: Upstream) -> bool:
-        """Return whether the others of this data centre send to the upstream as well."""
+        """Return whether the peers of this data centre send calls to the upstream as well."""
         return upstream.is_local
 
     def _handle(self, message: Message) -> None:
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -142,14 +142,14 @@
         if over:
             self._rebuild_index()
 
-    def reported_unhealthy(self, upstream: Upstream) -> None:
+    def record_unhealthy(self, upstream: Upstream) -> None:
         """An upstream called itself unwell: without an entry, that means that it is leaving."""
         if upstream.forget_at is None or upstream.has_restarted:
             return
         self._remove(upstream, "its entry lapsed, and it says that it is leaving")
         self._rebuild_index()
 
-    def was_replaced(self, upstream: Upstream) -> None:
+    def record_replacement(self, upstream: Upstream) -> None:
         """Another upstream answered at its address: it is gone, whatever the list says."""
         if upstream.replaced:
             return
--- a/sequoiabridge/tests/relay/test_members.py
+++ b/sequoiabridge/tests/relay/test_members.py
@@ -1,4 +1,4 @@
-"""How daemons find each other: what each start asks of the store."""
+"""How daemons find each other, and which calls to the store each start makes."""
 
 import curio
 
@@ -8,8 +8,8 @@
 from .fakes import decision_log
 
 
-class Table:
-    """One table in memory that notes the calls."""
+class FakeTables:
+    """One table in memory that records the calls."""
 
     def __init__(self):
         self.values = {}
@@ -27,50 +27,50 @@
 
 
 def address_of(vm):
-    """Return an address that is a VM's own; names are not looked up, so it must be one."""
+    """Return an address of a VM's own."""
     return f"10.0.0.{ord(vm[0])}:1"
 
 
-def start(table, vm, first_start=False, address=""):
-    """Let a daemon join; return the members that it knows and whom it greeted."""
+def start(tables, vm, first_start=False, address=""):
+    """Let a daemon join; return its members and the addresses that it sent a hello to."""
     log, _ = decision_log()
-    greeted = []
+    hello_addresses = []
     members = Members(
         Hello(vm, address or address_of(vm), "here", 1.0),
-        table,
+        tables,
         log,
         None,
-        lambda hello, to: greeted.append(to),
+        lambda hello, to: hello_addresses.append(to),
         first_start,
     )
     curio.run(members.join)
-    return members, greeted
+    return members, hello_addresses
 
 
-def test_at_the_first_start_each_writes_and_then_reads_so_that_one_of_two_sees_the_other():
-    table = Table()
-    start(table, "a", first_start=True)
-    members, greeted = start(table, "b", first_start=True)
-    assert table.calls == ["write", "read"] * 2
-    assert list(members.peers) == ["a"] and greeted == [address_of("a")]
+def test_at_the_first_start_each_daemon_writes_before_it_reads():
+    tables = FakeTables()
+    start(tables, "a", first_start=True)
+    members, hello_addresses = start(tables, "b", first_start=True)
+    assert tables.calls == ["write", "read"] * 2
+    assert list(members.peers) == ["a"] and hello_addresses == [address_of("a")]
 
 
-def test_a_daemon_that_starts_again_where_it_was_writes_nothing():
-    table = Table()
+def test_a_daemon_that_starts_again_at_its_address_writes_nothing():
+    tables = FakeTables()
     for vm in ("a", "b"):
-        start(table, vm, first_start=True)
-    table.calls.clear()
-    members, greeted = start(table, "a")
-    assert table.calls == ["read"]
-    assert members.joined and greeted == [address_of("b")]
+        start(tables, vm, first_start=True)
+    tables.calls.clear()
+    members, hello_addresses = start(tables, "a")
+    assert tables.calls == ["read"]
+    assert members.joined and hello_addresses == [address_of("b")]
 
 
-def test_a_daemon_that_is_new_or_has_moved_writes_where_it_is():
-    table = Table()
-    start(table, "a", first_start=True)
+def test_a_daemon_that_is_new_or_has_moved_writes_its_row():
+    tables = FakeTables()
+    start(tables, "a", first_start=True)
     for vm, address in (("a", "10.9.9.9:1"), ("new", "")):
-        table.calls.clear()
-        start(table, vm, address=address)
-        assert table.calls == ["read", "write", "read"]
-    members, _ = start(table, "new")
+        tables.calls.clear()
+        start(tables, vm, address=address)
+        assert tables.calls == ["read", "write", "read"]
+    members, _ = start(tables, "new")
     assert members.peers["a"].address == "10.9.9.9:1"
--- a/sequoiabridge/tests/relay/test_messages.py
+++ b/sequoiabridge/tests/relay/test_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams between daemons: read back, and nothing unreadable does harm."""
+"""Datagrams between daemons: valid ones are decoded, invalid ones ignored."""
 
 import pytest
 
@@ -23,13 +23,13 @@
         CallFailed("u1"),
     ],
 )
-def test_a_message_is_read_back(message):
+def test_a_message_can_be_decoded_again(message):
     data = encode_message(message)
     assert len(data) < MAX_DATAGRAM_BYTES
-    again = decode_message(data)
-    assert type(again) is type(message) and again.fields() == message.fields()
+    decoded = decode_message(data)
+    assert type(decoded) is type(message) and decoded.fields() == message.fields()
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", b"[]", b"{}", b'["load","u"]', b'["new",1]', b"1"])
-def test_what_is_no_message_is_none(data):
+def test_invalid_datagrams_are_ignored(data):
     assert decode_message(data) is None
--- a/sequoiabridge/tests/relay/test_peer_feeds.py
+++ b/sequoiabridge/tests/relay/test_peer_feeds.py
@@ -1,4 +1,4 @@
-"""What a daemon gives out of a feed: changes where it can tell, all rows where it cannot."""
+"""Rows that a daemon serves to its peers: changes where its history reaches back, else all."""
 
 import json
 
@@ -9,7 +9,7 @@
 from .fakes import decision_log
 
 
-class Plain(Feed):
+class KeyFeed(Feed):
     """A feed whose entries are the keys."""
 
     async def read_all(self):
@@ -27,7 +27,7 @@
 
 
 def known():
-    feed = Plain()
+    feed = KeyFeed()
     feed.replace_rows(Rows([row("a", 1), row("b", 2)], 2))
     feed.update_rows(Changes([row("c", 5), row("a", 6, None)], 6))
     return feed
@@ -42,32 +42,32 @@
     assert keys(known().changes_since(6)) == []
 
 
-def test_what_was_before_the_first_reading_is_not_known():
-    assert known().changes_since(1) is None and Plain().changes_since(0) is None
+def test_changes_before_the_first_read_are_unknown():
+    assert known().changes_since(1) is None and KeyFeed().changes_since(0) is None
 
 
-def test_rows_that_a_second_reading_misses_count_as_removed():
+def test_rows_that_are_missing_in_a_second_read_count_as_removed():
     feed = known()
     feed.replace_rows(Rows([row("c", 5)], 9))
     assert keys(feed.changes_since(6)) == [("b", True)]
 
 
-def test_forgotten_removals_make_older_versions_unknown():
+def test_dropped_removals_make_older_versions_unknown():
     feed = known()
     for number in range(MAX_REMOVALS + 5):
         feed.update_rows(Changes([row(f"x{number}", 10 + number, None)], 10 + number))
     assert feed.changes_since(6) is None and feed.changes_since(10 + MAX_REMOVALS) is not None
 
 
-def test_both_kinds_are_read_back_by_another_daemon():
-    for made in (Rows([row("a", 1)], 3), Changes([row("a", 4, None), row("b", 4)], 4)):
-        again = decode_rows(encode_rows(made))
-        assert type(again) is type(made) and again.version == made.version
-        assert keys(again.rows) == keys(made.rows)
+def test_rows_and_changes_can_be_decoded_again():
+    for rows in (Rows([row("a", 1)], 3), Changes([row("a", 4, None), row("b", 4)], 4)):
+        decoded = decode_rows(encode_rows(rows))
+        assert type(decoded) is type(rows) and decoded.version == rows.version
+        assert keys(decoded.rows) == keys(rows.rows)
 
 
 def large_configuration(routes):
-    """Return a configuration's row, of the kind and size that operators write."""
+    """Return a configuration's row with `routes` routes, as operators write it."""
     routes = [
         {
             "route": f"route-{number * 7919 % 10007:x}",
@@ -84,7 +84,7 @@
     return row("config", 18, json.dumps(routes).encode())
 
 
-def test_a_configuration_of_many_routes_reaches_a_data_centre_over_a_narrow_link_in_time():
+def test_a_large_configuration_reaches_a_data_centre_over_a_slow_link_in_time():
     readers, link_mbps, in_force = 16, 5.0, 2.5
     data = encode_rows(Changes([large_configuration(1680)], 18))
     assert readers * len(data) * 8 / (link_mbps * 1_000_000) < in_force / 2
@@ -96,16 +96,16 @@
     return Follower(feed, ManualClock(), None, log, nothing, nothing, nothing, nothing)
 
 
-def test_an_answer_is_encoded_once_for_all_that_ask_and_anew_for_a_new_version():
-    follower = follower_of(Plain())
-    responses = FeedResponses({"f": follower})
-    assert responses.answer("f", None) is None and responses.answer("other", None) is None
+def test_a_response_is_encoded_once_for_each_version():
+    follower = follower_of(KeyFeed())
+    answers = FeedResponses({"f": follower})
+    assert answers.answer("f", None) is None and answers.answer("other", None) is None
     follower.apply_snapshot(Rows([row("a", 1)], 3))
-    first = responses.answer("f", None)
-    assert responses.answer("f", None) is first
+    first = answers.answer("f", None)
+    assert answers.answer("f", None) is first
     follower.apply_changes(Changes([row("b", 5)], 5))
-    assert keys(decode_rows(responses.answer("f", 3)).rows) == [("b", False)]
-    assert len(decode_rows(responses.answer("f", None)).rows) == 2
+    assert keys(decode_rows(answers.answer("f", 3)).rows) == [("b", False)]
+    assert len(decode_rows(answers.answer("f", None)).rows) == 2
     for after in range(3 * MAX_CACHED_RESPONSES):
-        responses.answer("f", after)
-    assert len(responses.cache) == MAX_CACHED_RESPONSES
+        answers.answer("f", after)
+    assert len(answers.cache) == MAX_CACHED_RESPONSES
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of calls: in small data centres all, in large ones nothing."""
+"""What daemons share of calls and failures, in small and in large data centres."""
 
 from ...balancing.load import UpstreamLoad
 from ...relay.members import MAX_SHARING_PEERS, Members
@@ -10,38 +10,39 @@
 
 
 def fleet(peers):
-    """Return the sharing of one daemon with so many peers here and one elsewhere, and its wire."""
+    """Return a daemon's sharing with `peers` peers here and one elsewhere, its list of upstreams
+    and the datagrams that it sends."""
     log, _ = decision_log()
     known = UpstreamList("here", ManualClock(5.0), log, lambda u: None)
     known.update([record("u"), record("far", zone="there")], [], 1)
-    sharing, sent = Sharing(known, ManualClock(5.0)), []
-    sharing.channel.send = lambda message, to: sent.extend((a, message) for a in to)
+    sharing, datagrams = Sharing(known, ManualClock(5.0)), []
+    sharing.channel.send = lambda message, to: datagrams.extend((a, message) for a in to)
     members = Members(Hello("me", "me:1", "here", 1.0), None, log, None, lambda *a: None, True)
     for number in range(peers):
         members.add_peer(Hello(f"p{number}", f"p{number}:1", "here", 1.0))
     members.add_peer(Hello("other", "other:1", "there", 1.0))
     sharing.members = members
-    return sharing, known, sent
+    return sharing, known, datagrams
 
 
-def test_calls_and_loads_of_near_upstreams_are_told_to_the_peers_here():
-    sharing, known, sent = fleet(3)
+def test_calls_and_load_reports_of_near_upstreams_are_shared_in_the_data_centre():
+    sharing, known, datagrams = fleet(3)
     sharing.record_send(known.by_id["u"])
     sharing.record_load_report(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
-    assert {address for address, _ in sent} == {"p0:1", "p1:1", "p2:1"} and len(sent) == 6
+    assert {address for address, _ in datagrams} == {"p0:1", "p1:1", "p2:1"} and len(datagrams) == 6
     sharing.record_send(known.by_id["far"])
-    assert len(sent) == 6
+    assert len(datagrams) == 6
 
 
-def test_in_a_large_data_centre_nobody_is_told_of_calls_but_all_of_failures():
-    sharing, known, sent = fleet(MAX_SHARING_PEERS + 1)
+def test_large_data_centres_share_failures_but_no_calls():
+    sharing, known, datagrams = fleet(MAX_SHARING_PEERS + 1)
     sharing.record_send(known.by_id["u"])
-    assert sent == []
+    assert datagrams == []
     sharing.record_failure(known.by_id["u"])
-    assert len(sent) == MAX_SHARING_PEERS + 2
+    assert len(datagrams) == MAX_SHARING_PEERS + 2
 
 
-def test_what_others_say_counts_like_what_was_seen_here():
+def test_reports_of_peers_count_like_own_observations():
     sharing, known, _ = fleet(1)
     stats = known.by_id["u"].stats
     sharing._handle(LoadReport("u", UpstreamLoad(1, 0, 2, 7.0)))
@@ -53,8 +54,8 @@
     sharing._handle(CallSent("unknown"))
 
 
-def test_what_others_say_of_an_earlier_lifetime_does_not_count():
-    sharing, known, sent = fleet(1)
+def test_reports_on_an_earlier_lifetime_are_ignored():
+    sharing, known, datagrams = fleet(1)
     known.update([record("u", born=1000)], [], 2)
     known.update([record("u", born=2000)], [], 3)
     stats = known.by_id["u"].stats
@@ -65,4 +66,4 @@
     sharing._handle(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
     assert stats.load.slowdown == 7.0
     sharing.record_send(known.by_id["u"])
-    assert sent[-1][1].upstream == "u@2000"
+    assert datagrams[-1][1].upstream == "u@2000"
--- a/sequoiabridge/tests/relay/test_upstreams.py
+++ b/sequoiabridge/tests/relay/test_upstreams.py
@@ -57,9 +57,9 @@
     known, _, left = listed("a", "b")
     known.store_recovered()
     known.replace([record("b")], 5)
-    known.reported_unhealthy(known.by_id["a"])
+    known.record_unhealthy(known.by_id["a"])
     assert names(known) == ["b"] and left == ["a"]
-    known.reported_unhealthy(known.by_id["b"])
+    known.record_unhealthy(known.by_id["b"])
     assert names(known) == ["b"], "one that is listed may be unwell by mistake"
 
 
@@ -73,7 +73,7 @@
 
 def test_an_upstream_whose_address_went_to_another_gets_no_work():
     known, _, left = listed("a", "b")
-    known.was_replaced(known.by_id["a"])
+    known.record_replacement(known.by_id["a"])
     known.update([record("a")], [], 2)
     assert names(known) == ["b"] and left == ["a"]
 
@@ -97,7 +97,7 @@
     first.stats.record_failure(clock.now())
     first.stats.record_probe_failure(clock.now())
     first.stats.add_open_call(OpenCall(clock.now(), 0.1))
-    known.was_replaced(first)
+    known.record_replacement(first)
     assert names(known) == ["b"]
     before, after = restarted(known)
     assert before is first and before.has_restarted and not before.accepts_calls
@@ -139,7 +139,7 @@
     known.store_recovered()
     known.replace([record("b", born=1000)], 2)
     before, _ = restarted(known, 3)
-    known.reported_unhealthy(before)
+    known.record_unhealthy(before)
     assert names(known) == ["a", "b"]
 
 
