--- a/sequoiabridge/balancing/routes.py
+++ b/sequoiabridge/balancing/routes.py
@@ -63,7 +63,7 @@
         self.targets = targets
 
 
-class ServiceTerms:
+class ServiceSettings:
     """What is said of a service's upstreams.
 
     Attributes:
@@ -107,7 +107,7 @@
         self,
         version: int,
         hosts: dict[bytes, Iterable[Route]],
-        services: dict[str, ServiceTerms],
+        services: dict[str, ServiceSettings],
         limits: CallLimits,
     ):
         self.version = version
--- a/sequoiabridge/platform/configuration.py
+++ b/sequoiabridge/platform/configuration.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from ..balancing.routes import CallLimits, Route, RouteTable, ServiceTerms, Target
+from ..balancing.routes import CallLimits, Route, RouteTable, ServiceSettings, Target
 
 IDEMPOTENT = "idempotent"
 """The only kind of route whose calls may run more than once; uploads may not."""
@@ -56,8 +56,8 @@
     return tuple(Target(part["service"], float(part["weight"])) for part in split)
 
 
-def _service(service: Mapping) -> ServiceTerms:
-    return ServiceTerms(
+def _service(service: Mapping) -> ServiceSettings:
+    return ServiceSettings(
         name=service["name"],
         health_path=(service.get("health_check_path") or DEFAULT_HEALTH_PATH).encode(),
         max_connections=int(service.get("max_connections") or DEFAULT_CONNECTIONS),
