--- a/sequoiabridge/balancing/call.py
+++ b/sequoiabridge/balancing/call.py
@@ -1,4 +1,4 @@
-"""One call as the decisions see it: its terms, its times, and what was tried."""
+"""A call and its attempts, as the load-balancing decisions use them."""
 
 from __future__ import annotations
 
@@ -11,44 +11,48 @@
 from .upstream import Upstream
 
 MIN_FAILURE_STATUS = 500
-"""Status from which an answer is a failure."""
+"""Lowest HTTP status that counts as a failure."""
 
 
 class Ending(Enum):
     """How an attempt at an upstream ended."""
 
     ANSWERED = "answered"
-    """A whole answer of the upstream's own came."""
+    """The upstream answered completely."""
     NOT_SENT = "not-sent"
-    """Nothing reached the upstream: no connection could be opened."""
+    """No connection could be opened; nothing reached the upstream."""
     NOT_RUN = "not-run"
-    """The upstream said that it did not run the call."""
+    """The upstream stated that it did not run the call."""
     BROKEN = "broken"
-    """The call was sent, and no usable answer came; it may have run."""
+    """The call was sent but no usable answer was received; it may have run."""
     CANCELLED = "cancelled"
-    """The daemon gave the attempt up; it may have run."""
+    """The daemon cancelled the attempt; the call may have run."""
     RESTARTED = "restarted"
-    """The upstream has started again meanwhile and knows nothing of it; it may have run."""
+    """The upstream restarted during the attempt; the call may have run."""
 
 
 PROVEN_NOT_RUN = frozenset({Ending.NOT_SENT, Ending.NOT_RUN})
+"""Endings after which the call certainly did not run."""
+"""Endings after which the call certainly did not run."""
 
 
 class CallAttempt:
-    """One attempt at a call, as the decisions see it; times in seconds on the daemon's clock.
+    """One attempt to send a call to an upstream. Times are in seconds on the daemon's clock.
 
     Attributes:
-        weighed: The upstream as it was weighed when it was chosen.
-        sent: A byte of the call may have reached the upstream.
-        ending: How it ended, None while it runs.
-        why: What went wrong, for the log.
-        error: What the caller did wrong while its body was being passed on, or None.
-        status: Status of the upstream's answer, 0 if there is none that can be used.
-        size: Bytes of that answer, 0 if that is not known.
-        is_long: That answer has begun to come and cannot be replaced by a better one.
-        load: The upstream's word on its load at the end, or None.
-        other_upstream: Another upstream answered at the address.
-        check_at: When to look whether the answer is still worth waiting for.
+        estimate: The cost estimate by which the upstream was chosen.
+        started: Time at which the attempt started.
+        ended_at: Time at which it ended.
+        sent: Whether a byte of the call may have reached the upstream.
+        ending: How the attempt ended, None while it is running.
+        why: Reason of a failure, for the log.
+        error: Fault of the caller while its body was being forwarded, or None.
+        status: HTTP status of the upstream's answer, 0 without a usable answer.
+        size: Size of the answer in bytes, 0 if unknown.
+        is_streamed: Whether the answer is being streamed and can no longer be replaced.
+        load: Load report in the answer, or None.
+        wrong_upstream: Whether another upstream answered at the address.
+        next_check_at: Time of the next check whether to hedge the attempt.
     """
 
     __slots__ = (
@@ -84,43 +88,44 @@
 
     @property
     def upstream(self) -> Upstream:
-        """Return the upstream that it goes to."""
+        """Return the upstream of the attempt."""
         return self.estimate.upstream
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether the upstream may have run the call, or may be running it."""
+        """Return whether the upstream may have run the call or be running it."""
         return self.sent and self.ending not in PROVEN_NOT_RUN
 
     @property
     def is_success(self) -> bool:
-        """Return whether the upstream's answer is no failure."""
+        """Return whether the upstream's answer is a success."""
         return 0 < self.status < MIN_FAILURE_STATUS
 
     @property
     def is_final(self) -> bool:
-        """Return whether its answer is the call's, whatever other upstreams might say."""
+        """Return whether the answer is final and other attempts are no longer needed."""
         return self.is_success or (self.status > 0 and self.is_streamed)
 
 
 class Call:
-    """One call; times are on the daemon's clock, in seconds.
+    """A call of a caller. Times are in seconds on the daemon's clock.
 
     Attributes:
-        arrived: When its head came.
-        deadline: When the caller must have a final answer.
-        waited: Seconds that its caller has probably waited before, in an earlier attempt.
-        target_at: When an answer begins to be late.
-        route: The terms that it falls under.
-        service: Where it goes, once that is known.
-        length: Bytes of its body.
-        replayable: It can be sent again: its body, if any, is in memory.
-        body_seconds: How long its body took to come.
-        tries: All attempts at upstreams, in order.
-        open: Those of which the end has not been taken in.
-        fallback: An attempt with the upstream's own failure, the answer if no other does better.
-        considered: What was weighed in the latest choice, the best first.
-        note: What else decided it, for the log.
+        arrived: Time at which the request head was received.
+        deadline: Time by which the caller must have a final answer.
+        prior_wait: Seconds that the caller has probably waited in earlier requests.
+        late_at: Time from which an answer is late.
+        route: The route of the call, None until it is known.
+        service: Name of the service, empty until it is known.
+        length: Size of the body in bytes.
+        replayable: Whether the call can be sent again; its body, if any, is in memory.
+        body_seconds: Time in seconds that receiving the body took.
+        attempts: All attempts, in order.
+        open_attempts: Attempts whose end has not been processed.
+        fallback: Attempt that the upstream answered with a failure. Its answer is used if no other
+            attempt succeeds.
+        considered: Cost estimates of the latest choice, the lowest cost first.
+        note: Reason why the call was not sent again, for the log.
     """
 
     __slots__ = (
@@ -157,7 +162,7 @@
         self.note = ""
 
     def apply_route(self, route: Route, caller_timeout: float | None) -> None:
-        """Take in the route's terms, and the seconds that the caller waits if it told them."""
+        """Set the route, and the deadlines from it and the timeout that the caller stated."""
         self.route = route
         timeout = route.timeout
         if caller_timeout is not None:
@@ -166,27 +171,27 @@
         self.late_at = self.arrived + min(route.target_latency, timeout)
 
     def add_prior_wait(self, seconds: float) -> None:
-        """Take in that the caller has waited before: its answer is late sooner."""
+        """Record that the caller has waited before, so that the answer is late earlier."""
         self.prior_wait = seconds
         self.late_at -= seconds
 
     @property
     def possible_runs(self) -> int:
-        """Return how many upstreams may have run it, or may be running it."""
+        """Return the number of upstreams that may have run the call or be running it."""
         return sum(one.may_have_run for one in self.attempts)
 
     @property
     def possible_or_pending_runs(self) -> int:
-        """Return how many upstreams may have run it or may yet, those still being connected to
-        included."""
+        """Return the number of upstreams that may have run the call or may still run it, including
+        those still being connected to."""
         return sum(one.may_have_run or one.ending is None for one in self.attempts)
 
     @property
     def was_sent(self) -> bool:
-        """Return whether it has reached an upstream at all, so that another send is a repeat."""
+        """Return whether any attempt may have reached its upstream."""
         return any(one.sent for one in self.attempts)
 
     @property
     def tried_ids(self) -> set[str]:
-        """Return the ids of the upstreams that it was sent to."""
+        """Return the ids of the upstreams that the call was sent to."""
         return {one.upstream.id for one in self.attempts}
--- a/sequoiabridge/balancing/dispatch.py
+++ b/sequoiabridge/balancing/dispatch.py
@@ -1,7 +1,6 @@
-"""Takes a call to upstreams until there is a final answer: place, send, wait, repeat.
+"""Runs a call until there is a final answer: choose an upstream, send, wait, retry or hedge.
 
-`Dispatch.way` reads top to bottom. A call that may run only once is sent again only when it is
-proven that no upstream ran it.
+A call that is not idempotent is sent again only if it is proven that no upstream ran it.
 """
 
 from __future__ import annotations
@@ -19,26 +18,30 @@
 from .steps import CancelAttempt, Send, Steps, Wait
 
 MAX_SENDS = 4
-"""Upstreams that a call is offered to at most, those that refused it included: when four have no
-room, the service has none, and a later try of the caller does better."""
+"""Maximum number of attempts per call, including those that upstreams refused."""
 
 RESTART_POLL_INTERVAL = 0.5
-"""Seconds between two looks whether the upstream that has a call has started again. The connection
-to one that did so behind a cut stays open and silent until the call's deadline."""
+"""Seconds between checks whether the upstream of an open attempt has restarted. Without the check,
+a half-open connection after a network partition would hold the call until its deadline."""
 
 MIN_ATTEMPT_TIME = 0.02
-"""Seconds that must be left for another attempt; a round trip and a probe take a few."""
+"""Minimum time in seconds before the deadline at which a retry is started."""
 
 
 class Dispatch:
-    """The way of each call, as steps.
+    """Runs calls as sequences of steps.
 
     Args:
-        new_budget: Makes the budget of repeated sends of a service.
+        chooser: Chooses the upstream of each attempt.
+        hedging: Decides on hedges.
+        recorder: Records ended attempts.
+        clock: The daemon's clock.
+        new_budget: Creates the retry budget of a service.
 
     Attributes:
-        budgets: The budgets by service.
-        hedges, retries: Attempts after the first of a call: while one ran, after one had failed.
+        budgets: The retry budgets by service.
+        hedges: Number of attempts started while another attempt of the call was running.
+        retries: Number of attempts started after another attempt had failed.
     """
 
     def __init__(
@@ -59,10 +62,10 @@
         self.retries = 0
 
     def run(self, call: Call) -> Steps[CallAttempt]:
-        """Return the attempt whose answer is the call's.
+        """Run the call; return the attempt that has its final answer.
 
         Raises:
-            Refusal: There is none.
+            Refusal: No attempt has one.
         """
         self._retry_budget(call).record_call(self.clock.now())
         yield from self._send_first(call)
@@ -103,15 +106,15 @@
         self.hedging.schedule_first_check(call, attempt)
 
     def _retry(self, call: Call) -> Steps[bool]:
-        """Send the call to another upstream if that is allowed; return whether it was sent."""
+        """Retry the call on another upstream if that is allowed; return whether it was sent."""
         if not self._may_retry(call):
             return False
         estimate = yield from self.chooser.choose(call)
         if estimate is None or self.chooser.lacks_capacity(call, estimate):
-            call.note = "no other upstream has a place"
+            call.note = "no other upstream has capacity"
             return False
         if call.was_sent and not self._retry_budget(call).take(self.clock.now()):
-            call.note = "the budget of repeats is spent"
+            call.note = "the retry budget is exhausted"
             return False
         self.retries += 1
         yield from self._start(call, estimate)
@@ -124,17 +127,17 @@
         elif possible_runs >= call.route.max_attempts or len(call.attempts) >= MAX_SENDS:
             call.note = "no attempt left"
         elif not call.replayable and call.was_sent:
-            call.note = "its body has been passed on"
+            call.note = "its body has been forwarded"
         elif call.deadline - self.clock.now() < MIN_ATTEMPT_TIME:
             call.note = "no time left"
         elif call.was_sent and not self._retry_budget(call).has_token(self.clock.now()):
-            call.note = "the budget of repeats is spent"
+            call.note = "the retry budget is exhausted"
         else:
             return True
         return False
 
     def _check_attempts(self, call: Call) -> Steps[None]:
-        """See how open attempts do; let another upstream try too if they do badly."""
+        """Cancel attempts at restarted upstreams; hedge those whose check is due."""
         for attempt in list(call.open_attempts):
             if attempt.upstream.has_restarted:
                 yield CancelAttempt(attempt)
@@ -145,13 +148,13 @@
         budget = self._retry_budget(call)
         if not budget.has_token(self.clock.now()):
             self.hedging.postpone_check(call, attempt)
-            call.note = "the budget of repeats is spent"
+            call.note = "the retry budget is exhausted"
             return
         estimate = yield from self.hedging.find_hedge(call, attempt)
         if estimate is None or attempt.ending is not None:
             return
         if not budget.take(self.clock.now()):
-            call.note = "the budget of repeats is spent"
+            call.note = "the retry budget is exhausted"
             return
         self.hedges += 1
         yield from self._start(call, estimate)
--- a/sequoiabridge/balancing/hedging.py
+++ b/sequoiabridge/balancing/hedging.py
@@ -1,7 +1,7 @@
-"""When a call that waits for its answer is sent to a second upstream as well.
+"""Decides when a call that is waiting for its answer is sent to a second upstream as well.
 
-Only calls that may run more than once are. What decides is how the upstream that has the call does
-now, which it is asked: a call that was sent to a fast upstream may have met a neighbour since.
+Only idempotent calls are hedged. The decision depends on the current load report of the first
+upstream, which may have been slowed down by a noisy neighbour since the call was sent.
 """
 
 from __future__ import annotations
@@ -15,27 +15,26 @@
 from .upstream_stats import PROBE_WAIT
 
 FIRST_CHECK_FACTOR = 1.3
-"""Times its expected duration after which a call is looked at first: work times spread by a third
-around their mean, so most calls have ended by then."""
+"""Time of the first check after the start of an attempt, as a multiple of its expected duration."""
 
 MIN_FIRST_CHECK_SHARE = 0.2
-"""Part of the target latency that passes before the first look at least."""
+"""Minimum time before the first check, as a share of the target latency."""
 
 CHECK_INTERVAL_SHARE = 0.15
-"""Part of the target latency between two looks."""
+"""Interval between checks, as a share of the target latency."""
 
 STUCK_FACTOR = 2.0
-"""Times its duration at the upstream's present speed after which a call is thought to be stuck."""
+"""Multiple of its duration at the upstream's current speed after which a call counts as stuck."""
 
 MIN_REMAINING_SHARE = 0.25
-"""Part of that duration that is thought to be left at least while the call is not stuck."""
+"""Minimum remaining time of a call that is not stuck, as a share of that duration."""
 
 MAX_HEDGE_RATIO = 0.8
-"""A second upstream must be expected to answer within this part of what the first still needs."""
+"""Maximum expected duration of a hedge, as a share of the first attempt's remaining time."""
 
 
 class Hedging:
-    """Decides on second attempts."""
+    """Decides on hedges."""
 
     def __init__(self, chooser: Chooser, route_stats: RouteStats, clock: Clock):
         self.chooser = chooser
@@ -43,7 +42,7 @@
         self.clock = clock
 
     def schedule_first_check(self, call: Call, attempt: CallAttempt) -> None:
-        """Set when a new attempt is looked at first."""
+        """Set the time of the first check of a new attempt."""
         target = call.route.target_latency
         wait = max(
             FIRST_CHECK_FACTOR * attempt.estimate.expected_duration, MIN_FIRST_CHECK_SHARE * target
@@ -51,17 +50,17 @@
         attempt.next_check_at = attempt.started + min(wait, target)
 
     def next_check(self, call: Call) -> float:
-        """Return when to look at the running attempts; the deadline if no second one is allowed."""
+        """Return the time of the next check; the deadline if the call may not be hedged."""
         if not self._may_hedge(call):
             return call.deadline
         return min((attempt.next_check_at for attempt in call.open_attempts), default=call.deadline)
 
     def postpone_check(self, call: Call, attempt: CallAttempt) -> None:
-        """Set when an attempt is looked at again."""
+        """Set the time of the next check of an attempt."""
         attempt.next_check_at = self.clock.now() + CHECK_INTERVAL_SHARE * call.route.target_latency
 
     def find_hedge(self, call: Call, attempt: CallAttempt) -> Steps[CostEstimate | None]:
-        """Return an upstream that should try the call too, None if the first does well enough."""
+        """Return the upstream to hedge an attempt with, None if a hedge is not worthwhile."""
         self.postpone_check(call, attempt)
         if not self._may_hedge(call):
             return None
@@ -87,7 +86,7 @@
         return may_run_again and call.possible_or_pending_runs < call.route.max_attempts
 
     def _remaining_time(self, call: Call, attempt: CallAttempt) -> float:
-        """Return the seconds that an attempt is expected to need still; infinite if it is stuck."""
+        """Return the expected remaining seconds of an attempt; infinite if it is stuck."""
         stats, now = attempt.upstream.stats, self.clock.now()
         if stats.is_unresponsive(now):
             return float("inf")
--- a/sequoiabridge/balancing/refusals.py
+++ b/sequoiabridge/balancing/refusals.py
@@ -1,4 +1,4 @@
-"""The final answers that the daemon makes itself, each true about whether the call ran."""
+"""Builds the daemon's own error answers. Each states whether the call may have run."""
 
 from __future__ import annotations
 
@@ -7,27 +7,23 @@
 from .call import Call
 
 SHORT_RETRY_AFTER = 0.02
-"""Seconds after which a caller may try again that only met upstreams which refuse by fault, while
-others have places: each further 0.1 s makes it late more often. Where 55 calls in 100 were refused
-for 8 s, 0.759 of the worth came in instead of 0.736 (means of three runs each)."""
+"""Retry-After in seconds if upstreams refused the call although the service is not overloaded."""
 
 MIN_OVERLOAD_RATIO = 0.05
-"""Share of new calls without a place from which a refusal by upstreams may mean that they are
-busy."""
+"""Overload ratio above which a refusal by upstreams is attributed to overload."""
 
 RETRY_AFTER = 0.15
-"""Seconds after which a caller may try again: a place becomes free within the time of one piece of
-work, and callers wait at most a third of the time they have left."""
+"""Retry-After in seconds if the service has no capacity or no upstream."""
 
 
 def no_upstream(call: Call) -> Refusal:
-    """Return the refusal of a call whose service has no upstream that takes work."""
+    """Return the refusal of a call whose service has no upstream that accepts calls."""
     message = "No upstream of the service takes work now. Come back later."
     return Refusal(503, Outcome.NOT_RUN, Reason.NO_UPSTREAM, message, RETRY_AFTER)
 
 
 def timed_out(call: Call) -> Refusal:
-    """Return the refusal of a call whose time is up."""
+    """Return the refusal of a call whose deadline has passed."""
     if call.possible_runs:
         message = "No upstream answered in time. Whether the request ran is not known."
         return Refusal(504, Outcome.UNKNOWN, Reason.TIMEOUT, message)
@@ -39,7 +35,11 @@
     """Return the refusal of a call that cannot be sent again.
 
     Args:
-        crowding: Share of new calls of the service that lately found no place.
+        call: The call.
+        why: Reason why the last attempt failed.
+        call: The call.
+        why: Reason why the last attempt failed.
+        overload_ratio: Share of recent new calls of the service that found no capacity.
     """
     if call.possible_runs:
         message = f"The upstream gave no usable answer ({why}). The request may have run."
@@ -50,13 +50,13 @@
 
 
 def overloaded(call: Call) -> Refusal:
-    """Return the refusal of a call for which all upstreams are too busy."""
+    """Return the refusal of a call for which no upstream has capacity."""
     message = "All upstreams of the service are too busy now. Come back later."
     return Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, message, RETRY_AFTER)
 
 
 def internal_error(call: Call) -> Refusal:
-    """Return the refusal that stands for a fault of the daemon's own."""
+    """Return the refusal of a call that failed because of an internal error of the daemon."""
     message = "The daemon failed at this request. Tell its operator the request's id."
     if call.possible_runs:
         return Refusal(500, Outcome.UNKNOWN, Reason.INTERNAL, message)
--- a/sequoiabridge/balancing/routes.py
+++ b/sequoiabridge/balancing/routes.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as calls need it: which call goes where, under which terms."""
+"""The routing table: matches calls to routes, and holds the settings of routes and services."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Target:
-    """One service that a route's calls go to, and its share of them."""
+    """A service that receives calls of a route, with its weight."""
 
     __slots__ = ("service", "weight")
 
@@ -17,18 +17,18 @@
 
 
 class Route:
-    """What is said of the calls of one host whose paths begin alike.
+    """The settings of the calls to one host whose paths have a common prefix.
 
     Attributes:
-        name: The operator's name of it.
-        prefix: How the paths begin; ends with a slash.
-        idempotent: A call may run more than once.
-        timeout: Seconds after which the caller is to have a final answer.
-        target_latency: Seconds within which an answer is worth most.
-        max_attempts: Upstreams that may run one call, at most.
-        priority: Rank under overload; 0 is the highest. Shown only: a service refuses by what its
-            calls can still gain, whichever route they came by.
-        targets: The services that share the calls, at least one.
+        name: Name given by the operator.
+        prefix: Path prefix; ends with a slash.
+        idempotent: Whether a call may run more than once.
+        timeout: Seconds within which the caller gets a final answer.
+        target_latency: Seconds after which an answer is late.
+        max_attempts: Maximum number of upstreams that may run one call.
+        priority: Priority under overload; 0 is the highest. It is displayed only and does not
+            affect which calls are refused.
+        targets: The services that share the calls; at least one.
     """
 
     __slots__ = (
@@ -64,11 +64,12 @@
 
 
 class ServiceSettings:
-    """What is said of a service's upstreams.
+    """The settings of a service.
 
     Attributes:
-        health_path: Path of their health check.
-        max_connections: Connections that one of them takes from all VMs together.
+        name: Name of the service.
+        health_path: Path of the health check of its upstreams.
+        max_connections: Maximum number of connections to one upstream from all VMs together.
     """
 
     __slots__ = ("name", "health_path", "max_connections")
@@ -80,7 +81,7 @@
 
 
 class CallLimits:
-    """What callers may send: sizes in bytes, times in seconds."""
+    """Limits on requests of callers; sizes in bytes, times in seconds."""
 
     __slots__ = ("max_head", "max_body", "head_timeout", "idle_timeout")
 
@@ -92,13 +93,13 @@
 
 
 class RouteTable:
-    """One version of the configuration; never changed once made.
+    """One version of the routing configuration; immutable.
 
     Args:
-        version: Grows with each version, not always by one.
-        hosts: The routes of each host name (lower case).
-        services: What is said of each service, by name.
-        limits: What callers may send.
+        version: Version number; increases, not always by one.
+        hosts: Routes by host name in lower case.
+        services: Settings of the services by name.
+        limits: Limits on requests of callers.
     """
 
     __slots__ = ("version", "hosts", "services", "limits")
@@ -133,12 +134,12 @@
 
 
 def bare_host(host: bytes) -> bytes:
-    """Return a Host header's name in lower case, without its port."""
+    """Return the host name of a Host header in lower case, without the port."""
     return host.strip().lower().partition(b":")[0]
 
 
 def path_of(target: bytes) -> bytes:
-    """Return the path of a request target, which may be a whole URL (RFC 9112, 3.2.2)."""
+    """Return the path of a request target, which may be an absolute URL (RFC 9112, 3.2.2)."""
     if not target.startswith(b"/"):
         return urlsplit(target).path
     return target.partition(b"?")[0]
--- a/sequoiabridge/balancing/upstream.py
+++ b/sequoiabridge/balancing/upstream.py
@@ -1,4 +1,4 @@
-"""One upstream: what the platform says of it, and what this VM has seen of it."""
+"""An upstream: its entry in the platform's list and the statistics of this VM."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 
 
 class UpstreamRecord:
-    """An entry of the platform's list of upstreams, decoded.
+    """A decoded entry of the platform's list of upstreams.
 
     Attributes:
-        id: Names the upstream; it may start again under the same id.
-        address: "IP:port". Another upstream may get it later.
-        draining: It takes no new work.
-        cold_for: Seconds for which it is still slow after its start.
+        id: Id of the upstream; kept across restarts.
+        service: Name of its service.
+        address: "IP:port"; may be assigned to another upstream later.
+        data_centre: Name of its data centre.
+        slots: Maximum number of requests that it processes concurrently.
+        draining: Whether it accepts no new calls.
+        cold_seconds: Seconds for which it remains slow after its start.
         version: Version of its software.
-        born: Unix millisecond of its start, which tells its lifetimes apart; None if unsaid.
+        born: Start time in Unix milliseconds, which distinguishes its lifetimes; None if unknown.
     """
 
     __slots__ = (
@@ -53,16 +56,18 @@
 
 
 class Upstream:
-    """One lifetime of an upstream that this VM knows of.
+    """One lifetime of an upstream, from a start to the next restart.
+
+    Times are in seconds on the daemon's clock.
 
     Attributes:
-        record: The platform's last word.
-        evidence: What this VM has seen of it.
-        near: It is in this VM's data centre.
-        warm_at: When it stops being slow after its start, in seconds on the daemon's clock.
-        replaced: Its address has gone to another upstream.
-        leaves_at: When it is to be forgotten, since its entry has lapsed; None while listed.
-        is_over: It has started again: nothing that was sent to this lifetime will be answered.
+        record: The latest entry of the platform's list.
+        stats: The statistics of this VM.
+        is_local: Whether the upstream is in this VM's data centre.
+        warm_at: Time at which it stops being slow after its start.
+        replaced: Whether its address has been assigned to another upstream.
+        forget_at: Time at which it is removed because its entry has lapsed; None while listed.
+        has_restarted: Whether it has restarted; calls sent to this lifetime will not be answered.
     """
 
     __slots__ = ("record", "stats", "is_local", "warm_at", "replaced", "forget_at", "has_restarted")
@@ -76,31 +81,31 @@
 
     @property
     def id(self) -> str:
-        """Return its id."""
+        """Return the upstream's id."""
         return self.record.id
 
     @property
     def address(self) -> str:
-        """Return its address."""
+        """Return the upstream's address."""
         return self.record.address
 
     @property
     def lifetime(self) -> str:
-        """Return a name that no other lifetime of any upstream has."""
+        """Return the unique name of this lifetime."""
         return lifetime_name(self.record.id, self.record.born)
 
     @property
     def accepts_calls(self) -> bool:
-        """Return whether it may get new calls."""
+        """Return whether the upstream accepts new calls."""
         return not (self.record.draining or self.replaced or self.has_restarted)
 
     def update_record(self, record: UpstreamRecord, now: float) -> None:
-        """Take in the platform's latest entry."""
+        """Apply the latest entry of the platform's list."""
         self.record = record
         self.warm_at = now + record.cold_seconds
         self.forget_at: float | None = None
 
 
 def lifetime_name(id: str, born: int | None) -> str:
-    """Return the name of the lifetime of an upstream that began at `born`."""
+    """Return the name of the lifetime of an upstream that started at `born`."""
     return id if born is None else f"{id}@{born}"
