--- a/sequoiabridge/tests/policy/__init__.py
+++ b/sequoiabridge/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions: choice, limits, retries, crashes, probes and shares."""
+"""Tests of choice, admission, retries, crash detection, probing and connection shares."""
--- a/sequoiabridge/tests/policy/test_admission.py
+++ b/sequoiabridge/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: order by deadline, early refusal, fairness, weight, recovery, the adaptive limit."""
+"""Admission: deadline order, early refusal, caller shares, weights and the adaptive limit."""
 
 from ...outcome import Reason
 from ...policy.admission import AdmissionQueue, Ticket, Verdict
@@ -23,7 +23,7 @@
     assert queue.release(early, 0.4, 0.2, True) == [late]
 
 
-def test_a_window_that_cannot_be_met_is_refused_at_once_and_while_waiting():
+def test_a_deadline_that_cannot_be_met_is_refused_on_arrival_and_in_the_queue():
     queue = make(1)
     running, now = Ticket("a", 1e9, 0.0), 0.0
     for _ in range(40):
@@ -40,7 +40,7 @@
     assert queue.release(running, now + 0.3, 0.3, True) == []
 
 
-def test_estimates_too_bad_to_admit_anything_fade():
+def test_a_latency_estimate_that_refuses_every_call_decays():
     queue = make(1)
     (slow,), _ = fill(queue, 1, deadline=1e9)
     queue.release(slow, 60.0, 60.0, True)
@@ -48,7 +48,7 @@
     assert queue.offer(Ticket("a", 91.0, 90.0), 90.0).verdict is Verdict.ADMITTED
 
 
-def test_one_caller_leaves_room_for_others_but_may_use_what_nobody_wants():
+def test_a_caller_is_limited_to_its_share_only_while_others_wait():
     queue = make(4, 10, 0.5)
     greedy, _ = fill(queue, 4, "greedy")
     _, more = fill(queue, 10, "greedy")
@@ -64,7 +64,7 @@
     assert [t.caller for t in admitted].count("modest") == 2 and len(admitted) == 4
 
 
-def test_a_full_queue_refuses_but_more_weight_displaces_less():
+def test_a_full_queue_refuses_a_call_unless_it_outweighs_a_waiting_one():
     queue = make(1, 2, 1.0)
     fill(queue, 3)
     light = [entry[2] for entry in queue.heap]
@@ -74,7 +74,7 @@
     assert displaced in light and queue.waiting == 2
 
 
-def test_a_caller_that_leaves_frees_its_place():
+def test_an_abandoned_call_admits_the_next_one():
     queue = make(1)
     (running,), _ = fill(queue, 1)
     (waiting, second), _ = fill(queue, 2, "b")
@@ -83,7 +83,7 @@
     assert queue.abandon(running, 0.3) == [] and queue.running == 1
 
 
-def test_a_slow_kind_does_not_refuse_a_quick_one():
+def test_latency_is_estimated_for_each_kind_of_call():
     queue, now = make(4), 0.0
     for _ in range(40):
         for kind, latency in (("upload", 5.0), ("read", 0.01)):
@@ -94,7 +94,7 @@
     assert queue.offer(Ticket("a", 0.5, now, kind="read"), now).verdict is Verdict.ADMITTED
 
 
-def test_the_limit_falls_when_crowded_and_grows_only_in_use():
+def test_the_limit_falls_under_congestion_and_grows_only_in_use():
     limit = ConcurrencyLimit(20, 2, 100)
     for _ in range(400):
         limit.record_end(0.0, 0.01, 0.15, True, 3)
@@ -111,7 +111,7 @@
     assert limit.allowed == 2
 
 
-def test_work_that_fills_its_window_by_itself_does_not_shrink_the_limit():
+def test_calls_that_are_always_slow_do_not_lower_the_limit():
     limit = ConcurrencyLimit(20, 2, 100)
     for i in range(4000):
         limit.record_end(i / 100, 0.1, 0.15, True, limit.allowed)
--- a/sequoiabridge/tests/policy/test_crashes.py
+++ b/sequoiabridge/tests/policy/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash upstreams: blocked after two, innocents left alone, both errors counted."""
+"""Crash detection: harmful requests are blocked, harmless ones are not, and trials unblock."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 UPSTREAMS = 12
 
 
-def test_alone_with_two_dead_upstreams_blocks_and_release_holds_against_old_words():
+def test_two_crashes_block_a_request_and_a_release_outlasts_older_reports():
     ledger = CrashLedger()
     assert ledger.record_crash("bad", "u1", "vm1", 100.0, 1.0)
     assert not ledger.record_crash("bad", "u1", "vm2", 100.3, 1.1)
@@ -19,7 +19,7 @@
     assert not ledger.is_blocked("bad", 12.1)
 
 
-def test_a_crash_is_forgotten_after_a_time_and_an_answer_clears():
+def test_a_crash_expires_and_an_answer_clears_the_request():
     ledger = CrashLedger()
     for i, name in enumerate(("u1", "u2")):
         ledger.record_crash("bad", name, "vm1", 100.0 + 5 * i, 5.0 * i)
@@ -32,7 +32,7 @@
     assert ledger.list_suspects(13.0 + CRASH_RETENTION_SECONDS) == []
 
 
-def test_a_pool_that_loses_its_power_blocks_no_request():
+def test_simultaneous_crashes_of_the_whole_pool_block_no_request():
     ledger, random = CrashLedger(), Random(1)
     for wave in range(2):
         for upstream in range(UPSTREAMS):
@@ -42,23 +42,25 @@
     assert not ledger.blocked_fingerprints
 
 
-def crash_with(ledger, random, poison, now):
-    """One upstream dies with `poison` (or of something else) and 0 to 3 other requests."""
+def record_random_crash(ledger, random, harmful, now):
+    """Crash one upstream with `harmful` (if not None) and 0 to 3 other requests in flight."""
     upstream = f"u{random.randrange(UPSTREAMS)}"
     others = [f"r{random.randrange(40)}" for _ in range(random.randrange(4))]
-    for fingerprint in others + ([poison] if poison else []):
+    for fingerprint in others + ([harmful] if harmful else []):
         ledger.record_crash(fingerprint, upstream, f"vm{random.randrange(18)}", now, now)
 
 
-def measure(seed):
-    """Return (poison blocked after 2, after 4 crashes, innocents blocked, innocents seen)."""
+def simulate(seed):
+    """Return whether the harmful request is blocked after 2 and 4 crashes, then harmless requests
+    blocked and suspected.
+    """
     ledger, random = CrashLedger(), Random(seed)
     after = []
     now = 1000.0
     for _ in range(4):
-        crash_with(ledger, random, "poison", now)
+        record_random_crash(ledger, random, "poison", now)
         if random.random() < 0.3:
-            crash_with(ledger, random, None, now + 4.0)
+            record_random_crash(ledger, random, None, now + 4.0)
         after.append("poison" in ledger.blocked_fingerprints)
         now += 9.0
     return (
@@ -69,14 +71,16 @@
     )
 
 
-def test_both_errors_stay_small():
-    runs = [measure(seed) for seed in range(300)]
+def test_few_harmful_requests_are_missed_and_few_harmless_ones_blocked():
+    runs = [simulate(seed) for seed in range(300)]
     missed = sum(not four for _, four, _, _ in runs) / len(runs)
-    wrongly = sum(r[2] for r in runs) / sum(r[3] for r in runs)
+    blocked_harmless = sum(r[2] for r in runs) / sum(r[3] for r in runs)
     at_two = sum(two for two, _, _, _ in runs) / len(runs)
-    print(f"blocked at 2: {at_two:.3f}, missed at 4: {missed:.3f}, innocents: {wrongly:.4f}")
+    print(
+        f"blocked at 2: {at_two:.3f}, missed at 4: {missed:.3f}, harmless: {blocked_harmless:.4f}"
+    )
     assert missed <= 0.05
-    assert wrongly <= 0.005
+    assert blocked_harmless <= 0.005
     assert at_two >= 0.5
 
 
@@ -88,7 +92,7 @@
     return ledger
 
 
-def test_a_blocked_request_gets_a_trial_after_a_pause_and_its_answer_frees_it():
+def test_a_blocked_request_gets_a_trial_after_a_delay_and_its_answer_unblocks_it():
     ledger = blocked_by_two()
     assert not ledger.take_trial("page", TRIAL_DELAY_SECONDS)
     assert ledger.take_trial("page", TRIAL_DELAY_SECONDS + 0.4)
@@ -97,7 +101,7 @@
     assert not ledger.is_blocked("page", TRIAL_DELAY_SECONDS + 1.0)
 
 
-def test_a_request_that_crashes_its_trial_waits_twice_as_long_for_the_next():
+def test_a_crash_in_a_trial_doubles_the_delay_of_the_next_trial():
     ledger = blocked_by_two()
     assert ledger.take_trial("page", 6.0)
     ledger.record_crash("page", "u3", "vm1", 106.1, 6.1)
--- a/sequoiabridge/tests/policy/test_pool.py
+++ b/sequoiabridge/tests/policy/test_pool.py
@@ -1,4 +1,4 @@
-"""The choice between upstreams: drains, fast failures, stragglers, lies, cold starts, caps."""
+"""Choice of upstreams: drains, ejection, overdue calls, trust, slow start and large pools."""
 
 from collections import Counter
 from random import Random
@@ -17,7 +17,7 @@
 
 
 def run(pool, calls, behave, start=0.0, gap=0.005):
-    """Send calls one after another; `behave(name)` gives (status, elapsed, in flight)."""
+    """Send calls one after another; `behave(name)` returns status, latency and reported calls."""
     seen = Counter()
     now = start
     for _ in range(calls):
@@ -30,7 +30,7 @@
     return seen, now
 
 
-def test_only_a_newer_incarnation_undoes_a_drain_and_nothing_undoes_the_operators():
+def test_a_newer_incarnation_undoes_a_drain_but_not_one_by_the_operator():
     pool, specs = make(2)
     assert pool.drain("u0", 5, 1.0)
     assert not pool.drain("u0", 5, 1.1)
@@ -44,7 +44,7 @@
     assert {pool.choose(40.0 + i).name for i in range(20)} == {"u0"}
 
 
-def test_a_drain_heard_before_the_upstream_is_configured_counts():
+def test_a_drain_received_before_the_upstream_is_configured_counts():
     pool, specs = make(2)
     pool.drain("u9", 3, 1.0)
     pool.set_upstreams([*specs, UpstreamSpec("u9", "10.0.0.9:80", 2, 220, "a")], 2.0)
@@ -57,7 +57,7 @@
     assert seen["u0"] <= 12
 
 
-def test_a_pool_that_fails_whole_is_not_ejected_and_recovers():
+def test_a_pool_that_fails_entirely_is_not_ejected_and_recovers():
     pool, _ = make()
     _, now = run(pool, 300, lambda n: (500, 0.0003, 0))
     assert sum(u.ejected_until > now for u in pool.upstreams.values()) <= 1
@@ -66,14 +66,14 @@
     assert min(seen[f"u{i}"] for i in range(6)) > 100
 
 
-def test_a_straggler_is_left_while_its_call_is_still_out_and_tried_again():
+def test_an_upstream_with_an_overdue_call_is_avoided_until_it_recovers():
     pool, _ = make()
     _, now = run(pool, 100, lambda n: (200, 0.006, 0))
-    stuck = pool.upstreams["u0"]
-    pool.record_send(stuck, now)
+    slow = pool.upstreams["u0"]
+    pool.record_send(slow, now)
     later = now + 0.05
     assert all(pool.choose(later + i * 0.001).name != "u0" for i in range(50))
-    pool.record_answer(stuck, now + 0.1, 200, 0.1, LoadReport(0, 2))
+    pool.record_answer(slow, now + 0.1, 200, 0.1, LoadReport(0, 2))
     seen, _ = run(pool, 3000, lambda n: (200, 0.006, 0), now + 0.1)
     assert seen["u0"] > 100
 
@@ -87,7 +87,7 @@
     assert seen["u9"] > seen[out[0]]
 
 
-def test_each_ejection_in_a_row_lasts_longer():
+def test_each_consecutive_ejection_lasts_longer():
     pool, _ = make()
     _, now = run(pool, 100, lambda n: (200, 0.006, 0))
     upstream, lengths = pool.upstreams["u0"], []
@@ -100,7 +100,7 @@
     assert lengths == sorted(lengths) and lengths[-1] > 4 * lengths[0]
 
 
-def test_a_peers_word_alone_ejects_nobody_and_many_words_not_the_pool():
+def test_suspicions_of_the_whole_pool_exclude_no_upstream():
     pool, _ = make()
     for vm in ("vm1", "vm2", "vm3"):
         for i in range(6):
@@ -108,7 +108,7 @@
     assert len({pool.choose(1.0 + i / 1000).name for i in range(200)}) == 6
 
 
-def test_reports_that_contradict_latency_lose_trust():
+def test_load_reports_that_contradict_latency_lose_trust():
     pool, _ = make()
     run(pool, 400, lambda n: (200, 0.02, 0) if n == "u0" else (200, 0.006, 3))
     assert pool.upstreams["u0"].trust < 0.7 < pool.upstreams["u1"].trust
@@ -123,7 +123,7 @@
     assert early["new"] / 200 < 0.08 < late["new"] / 600
 
 
-def test_a_large_pool_is_sampled_and_tried_upstreams_come_last():
+def test_a_large_pool_is_sampled_and_tried_upstreams_are_avoided():
     pool, _ = make(300)
     seen = {pool.choose(0.1, {"u1", "u2"}).name for _ in range(3000)}
     assert len(seen) > 250 and not seen & {"u1", "u2"}
@@ -132,7 +132,7 @@
     assert small.choose(0.1, {"u0", "u1"}) is not None
 
 
-def test_the_quick_way_through_a_large_pool_picks_the_least_score():
+def test_the_lower_bound_does_not_change_the_choice():
     pool, _ = make(40)
     random = Random(3)
     _, now = run(pool, 400, lambda n: (random.choice((200, 200, 500)), random.random(), 3))
@@ -151,7 +151,7 @@
         assert found is min(costs, key=lambda cost: cost[0])[1]
 
 
-def test_the_call_that_ended_is_the_one_that_started_nearest():
+def test_the_end_of_a_call_removes_the_nearest_start_time():
     pool, _ = make(1)
     upstream = pool.choose(1.0)
     for start in (1.0, 2.0, 3.0, 2.5):
--- a/sequoiabridge/tests/policy/test_probing.py
+++ b/sequoiabridge/tests/policy/test_probing.py
@@ -1,4 +1,4 @@
-"""Probes stay inside the budget, go to suspects first, and are withheld where cost weighs more."""
+"""Probing: the budget, the order of background probes, and probes before a choice."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
     return pool
 
 
-def test_no_more_probes_than_calls_paid_for_and_none_without_calls():
+def test_calls_limit_the_number_of_probes():
     pool, budget = make(), ProbeBudget(50.0, 1.0)
     now, sent = 2.0, 0
     for _ in range(10_000):
@@ -34,7 +34,7 @@
     assert budget.dump(now)["bytes per 1000 calls"] == 260.0
 
 
-def test_in_the_background_a_suspect_comes_before_old_evidence_and_fresh_costs_nothing():
+def test_background_probes_go_to_suspects_before_stale_reports_and_skip_fresh_ones():
     pool, budget = make(), ProbeBudget(1000.0, 0.0)
     pool.record_send(pool.upstreams["u7"], 1.1)
     budget.record_calls(8, 1.3)
@@ -44,24 +44,24 @@
     assert budget.background_targets(pool, 4.0) == ["u0"]
 
 
-def test_asks_before_a_choice_only_where_the_tail_weighs_and_the_wait_is_short():
+def test_probes_before_a_choice_need_a_high_tail_weight_and_a_short_round_trip():
     pool = make()
-    thrifty, eager = ProbeBudget(1000.0, 0.1), ProbeBudget(1000.0, 0.9)
+    low_weight, high_weight = ProbeBudget(1000.0, 0.1), ProbeBudget(1000.0, 0.9)
     pool.averages.refresh(pool.upstreams.values(), 1.0)
-    for budget in (thrifty, eager):
+    for budget in (low_weight, high_weight):
         budget.record_calls(8, 1.1)
-    assert thrifty.choice_targets(pool, 1.1) == []
-    asked = eager.choice_targets(pool, 1.1, ["u0"])
-    assert len(asked) == 3 and "u0" not in asked and eager.tokens == 5.0
-    for name in asked:
+    assert low_weight.choice_targets(pool, 1.1) == []
+    targets = high_weight.choice_targets(pool, 1.1, ["u0"])
+    assert len(targets) == 3 and "u0" not in targets and high_weight.tokens == 5.0
+    for name in targets:
         pool.record_probe(name, 1.102, 0.002, LoadReport(9, 2))
-    assert pool.choose(1.102).name not in asked
+    assert pool.choose(1.102).name not in targets
     for _ in range(50):
-        eager.record_answer(0.01, 260)
-    assert eager.choice_targets(pool, 2.0) == []
+        high_weight.record_answer(0.01, 260)
+    assert high_weight.choice_targets(pool, 2.0) == []
 
 
-def test_an_upstream_that_leaves_costs_no_probe():
+def test_a_draining_upstream_is_not_probed():
     pool, budget = make(2), ProbeBudget(1000.0, 1.0)
     pool.drain("u0", 1, 1.1)
     budget.record_calls(8, 5.0)
--- a/sequoiabridge/tests/policy/test_retries.py
+++ b/sequoiabridge/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: the truth table, a fleet that keeps its ratio, hedge delays; connection shares too."""
+"""Retry rule, retry budget of the fleet, hedging delay, and connection shares."""
 
 from itertools import product
 from types import SimpleNamespace
@@ -21,8 +21,11 @@
         assert not may_retry(SimpleNamespace(idempotent=idempotent), sent, proven, 1, 0.001)
 
 
-def play(vms, ratio, seconds, fails, told=True):
-    """Let each VM make 100 calls a second, each failure retried if the budget allows."""
+def simulate(vms, ratio, seconds, fails, share_reports=True):
+    """Let each VM make 100 calls a second and retry each failure if its budget allows.
+
+    Return the retries and successes of all VMs.
+    """
     budgets = [RetryBudget(ratio) for _ in range(vms)]
     retries = successes = 0
     for step in range(int(seconds * 100)):
@@ -33,27 +36,27 @@
                 successes += 1
             elif budget.take(now):
                 retries += 1
-            if told and step % 100 == 30 and (word := budget.report(now)):
+            if share_reports and step % 100 == 30 and (report := budget.report(now)):
                 for other in budgets:
                     if other is not budget:
                         other.record_peer_counts(
-                            str(number), word.period, word.retries, word.successes, now
+                            str(number), report.period, report.retries, report.successes, now
                         )
     return retries, successes
 
 
-def test_eighteen_vms_together_keep_the_ratio_through_an_outage():
-    retries, successes = play(18, 0.1, 30, lambda now, vm: 10 <= now < 30)
+def test_the_fleet_keeps_the_retry_ratio_through_an_outage():
+    retries, successes = simulate(18, 0.1, 30, lambda now, vm: 10 <= now < 30)
     assert 0 < retries <= 0.1 * successes + MIN_FLEET_RETRIES * 3
 
 
-def test_one_vm_with_all_the_failures_may_use_the_others_budget():
-    alone, successes = play(18, 0.1, 20, lambda now, vm: vm == 0, told=False)
-    shared, _ = play(18, 0.1, 20, lambda now, vm: vm == 0)
+def test_a_vm_with_all_the_failures_may_use_the_budget_of_its_peers():
+    alone, successes = simulate(18, 0.1, 20, lambda now, vm: vm == 0, share_reports=False)
+    shared, _ = simulate(18, 0.1, 20, lambda now, vm: vm == 0)
     assert shared > 5 * max(1, alone) and shared <= 0.1 * successes
 
 
-def test_words_of_retries_are_counted_once_and_forgotten():
+def test_peer_counts_are_recorded_once_and_expire():
     budget = RetryBudget(0.1)
     for _ in range(3):
         budget.record_peer_counts("vm2", 7, 0, 1000, 8.0)
@@ -63,7 +66,7 @@
     assert sum(budget.take(30.5) for _ in range(500)) == MIN_FLEET_RETRIES
 
 
-def test_hedges_wait_for_the_tail_and_less_so_where_it_counts():
+def test_the_hedging_delay_falls_with_the_tail_weight():
     latencies = LatencyHistogram()
     assert hedge_delay(latencies, 1.0) == 0.1
     for i in range(3000):
@@ -75,7 +78,7 @@
     assert 0.045 < latencies.quantile(0.5) < 0.056
 
 
-def test_connection_shares_never_fill_an_instance_while_the_fleet_changes():
+def test_connection_shares_leave_room_for_a_joining_vm():
     for connections, vms in product((220, 260), range(1, 40)):
         share = connection_share(connections, vms)
         assert share * (vms + 1) <= connections
@@ -84,7 +87,7 @@
     assert connection_share(10, 1000) == 1
 
 
-def test_shares_shrink_at_once_and_grow_only_after_a_partition_would_be_over():
+def test_the_live_vm_count_rises_at_once_and_falls_after_a_delay():
     count = LiveVmCount()
     assert [count.update(n, t) for n, t in ((13, 0), (18, 1), (9, 2), (9, 30))] == [13, 18, 18, 18]
     assert count.update(9, 32.5) == 9
