--- a/sequoiabridge/relay/__init__.py
+++ b/sequoiabridge/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The path of calls on the users' platform: match, choose, send, repeat where that is safe."""
+"""The daemon on the platform: routes calls to upstreams and follows the platform's store."""
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream: connect, send, take in the whole answer, judge it."""
+"""One attempt to run a call at an upstream: connect, send, buffer the answer, classify it."""
 
 from __future__ import annotations
 
@@ -18,24 +18,23 @@
 from .sharing import Sharing
 
 MAX_BUFFERED_ANSWER = 256 * 1024
-"""Bytes of an answer that are taken in before any of it goes to the caller, so that a broken one
-can be replaced; the users' answers have 30 KB at most."""
+"""Maximum number of bytes of an answer that are buffered. A buffered answer that breaks off can be
+replaced by a retry; a longer one is streamed to the caller."""
 
 MAX_TRUSTED_IDLE = 0.25
-"""Seconds since a connection last spoke up to which a call that may not be repeated is trusted to
-it; a probe has mostly spoken on it some milliseconds ago."""
+"""Maximum number of seconds since a connection last received data for it to carry a non-idempotent
+call; an older connection may be dead."""
 
 MIN_CONNECT_TIMEOUT = 0.05
-"""Seconds that opening a connection may take at least; a round trip between data centres takes a
-few milliseconds, a lost packet comes again after 0.2 s."""
+"""Minimum timeout for opening a connection, in seconds, even if the deadline is closer."""
 
 
 class Attempt(CallAttempt):
-    """One attempt; `run` never raises for what an upstream did, but sets `ending`.
+    """One attempt; `run` records a failure of the upstream in `ending` instead of raising it.
 
     Attributes:
-        answer: The upstream's answer, if it is to be used.
-        signals: What that says beside its content, None before it began.
+        answer: The upstream's answer if it is usable, else None.
+        metadata: Metadata from the headers of the answer, None until they have arrived.
     """
 
     __slots__ = (
@@ -72,11 +71,11 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long it has taken."""
+        """Return the duration of the attempt so far, in seconds."""
         return (self.ended_at if self.ending else self.clock.now()) - self.started
 
     async def run(self) -> None:
-        """Go through with the attempt and judge what comes of it."""
+        """Send the call, wait for the answer and set `ending`."""
         self.upstream.stats.add_open_call(self.open_call)
         self.sharing.record_send(self.upstream)
         try:
@@ -89,19 +88,19 @@
             await self._failed(UpstreamFailed(str(error), sent=self.sent))
         except curio.CancelledError:
             if self.upstream.has_restarted:
-                self._set_ending(Ending.RESTARTED, "the upstream has started again")
+                self._set_ending(Ending.RESTARTED, "upstream restarted")
             else:
-                self._set_ending(Ending.CANCELLED, "given up")
+                self._set_ending(Ending.CANCELLED, "cancelled by the daemon")
             raise
         finally:
             await self._release_connection()
             self.upstream.stats.remove_open_call(self.open_call)
 
     async def _exchange(self) -> Answer:
-        """Send the call and return the whole answer, or its beginning if it is long."""
+        """Send the call and return its answer, buffered up to `MAX_BUFFERED_ANSWER`."""
         self.connection = await self._connect()
         request = self._build_request()
-        # From here on, a byte may leave: only the upstream itself can prove that it did not run.
+        # From here on, only the upstream can prove that the request did not run.
         self.sent = True
         await self.connection.send(request)
         answer = await self.connection.read_head()
@@ -127,7 +126,7 @@
             request.body.rewind()
         time_left = self.call.deadline - self.clock.now()
         if time_left <= 0.0:
-            raise UpstreamFailed("The deadline passed before anything was sent.", sent=False)
+            raise UpstreamFailed("The deadline passed before the request was sent.", sent=False)
         headers = self.dialect.upstream_headers(request, self.upstream.id, time_left)
         return UpstreamRequest(
             request.method, request.target, headers, request.length, request.body, self._is_answer
@@ -140,11 +139,13 @@
         metadata = self.metadata
         if metadata.other_upstream:
             self.wrong_upstream = True
-            self._set_ending(Ending.NOT_RUN, "another upstream has its address")
+            self._set_ending(Ending.NOT_RUN, "another upstream answered at this address")
         elif metadata.not_run:
-            self._set_ending(Ending.NOT_RUN, f"refused with {answer.status}")
+            self._set_ending(Ending.NOT_RUN, f"refused with status {answer.status}")
         elif 200 <= answer.status < 300 and not metadata.genuine:
-            self._set_ending(Ending.BROKEN, "a success that is not the upstream's own")
+            self._set_ending(
+                Ending.BROKEN, "success status, but not a genuine answer of the upstream"
+            )
         else:
             self._accept(answer)
             self._set_ending(Ending.ANSWERED, "")
@@ -162,9 +163,9 @@
         self._set_ending(Ending.BROKEN if self.sent else Ending.NOT_SENT, str(error))
 
     async def _release_connection(self) -> None:
-        """Give back the connection; one whose answer has not ended is closed by that.
+        """Release the connection, which closes it unless the answer is complete.
 
-        A long answer that is on its way to the caller gives it back itself.
+        A streamed answer releases its connection itself when it ends.
         """
         connection, self.connection = self.connection, None
         if connection is None or self.is_streamed:
@@ -179,7 +180,7 @@
         self.ended_at = self.clock.now()
 
     def row(self) -> dict:
-        """Return what became of it, for the log."""
+        """Return the fields of the decision log for the attempt."""
         row = {
             "upstream": self.upstream.id,
             "ending": self.ending.value if self.ending else "open",
@@ -194,7 +195,7 @@
 
 
 class PrefixedBody(Body):
-    """A body of which the first pieces have been taken in already."""
+    """A body whose first bytes have been read and are kept in memory."""
 
     __slots__ = ("prefix", "rest")
 
@@ -203,26 +204,26 @@
         self.rest = rest
 
     async def read(self) -> bytes:
-        """Return what was taken in first, then the rest."""
+        """Return the prefix first, then chunks of the rest."""
         if self.prefix:
             prefix, self.prefix = self.prefix, b""
             return prefix
         return await self.rest.read()
 
     def limit(self, size: int) -> None:
-        """Take at most `size` bytes of the rest."""
+        """Limit the rest to `size` bytes."""
         self.rest.limit(size)
 
     async def close(self) -> None:
-        """Give up the rest."""
+        """Close the rest."""
         await self.rest.close()
 
 
 async def buffer_answer(answer: Answer) -> None:
-    """Take an answer's body into memory; of a long one, its beginning.
+    """Read an answer's body into memory, up to `MAX_BUFFERED_ANSWER`; the rest is streamed.
 
     Raises:
-        UpstreamFailed: It was cut short.
+        UpstreamFailed: The body was cut short.
     """
     chunks, size = [], 0
     while size <= MAX_BUFFERED_ANSWER:
--- a/sequoiabridge/relay/bodies.py
+++ b/sequoiabridge/relay/bodies.py
@@ -1,5 +1,4 @@
-"""Takes the bodies of calls into memory, so that they can be sent again and no slow caller holds an
-upstream."""
+"""Buffers request bodies, so that they can be resent and a slow caller occupies no upstream."""
 
 from __future__ import annotations
 
@@ -11,16 +10,16 @@
 from .attempt import PrefixedBody
 
 MAX_BUFFERED_BODY = 1024 * 1024
-"""Bytes of a body that are taken into memory; the users' uploads have 60 KB on average and 360 KB
-at most. A longer one is passed on piece by piece and can be sent once."""
+"""Maximum number of bytes of a request body that are buffered. A longer body is streamed and can be
+sent only once."""
 
 
 async def buffer_body(request: Request, max_body: int, timeout: float) -> None:
-    """Replace a request's body by one in memory, or by one of which the beginning is in memory.
+    """Replace a request's body by a buffered one; a long body is buffered in part.
 
     Raises:
-        CallerGone: The caller left before the end.
-        Refusal: The body is too large, or did not come within `timeout` seconds.
+        CallerGone: The caller disconnected before the end of the body.
+        Refusal: The body is larger than `max_body` bytes or took longer than `timeout` seconds.
     """
     body = request.body
     if body is None:
--- a/sequoiabridge/relay/call.py
+++ b/sequoiabridge/relay/call.py
@@ -1,4 +1,4 @@
-"""One call of the relay: what came in, beside what the decisions know of it."""
+"""A call that the relay handles: the request, its answer, and the state that balancing uses."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class RelayedCall(Call):
-    """One call; times are on the daemon's clock, in seconds.
+    """One call; times are in seconds on the daemon's clock.
 
     Attributes:
-        id: The caller's name for it, for logs.
-        terms: What its caller says of it.
-        version: The configuration that it falls under.
-        answer: What the caller gets.
-        refusal: The answer that the daemon made itself, or None.
+        id: Id given by the caller or, without one, by the daemon; for logs.
+        metadata: Metadata from the headers of the request.
+        version: Version of the configuration that applies to the call.
+        answer: The answer that the caller gets.
+        refusal: The refusal if the daemon refused the call, else None.
     """
 
     __slots__ = ("id", "request", "metadata", "version", "answer", "refusal")
@@ -34,12 +34,12 @@
         self.refusal: Refusal | None = None
 
     def apply_route_version(self, route: Route, version: int) -> None:
-        """Take in the terms of its route in a version of the configuration."""
+        """Set the route and its configuration version, and derive the deadline from them."""
         self.version = version
         self.apply_route(route, self.metadata.timeout)
 
     def body_received(self, now: float) -> None:
-        """Its body is in memory, or as much of it as is taken in before it is sent."""
+        """Record that the body has been buffered, in full or in part."""
         body = self.request.body
         self.body_seconds = now - self.arrived
         self.replayable = body is None or isinstance(body, ReplayableBody)
--- a/sequoiabridge/relay/entry_errors.py
+++ b/sequoiabridge/relay/entry_errors.py
@@ -1,4 +1,4 @@
-"""Tells of entries that cannot be used: each once, and never more than a log can bear."""
+"""Logs entries of the store that cannot be used, each error once."""
 
 from __future__ import annotations
 
@@ -9,34 +9,35 @@
 from .decisions import DecisionLog
 
 MAX_REMEMBERED = 200
-"""Entries whose latest complaint is remembered; with more, an old one may be told of again. A
-foreign writer may leave hundreds, and each is read anew after lost history."""
+"""Maximum number of entries whose last error is remembered; an error that was forgotten is logged
+again when the entry is read again."""
 
 
 class EntryErrorLog:
-    """What is wrong with entries, logged once for each entry and reason.
+    """Logs each error of an entry once until the error changes.
 
     Attributes:
-        count: Complaints so far, those included that were not told again.
+        count: Number of errors so far, repeated ones included.
+        told: Last error that was logged, by feed and key of the entry.
     """
 
     def __init__(self, decisions: DecisionLog):
         self.decisions = decisions
-        self.logged: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self.told: OrderedDict[tuple[str, str], str] = OrderedDict()
         self.count = 0
 
     def record(self, feed: str, problems: Iterable[BadEntry]) -> None:
-        """Take in what was wrong with the entries of a reading."""
+        """Count the errors in the entries of a feed and log the new ones."""
         for problem in problems:
             self._record(feed, problem)
 
     def _record(self, feed: str, problem: BadEntry) -> None:
         self.count += 1
         key, why = (feed, problem.key), str(problem)
-        if self.logged.get(key) == why:
+        if self.told.get(key) == why:
             return
-        self.logged[key] = why
-        self.logged.move_to_end(key)
-        if len(self.logged) > MAX_REMEMBERED:
-            self.logged.popitem(last=False)
+        self.told[key] = why
+        self.told.move_to_end(key)
+        if len(self.told) > MAX_REMEMBERED:
+            self.told.popitem(last=False)
         self.decisions.event("entry-unusable", feed=feed, key=problem.key, why=why)
--- a/sequoiabridge/relay/race.py
+++ b/sequoiabridge/relay/race.py
@@ -1,4 +1,4 @@
-"""The attempts at one call that run at the same time."""
+"""Runs the concurrent attempts of one call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Race:
-    """Runs attempts and tells which ended; `cancel` ends those that still run."""
+    """Runs attempts as tasks and returns them in the order in which they end."""
 
     __slots__ = ("running", "ended", "wake")
 
@@ -20,11 +20,11 @@
         self.wake = curio.Event()
 
     async def start(self, attempt: Attempt) -> None:
-        """Let an attempt run."""
+        """Start an attempt."""
         self.running[attempt] = await curio.spawn(self._run(attempt), daemon=True)
 
     async def next_ended(self, timeout: float) -> Attempt | None:
-        """Return the next attempt that has ended, None if none does within `timeout` seconds."""
+        """Return the next attempt that ended, None if none does within `timeout` seconds."""
         if not self.ended:
             async with curio.ignore_after(max(0.0, timeout)):
                 await self.wake.wait()
@@ -32,13 +32,13 @@
         return self.ended.popleft() if self.ended else None
 
     async def cancel(self, attempt: Attempt) -> None:
-        """End one attempt that still runs; it counts as ended from then on."""
+        """Cancel an attempt if it is running; `next_ended` returns it."""
         task = self.running.get(attempt)
         if task is not None:
             await task.cancel()
 
     async def cancel_all(self) -> None:
-        """End all attempts that still run; each closes its connection."""
+        """Cancel all running attempts; each closes its connection."""
         for task in list(self.running.values()):
             await task.cancel()
 
--- a/sequoiabridge/relay/relay.py
+++ b/sequoiabridge/relay/relay.py
@@ -1,4 +1,4 @@
-"""What happens to a call, from its head to its answer, read top to bottom."""
+"""Handles a call from its request head to its answer."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 HOST = b"host"
 NO_ROUTE_LABEL = "-"
-"""Stands for the route of calls that have none, in counts."""
+"""Route label in the counters for calls that match no route."""
 
 NOT_READY_RETRY_AFTER = 0.3
-"""Seconds after which a caller may try again when this VM cannot serve yet."""
+"""Seconds in the Retry-After header while this VM cannot serve calls."""
 
 
 class Relay(Handler):
-    """Takes calls from the callers' server to an upstream and back.
+    """Request handler of the callers' server: forwards each call to an upstream.
 
     Args:
-        why_not_serving: Returns why no call can be served now, or "".
+        why_not_serving: Returns the reason why no call can be served, or "" if calls can.
     """
 
     def __init__(
@@ -63,11 +63,11 @@
         self.wait_estimator = PriorWaitEstimator()
 
     def next_id(self) -> str:
-        """Return an id for a call that brought none."""
+        """Return an id for a request that has none."""
         return f"own-{next(self.request_ids):x}"
 
     async def answer(self, request: Request) -> Answer:
-        """Return the answer to a call: an upstream's, or the daemon's own refusal."""
+        """Return the answer of an upstream, or a refusal made by the daemon."""
         metadata = self.dialect.call_metadata(request)
         call_id = metadata.id.decode("latin-1") or self.next_id()
         call = RelayedCall(call_id, request, metadata, self.clock.now())
@@ -77,7 +77,7 @@
         except Refusal as refusal:
             call.answer = self._refuse(call, refusal)
         except Exception:
-            log.exception("Call %s hit an error of the daemon's own.", call.id)
+            log.exception("Internal error while handling call %s.", call.id)
             call.answer = self._refuse(call, internal_error(call))
         except BaseException:
             self._record_caller_left(call)
@@ -85,7 +85,7 @@
         return call.answer
 
     async def finished(self, request: Request, answer: Answer, clean: bool) -> None:
-        """Enter the call in the counts and in the log of decisions."""
+        """Count the finished call and write it to the decision log."""
         call, request.exchange = request.exchange, None
         if call is None:
             return
@@ -107,10 +107,11 @@
         return await self.sender.send(call)
 
     def _route(self, call: RelayedCall) -> Route:
-        """Return the route of a call.
+        """Return the route that matches a call.
 
         Raises:
-            Refusal: 503 when it cannot be known, 404 when there is surely none.
+            Refusal: 503 if this VM cannot serve or its configuration may be outdated, 404 if the
+                current configuration has no such route.
         """
         why = self.why_not_serving()
         if why:
@@ -132,7 +133,7 @@
         return self.dialect.refusal(refusal, call.id)
 
     def _record_caller_left(self, call: RelayedCall) -> None:
-        """The caller left, or its connection is being closed: nobody waits for the answer."""
+        """Count and log a call whose caller disconnected before the answer."""
         call.request.exchange = None
         self.counters.callers_left += 1
         row = self._row(call, self.clock.now(), False)
@@ -140,7 +141,7 @@
         self.decisions.call(False, row)
 
     def _row(self, call: RelayedCall, now: float, clean: bool) -> dict:
-        """Return what was decided about a call, and on what."""
+        """Return the fields of the decision log for a call."""
         row = {
             "id": call.id,
             "peer": call.request.peer,
--- a/sequoiabridge/relay/sender.py
+++ b/sequoiabridge/relay/sender.py
@@ -1,4 +1,4 @@
-"""Does on the network what the way of a call asks for, until there is a final answer."""
+"""Executes the steps that `balancing.dispatch` yields for a call, until it has an answer."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class Sender:
-    """The last step of a call's way.
+    """Sends calls to upstreams.
 
     Args:
-        dispatch: Decides what is done.
-        guard: Stops requests that crash upstreams.
+        dispatch: Yields the steps to take for each call.
+        crash_guard: Blocks requests that crash upstreams.
     """
 
     def __init__(
@@ -47,10 +47,10 @@
         self.crash_guard = crash_guard
 
     async def send(self, call: RelayedCall) -> Answer:
-        """Return the final answer of an upstream.
+        """Return the answer that the caller gets.
 
         Raises:
-            Refusal: There is none.
+            Refusal: No upstream gave a usable answer.
         """
         self.crash_guard.check(call)
         race = Race()
@@ -63,7 +63,7 @@
                     self.dispatch.recorder.record(call, attempt)
 
     async def _run_steps(self, call: RelayedCall, race: Race) -> Answer:
-        """Take step after step."""
+        """Execute steps until dispatch returns the attempt with the final answer."""
         steps, result = self.dispatch.run(call), None
         while True:
             try:
