--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -1,7 +1,8 @@
-"""Stops requests that crash the upstreams that run them, whichever VM they come to.
+"""Blocks requests that crash upstreams, on all VMs.
 
-What counts as a crash: the connection broke before an answer began, and the upstream takes no new
-connection. The blame is `policy.crashes`' matter; here the daemons tell each other what they see.
+A crash is assumed if the connection broke before the answer began and the upstream accepts no new
+connection. `policy.crashes` attributes crashes to requests; this module detects them and shares
+them with the peers.
 """
 
 from __future__ import annotations
@@ -24,21 +25,20 @@
 from .sharing import Sharing
 
 MIN_CRASHED_UPSTREAMS = 3
-"""Distinct upstreams that must have died with a request before it is stopped. With two, two deaths
-by chance within a second stopped a harmless page; callers bring a harmful one again at once, so a
-third death costs little."""
+"""Minimum number of distinct upstreams that crashed while running a request before it is blocked.
+With fewer, unrelated crashes could block a harmless request."""
 
 ALIVE_CHECK_TIMEOUT = 0.1
-"""Seconds in which an upstream that lives takes a connection; it needs a few milliseconds."""
+"""Timeout in seconds for the connection that checks whether an upstream is alive."""
 
 RETRY_AFTER = 1.0
-"""Seconds after which a stopped request may come again; it is stopped until it is forgotten."""
+"""Seconds in the Retry-After header of a blocked request."""
 
 HOST = b"host"
 
 
 class CrashGuard:
-    """Knows which requests died with which upstreams, by their fingerprints."""
+    """Records which upstreams crashed while running which requests, by request fingerprint."""
 
     def __init__(
         self, connector: Connector, sharing: Sharing, decisions: DecisionLog, clock: Clock
@@ -52,10 +52,10 @@
         sharing.on_survival = self._record_survival
 
     def check(self, call: RelayedCall) -> None:
-        """Refuse a call that has crashed too many upstreams.
+        """Refuse a call if its request is blocked.
 
         Raises:
-            Refusal: It was not sent.
+            Refusal: The request has crashed too many upstreams.
         """
         if not self.ledger.blocked_fingerprints:
             return
@@ -65,7 +65,7 @@
         raise Refusal(503, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message, RETRY_AFTER)
 
     async def attempt_ended(self, call: RelayedCall, attempt: Attempt) -> None:
-        """Look whether an upstream died with a call, or answered one that was suspected."""
+        """Check after an attempt whether its upstream crashed, or clear a suspected request."""
         if attempt.ending is Ending.ANSWERED:
             self._report_survival(call)
         elif attempt.ending is Ending.BROKEN and attempt.metadata is None:
@@ -87,7 +87,7 @@
             self.sharing.broadcast(survived)
 
     def _record_crash(self, crashed: RequestCrashed) -> bool:
-        """Enter a crash; return whether it is news."""
+        """Record a crash; return whether it was unknown so far."""
         now = self.clock.now()
         is_new = self.ledger.record_crash(crashed.fingerprint, crashed.upstream, "", now, now)
         if is_new:
@@ -101,12 +101,12 @@
         return is_new
 
     def _record_survival(self, survived: RequestSurvived) -> bool:
-        """Enter that a suspected request was answered; return whether it was one."""
+        """Record that a request was answered; return whether it was suspected of crashes."""
         return self.ledger.record_answer(survived.fingerprint, self.clock.now())
 
 
 def fingerprint(call: RelayedCall) -> str:
-    """Return what the same request of the same caller always has in common."""
+    """Return a digest of the request and its caller's address, equal for identical requests."""
     request = call.request
     caller = request.peer.rpartition(":")[0].encode()
     body = request.body.whole if isinstance(request.body, ReplayableBody) else b""
--- a/sequoiabridge/relay/decisions.py
+++ b/sequoiabridge/relay/decisions.py
@@ -1,9 +1,7 @@
-"""The log of decisions: one JSON line for each, on standard output, bounded and never waited for.
+"""The decision log: JSON lines on standard output, rate-limited and never blocking.
 
-Events of the daemon's life and changes of what it believes are always written, up to a rate that
-nothing reaches in ordinary work. Lines of calls have a bucket of their own, and calls that went
-badly another one, so that a flood of good calls never hides a bad one. What a full bucket or a
-reader that does not read leaves out is counted in the next line.
+Events, calls answered in time and all other calls have a rate limiter each, so that many successful
+calls do not displace the failed ones. The next line counts the lines that its limiter omitted.
 """
 
 from __future__ import annotations
@@ -16,17 +14,16 @@
 from ..timers import Clock
 
 GOOD_CALL_LIMITS = (10.0, 40.0)
-"""Lines a second, and at once, for calls that were answered in time: enough for each call of a VM
-at the users' present load (5 to 20 a second), a cap on the CPU time of a flood."""
+"""Maximum rate in lines per second, and maximum burst in lines, for calls answered in time."""
 
 BAD_CALL_LIMITS = (40.0, 200.0)
-"""The same for all other calls: they are what people ask about."""
+"""Maximum rate and burst for calls that failed or were answered late."""
 
 EVENT_LIMITS = (100.0, 500.0)
-"""The same for everything else: a list of all upstreams may change at once."""
+"""Maximum rate and burst for events; one update may change the whole list of upstreams."""
 
 MAX_PENDING_BYTES = 64 * 1024
-"""Bytes that are kept for a reader that does not read; more is left out and counted."""
+"""Maximum number of bytes buffered for a slow reader; further lines are omitted and counted."""
 
 STDOUT = 1
 
@@ -34,7 +31,7 @@
 
 
 class TokenBucket:
-    """Lets through so many lines a second, and so many at once."""
+    """Limits the rate and the burst of lines, and counts the omitted ones."""
 
     __slots__ = ("rate", "burst", "tokens", "updated_at", "omitted")
 
@@ -45,7 +42,7 @@
         self.omitted = 0
 
     def take(self, now: float) -> bool:
-        """Return whether one more line may be written; count it if not."""
+        """Return whether a line may be written; count it as omitted if not."""
         self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate)
         self.updated_at = now
         if self.tokens < 1.0:
@@ -56,12 +53,12 @@
 
 
 class LineWriter:
-    """Writes whole lines to a descriptor without ever waiting for its reader.
+    """Writes whole lines to a file descriptor without waiting for its reader.
 
-    The descriptor must be set to non-blocking.
+    The file descriptor must be non-blocking.
 
     Attributes:
-        omitted: Lines that were left out because the reader did not read.
+        omitted: Number of lines omitted because the buffer was full or the reader closed.
     """
 
     __slots__ = ("fd", "pending", "omitted")
@@ -72,7 +69,7 @@
         self.omitted = 0
 
     def write(self, line: bytes) -> None:
-        """Write a line, or as much of what waits as the reader takes."""
+        """Buffer a line and write as much of the buffer as the reader accepts."""
         if len(self.pending) + len(line) > MAX_PENDING_BYTES:
             self.omitted += 1
         else:
@@ -80,14 +77,14 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the buffer as the reader accepts."""
         while self.pending:
             try:
                 count = os.write(self.fd, self.pending)
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has gone for good; there is nobody to tell, and calls must go on.
+                # The reader has closed the pipe; calls must still be served.
                 self.omitted += self.pending.count(b"\n")
                 self.pending = b""
                 return
@@ -95,14 +92,14 @@
 
 
 class DecisionLog:
-    """Writes decisions as JSON lines.
+    """Writes events and calls as JSON lines.
 
     Args:
         vm: Name of this VM.
-        write: Takes each line, with its line end.
+        write: Called with each line, including its line end.
 
     Attributes:
-        written: Lines written, by event.
+        written: Number of lines written, by event.
     """
 
     def __init__(self, vm: str, clock: Clock, write: Callable[[bytes], None]):
@@ -118,15 +115,15 @@
 
     @property
     def omitted(self) -> int:
-        """Return how many lines the buckets left out."""
+        """Return the number of lines omitted by the rate limiters."""
         return self.good_calls.omitted + self.bad_calls.omitted + self.events.omitted
 
     def event(self, event: str, **fields: object) -> None:
-        """Write that the daemon believes something else now, or an event of its life."""
+        """Write an event with its fields."""
         self._write_line(self.events, event, fields)
 
     def call(self, good: bool, fields: dict[str, object]) -> None:
-        """Write what was decided about one call."""
+        """Write the fields of a call; `good` says whether it was answered in time."""
         self._write_line(self.good_calls if good else self.bad_calls, "call", fields)
 
     def _write_line(self, bucket: TokenBucket, event: str, fields: dict[str, object]) -> None:
@@ -143,14 +140,14 @@
 
 
 class DecisionLogHandler(logging.Handler):
-    """Puts the sentences of the parts' logs into the same stream, one JSON line each."""
+    """Logging handler that writes log records to the decision log."""
 
     def __init__(self, decisions: DecisionLog):
         super().__init__()
         self.decisions = decisions
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one sentence."""
+        """Write a log record as an event."""
         text = record.getMessage()
         if record.exc_info:
             text += "\n" + logging.Formatter().formatException(record.exc_info)
--- a/sequoiabridge/relay/dialect.py
+++ b/sequoiabridge/relay/dialect.py
@@ -1,4 +1,4 @@
-"""How calls, answers and health checks are spelled by callers and upstreams."""
+"""Interface to the headers that callers and upstreams use for calls, answers and probes."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 class Dialect(ABC):
-    """Reads and writes the headers that mean something to the balancer; decides nothing."""
+    """Reads and writes the headers that matter to the balancer."""
 
     @abstractmethod
     def call_metadata(self, request: Request) -> CallMetadata:
-        """Return what a caller says of its call."""
+        """Return the metadata of a call from the headers of its request."""
 
     @abstractmethod
     def upstream_headers(
         self, request: Request, upstream: str, time_left: float
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers with which a call goes to an upstream.
+        """Return the headers of the request that is sent to an upstream.
 
         Args:
-            upstream: Id of the upstream that is meant; any other must not run the request.
-            time_left: Seconds until the answer is of no more use.
+            upstream: Id of the intended upstream; any other must not run the request.
+            time_left: Seconds until the deadline of the call.
         """
 
     @abstractmethod
     def is_answer_to(self, call_id: bytes, headers: RawHeaders) -> bool:
-        """Return False if an answer says that it belongs to another call than `call_id`.
+        """Return False if the headers of an answer name another call than `call_id`.
 
         `call_id` is b"" for a health check, whose answer names no call.
         """
 
     @abstractmethod
     def answer_metadata(self, answer: Answer) -> AnswerMetadata:
-        """Return what an upstream's answer says about itself."""
+        """Return the metadata of an upstream's answer from its headers and status."""
 
     @abstractmethod
     def health_metadata(self, answer: Answer) -> HealthMetadata:
-        """Return what the answer to a health check says."""
+        """Return the metadata of the answer to a health check."""
 
     @abstractmethod
     def refusal(self, refusal: Refusal, call_id: str) -> Answer:
-        """Return the answer that tells a caller of a refusal."""
+        """Return the answer that the caller of a refused call gets."""
--- a/sequoiabridge/relay/metadata.py
+++ b/sequoiabridge/relay/metadata.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams say beside their messages, decoded: the same in every dialect."""
+"""Metadata of calls, answers and health checks, decoded from their headers by a dialect."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class CallMetadata:
-    """What a caller says of its call.
+    """Metadata of a call, set by its caller.
 
     Attributes:
-        id: Names this attempt of the caller; b"" if it gave none. An upstream repeats it.
-        patience: Seconds from now that the caller waits for the answer; None if it did not say.
+        id: Id of the call, b"" if the caller set none. The upstream repeats it in its answer.
+        timeout: Seconds for which the caller waits for the answer, None if not set.
     """
 
     __slots__ = ("id", "timeout")
@@ -21,13 +21,13 @@
 
 
 class AnswerMetadata:
-    """What an upstream's answer says about itself.
+    """Metadata of an upstream's answer to a call.
 
     Attributes:
         not_run: The upstream did not run the request and never will.
-        other_upstream: The address has gone to another upstream than the one that was meant.
-        genuine: The answer bears the upstream's signature and is in no foreign encoding. Only such
-            a success may be handed to a caller.
+        other_upstream: The address now belongs to another upstream than the intended one.
+        genuine: The answer carries the upstream's signature and no content encoding. A successful
+            answer that is not genuine must not reach the caller.
         load: The upstream's load, or None.
     """
 
@@ -43,11 +43,11 @@
 
 
 class HealthMetadata:
-    """What an upstream's health answer says.
+    """Metadata of an upstream's answer to a health check.
 
     Attributes:
-        healthy: The upstream thinks itself well and is not leaving. It may be mistaken.
-        upstream: Id of the upstream that answered; "" if it did not say.
+        healthy: The upstream reports that it is healthy and not leaving; calls may still fail.
+        upstream: Id of the upstream that answered, "" if not set.
         load: Its load, or None.
     """
 
--- a/sequoiabridge/relay/metrics.py
+++ b/sequoiabridge/relay/metrics.py
@@ -1,4 +1,4 @@
-"""The daemon's counts in Prometheus' text format, made when somebody asks for them."""
+"""Metrics of the daemon in the Prometheus text format, built at each scrape."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 
 class GatewayCollector:
-    """Builds the metric families from the counts; the registry calls `collect`."""
+    """Prometheus collector that builds the metric families from the counters."""
 
     def __init__(self, gateway: Gateway):
         self.gateway = gateway
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all families."""
+        """Yield all metric families."""
         counters = self.gateway.counters
         endings = self.gateway.sender.dispatch.recorder.endings
         yield from route_families(counters)
@@ -57,7 +57,7 @@
 
 
 def labelled_counter(name: str, about: str, label: str, counts: dict[str, int]) -> Metric:
-    """Return a counter with one label."""
+    """Return a counter family with one label."""
     family = CounterMetricFamily(name, about, labels=(label,))
     for value, count in counts.items():
         family.add_metric((value,), count)
@@ -65,7 +65,7 @@
 
 
 def route_families(counters: Counters) -> Iterator[Metric]:
-    """Yield calls by status, calls in time, and latency, each by route."""
+    """Yield the families of calls by status, calls in time, and latency, each by route."""
     calls = CounterMetricFamily("sequoia_calls", "Calls answered.", labels=("route", "status"))
     timely = CounterMetricFamily(
         "sequoia_calls_by_window", "Calls in time or not.", labels=("route", "in_time")
@@ -74,14 +74,12 @@
         "sequoia_call_seconds", "From a call's head to its answer's end.", labels=("route",)
     )
     for route, counts in counters.routes.items():
-        for status, count in counts.by_status_class.items():
+        for status, count in counts.statuses.items():
             calls.add_metric((route, status), count)
         timely.add_metric((route, "yes"), counts.in_time)
         timely.add_metric((route, "no"), counts.late)
         sums = accumulate(counts.buckets)
-        latency.add_metric(
-            (route,), list(zip(BUCKET_BOUNDS, sums, strict=True)), counts.total_seconds
-        )
+        latency.add_metric((route,), list(zip(BUCKET_BOUNDS, sums, strict=True)), counts.seconds)
     yield from (calls, timely, latency)
 
 
--- a/sequoiabridge/relay/operators.py
+++ b/sequoiabridge/relay/operators.py
@@ -1,4 +1,4 @@
-"""The operators' port: metrics, and a dump of the daemon's state on request."""
+"""The operators' port: metrics, the state dump, and feeds for peers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 METRICS_PATH, DUMP_PATH = b"/metrics", b"/dump"
 
 LIMITS = CallerLimits(max_connections=256)
-"""Beside people, each daemon of a data centre may read feeds here."""
+"""Connections of operators, and of the peers that read feeds."""
 
 TEXT = (b"content-type", b"text/plain; charset=utf-8")
 JSON = (b"content-type", b"application/json")
@@ -32,7 +32,7 @@
 
 
 class OperatorPort(Handler):
-    """Serves people and their tools; never calls.
+    """Serves operators, their tools and peers.
 
     Args:
         address: "IP:port" to bind.
@@ -44,7 +44,7 @@
         self.feeds = FeedResponses(gateway.followers)
 
     async def start(self) -> None:
-        """Listen; a port that is taken is logged, since calls must not wait for it."""
+        """Start listening; a failure is only logged, since calls do not need this port."""
         gateway = self.gateway
         server = CallerServer(
             self, LIMITS, gateway.clock, gateway.relay.next_id, sweep_interval=SWEEP_INTERVAL
@@ -52,12 +52,12 @@
         try:
             server.bind(self.address)
         except ConfigurationError as error:
-            log.warning("No operators' port: %s", error)
+            log.warning("Cannot open the operators' port: %s", error)
             return
         await curio.spawn(server.serve(), daemon=True)
 
     async def answer(self, request: Request) -> Answer:
-        """Return metrics, the dump, or 404."""
+        """Return metrics, a feed, the state dump, or 404."""
         path = path_of(request.target)
         if path == METRICS_PATH:
             return self._metrics()
@@ -73,14 +73,14 @@
         """Do nothing; these requests are not counted."""
 
     def _metrics(self) -> Answer:
-        # Imported at the first scrape: the library takes 3 MB that a daemon nobody scrapes saves.
+        # Imported at the first scrape, since the Prometheus library needs much memory.
         from .metrics import render
 
         data = render(self.gateway)
         return Answer(200, [TEXT], len(data), BytesBody(data))
 
     def _feed(self, name: str) -> Answer:
-        """Return what is known of a feed for another daemon: NAME, or NAME/VERSION for changes."""
+        """Return the rows of feed NAME, or for NAME/VERSION the changes since that version."""
         name, _, after = name.partition("/")
         data = self.feeds.answer(name, int(after) if after.isdigit() else None)
         if data is None:
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -1,4 +1,4 @@
-"""Asks upstreams for their load right before a call is sent, and takes in what they say."""
+"""Probes upstreams for their load right before a call is sent to one of them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .upstreams import UpstreamList
 
 MAX_HEALTH_BODY = 4096
-"""Bytes of a health answer's body that are read; longer ones are given up."""
+"""Maximum number of bytes of a health check answer's body that are read."""
 
 HEALTH_HEADERS = [(b"accept", b"*/*")]
 
@@ -29,11 +29,11 @@
 
 
 class Prober:
-    """Sends health checks to upstreams over kept connections.
+    """Sends health checks to upstreams over pooled connections and records their answers.
 
     Args:
-        configuration: Says the path of each service's health check.
-        allowance: How many health checks may be sent.
+        configuration: Provides the health check path of each service.
+        allowance: Limits the rate of health checks.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         self.clock = clock
 
     async def probe_all(self, upstreams: Sequence[Upstream], timeout: float) -> None:
-        """Ask all of `upstreams` and return when they have answered, or after `patience` seconds.
+        """Probe `upstreams` and return when all probes have ended, or after `timeout` seconds.
 
-        What comes later is taken in all the same. Fewer are asked, the first ones, when the fleet's
-        limit on health checks demands it.
+        Later answers are still recorded. Only the first upstreams are probed if the limit on health
+        checks does not allow more.
         """
         now, known = self.clock.now(), self.upstreams.configured_count
         upstreams = upstreams[: self.probe_limiter.take(len(upstreams), known, now)]
@@ -83,7 +83,7 @@
                 await batch.done.set()
 
     async def probe(self, upstream: Upstream) -> None:
-        """Ask one upstream and take in its answer, or that it gave none."""
+        """Probe one upstream and record its answer or the failure."""
         self.counters.probes += 1
         upstream.stats.record_probe_sent(self.clock.now())
         connection = None
@@ -145,7 +145,7 @@
 
 
 class ProbeBatch:
-    """The probes that were sent together; `ended` is set when all are over."""
+    """Probes that were started together; `done` is set when none is pending."""
 
     __slots__ = ("pending", "done")
 
@@ -155,7 +155,7 @@
 
 
 async def drain(body: Body) -> None:
-    """Read a short body to its end; give up a long one."""
+    """Read a body, at most about `MAX_HEALTH_BODY` bytes of it, and close it."""
     size = 0
     while size < MAX_HEALTH_BODY and (chunk := await body.read()):
         size += len(chunk)
