--- a/sequoiabridge/relay/configuration.py
+++ b/sequoiabridge/relay/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this VM: the newest it has heard of, and never an older one."""
+"""The configuration in force at this daemon."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 log = get_log("configuration")
 
 DEFAULT_HEALTH_PATH = b"/health"
+"""Path of the health check of services that the configuration does not name."""
 
 
 class Configuration(Part):
-    """Holds the newest route table.
+    """Holds the newest route table; older ones are ignored.
 
     Args:
         on_change: Called with each table that comes into force.
 
     Attributes:
         table: The table in force, None before the first.
-        receives_updates: Returns whether news of the store would be heard here.
+        receives_updates: Returns whether updates of the store reach this daemon.
     """
 
     name = "configuration"
@@ -40,15 +41,15 @@
 
     @property
     def is_current(self) -> bool:
-        """Return whether no newer version can be in force without this VM knowing."""
+        """Return whether the table is the newest as far as this daemon can know."""
         return self.table is not None and self.receives_updates()
 
     def offer(self, table: RouteTable) -> bool:
-        """Take a table into force if it is newer than the one that is; return whether it was."""
+        """Put a table into force if it is newer than the present one; return whether it is."""
         if table.version <= self.version:
             return False
-        was, self.table = self.version, table
-        self.decisions.event("configuration", version=table.version, was=was)
+        previous, self.table = self.version, table
+        self.decisions.event("configuration", version=table.version, was=previous)
         self.on_change(table)
         return True
 
--- a/sequoiabridge/relay/reloading.py
+++ b/sequoiabridge/relay/reloading.py
@@ -1,4 +1,4 @@
-"""Takes in changed settings while the daemon runs."""
+"""Reloads the settings file while the daemon runs."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 class SettingsReloader:
-    """Reads the settings again after a signal, or when their file is another one.
+    """Reloads the settings after a signal, or when their file has changed.
 
-    Bounds, costs and the store's address are taken over at once; where the daemon listens changes
-    with a restart. Settings that are not valid are refused, and the old ones stay.
+    Limits, costs and the store's address take effect at once; addresses to listen on need a
+    restart. Invalid settings are ignored and logged.
 
     Args:
-        settings: Those that the daemon works by; changed in place.
-        store: The client of the platform's store, whose `address` is set.
+        settings: Settings of the daemon, changed in place.
+        store: Client of the platform's store, whose `address` is set.
 
     Attributes:
-        reload_requested: A signal has asked for it.
+        reload_requested: A signal has requested a reload.
+        last_modified: Modification time of the file when it was read last, in nanoseconds.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self.last_modified = modified_ns(settings.source)
 
     def poll(self) -> None:
-        """Look whether there is anything new; the timers call it."""
+        """Reload the settings if requested or if the file has changed; called by a timer."""
         modified = modified_ns(self.settings.source)
         if not self.reload_requested and modified == self.last_modified:
             return
@@ -52,7 +53,7 @@
 
 
 def modified_ns(path: str) -> int:
-    """Return when a file was changed last, in nanoseconds; 0 if it is not there."""
+    """Return when a file was modified last, in nanoseconds; 0 if it cannot be read."""
     try:
         return Path(path).stat().st_mtime_ns
     except OSError:
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that this VM knows of, by service, as the platform lists them."""
+"""The upstreams that the platform lists, by service."""
 
 from __future__ import annotations
 
@@ -15,39 +15,41 @@
 log = get_log("upstreams")
 
 MASS_LAPSE_SHARE = 0.3
-"""Share of all upstreams that vanish together when the platform was away and not they: upstreams
-leave one after the other, but their entries lapse together while the platform hears nobody."""
+"""Share of all upstreams that must be missing at once to count as lapsed. Upstreams leave one by
+one, but their entries expire together while the platform is unavailable."""
 
 MASS_LAPSE_MIN_COUNT = 4
-"""Upstreams that must vanish together for that; two or three may well leave at once."""
+"""Minimum number of upstreams that must be missing at once to count as lapsed."""
 
 MASS_LAPSE_WINDOW = 1.0
-"""Seconds within which entries vanish together."""
+"""Seconds within which entries count as missing at once."""
 
 LAPSE_GRACE = 2.0
-"""Seconds for which an upstream whose entry lapsed is kept: living ones are listed again within
-about 2 seconds of the platform's return, and what has left must get no calls soon after."""
+"""Seconds for which an upstream with a lapsed entry is kept. Live ones are listed again within that
+time."""
 
 
 MAX_REMOVED_BIRTHS = 2000
-"""Upstreams that are gone of which the start is remembered, so that a late word of theirs does not
-bring them back; the users' largest sites lose some hundreds a day."""
+"""Maximum number of removed upstreams whose start times are kept, to ignore late entries of
+theirs."""
 
 
 class UpstreamList(Part, UpstreamSource):
     """All upstreams, by id and by service.
 
     Args:
-        data_centre: Where this VM is.
-        decisions: Where changes of what is believed are written.
-        on_retire: Called with an upstream that gets no more work.
+        data_centre: Data centre of this VM.
+        on_retire: Called with an upstream that gets no more calls.
 
     Attributes:
         version: The platform's version of the list, None before the first.
-        changes: Grows with each change of who may get work.
-        removed_births: When the upstreams that are gone began, by id.
-        configured_services: The services that the configuration names, None before it is known.
-        configured_count: Upstreams of those services. Entries of others may be anybody's invention.
+        generation: Number of changes to the upstreams that may get calls.
+        lapse_window_end: Missing entries count as lapsed until then, in seconds on the clock.
+        recently_missing: Times and ids of the latest missing entries of configured services.
+        lapsed: Upstreams whose entries have lapsed.
+        removed_births: Start times of removed upstreams, by id.
+        configured_services: Services that the configuration names, None before it is known.
+        configured_count: Number of upstreams of these services.
     """
 
     name = "upstreams"
@@ -76,11 +78,11 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Return whether the platform's list has been read at all."""
+        """Return whether the platform's list has been read."""
         return self.version is not None
 
     def for_service(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that may get work."""
+        """Return the upstreams of a service that may get calls."""
         known = self.by_service.get(service, [])
         if not self.lapsed:
             return known
@@ -88,23 +90,27 @@
         return [u for u in known if u.forget_at is None or now < u.forget_at]
 
     def find_lifetime(self, name: str) -> Upstream | None:
-        """Return the upstream of which this is the present lifetime, None if it is another's."""
+        """Return the upstream whose present lifetime has this name, or None."""
         upstream = self.by_id.get(name) or self.by_id.get(name.rpartition("@")[0])
         return upstream if upstream is not None and upstream.lifetime == name else None
 
     def set_services(self, services: Iterable[str]) -> None:
-        """Take in which services the configuration names."""
+        """Set the services that the configuration names."""
         self.configured_services = frozenset(services)
         self._rebuild_index()
 
     def store_recovered(self) -> None:
-        """The platform answers again: entries that are missing now may only have lapsed."""
+        """Treat entries that are missing during the grace time as lapsed."""
         self.lapse_window_end = self.clock.now() + LAPSE_GRACE
 
     def replace(
         self, records: Iterable[UpstreamRecord], version: int, unusable: Iterable[str] = ()
     ) -> None:
-        """Take in a whole list, and the ids of entries in it that cannot be used."""
+        """Replace the whole list.
+
+        Args:
+            unusable: Ids of entries that cannot be used.
+        """
         listed = {record.id: record for record in records}
         unusable = set(unusable)
         gone = [id for id in self.by_id if id not in listed and id not in unusable]
@@ -117,10 +123,19 @@
         version: int,
         unusable: Iterable[str] = (),
     ) -> None:
-        """Take in entries that are new or changed, and the ids of those that are gone or that
-        cannot be used any more."""
+        """Apply changes of the list.
+
+        Args:
+            records: Entries that are new or changed.
+            gone: Ids of removed entries.
+            unusable: Ids of entries that cannot be used any more.
+        """
         if self.is_loaded and version < self.version:
-            log.warning("A list of version %d came after %d; not used.", version, self.version)
+            log.warning(
+                "Ignored version %d of the list of upstreams, which is older than version %d.",
+                version,
+                self.version,
+            )
             return
         self.version = version
         now = self.clock.now()
@@ -134,23 +149,24 @@
         self._rebuild_index()
 
     def expire(self) -> None:
-        """Forget upstreams whose lapsed entries have not come back; the timers call it."""
+        """Remove upstreams whose lapsed entries have not come back in time; called by a timer."""
         now = self.clock.now()
-        over = [u for u in self.lapsed if u.forget_at is not None and u.forget_at <= now]
-        for upstream in over:
+        expired = [u for u in self.lapsed if u.forget_at is not None and u.forget_at <= now]
+        for upstream in expired:
             self._remove(upstream, "its lapsed entry did not come back")
-        if over:
+        if expired:
             self._rebuild_index()
 
     def record_unhealthy(self, upstream: Upstream) -> None:
-        """An upstream called itself unwell: without an entry, that means that it is leaving."""
+        """Remove an upstream with a lapsed entry that reports itself unhealthy, since it is
+        leaving."""
         if upstream.forget_at is None or upstream.has_restarted:
             return
         self._remove(upstream, "its entry lapsed, and it says that it is leaving")
         self._rebuild_index()
 
     def record_replacement(self, upstream: Upstream) -> None:
-        """Another upstream answered at its address: it is gone, whatever the list says."""
+        """Retire an upstream at whose address another one answered, even while it is listed."""
         if upstream.replaced:
             return
         upstream.replaced = True
@@ -178,11 +194,11 @@
         if known is None:
             self._add(record, now)
             return
-        began = record.draining and not known.record.draining
+        drain_started = record.draining and not known.record.draining
         if record.address != known.address:
             self.on_retire(known)
         known.update_record(record, now)
-        if began:
+        if drain_started:
             self.decisions.event("upstream-drains", upstream=record.id, version=self.version)
             self.on_retire(known)
 
@@ -194,20 +210,23 @@
         )
 
     def _end_lifetime(self, upstream: Upstream) -> None:
-        """An upstream has started again: what was known of it, and is open there, is over."""
+        """Retire the earlier lifetime of an upstream that has started again."""
         upstream.has_restarted = True
         self.decisions.event("upstream-restarted", upstream=upstream.id, version=self.version)
         self.on_retire(upstream)
 
     def _handle_missing(self, ids: list[str], now: float) -> None:
-        """Entries are gone: forget the upstreams, or keep them a while if they only lapsed."""
+        """Remove upstreams whose entries are gone, but keep those for a while that may have
+        lapsed."""
         self.recently_missing = [
-            v for v in self.recently_missing if now - v[0] <= MASS_LAPSE_WINDOW
+            m for m in self.recently_missing if now - m[0] <= MASS_LAPSE_WINDOW
         ]
         self.recently_missing += [(now, id) for id in ids if self._is_configured(self.by_id[id])]
-        known = max(self.configured_count, len(self.recently_missing))
-        many = len(self.recently_missing) >= max(MASS_LAPSE_MIN_COUNT, MASS_LAPSE_SHARE * known)
-        if many:
+        total = max(self.configured_count, len(self.recently_missing))
+        is_mass_lapse = len(self.recently_missing) >= max(
+            MASS_LAPSE_MIN_COUNT, MASS_LAPSE_SHARE * total
+        )
+        if is_mass_lapse:
             self.lapse_window_end = max(self.lapse_window_end, now + LAPSE_GRACE)
         for id in ids:
             upstream = self.by_id[id]
@@ -248,9 +267,9 @@
 
 
 def is_older(born: int | None, latest: int | None) -> bool:
-    """Return whether an entry speaks of an earlier lifetime than the latest that is known.
+    """Return whether an entry belongs to an earlier lifetime than the latest known one.
 
-    An entry that tells no start, of an upstream that has told one, is not its own word.
+    Once an upstream has had an entry with a start time, entries without one are ignored.
     """
     if latest is None:
         return False
@@ -258,7 +277,7 @@
 
 
 def describe(upstream: Upstream, now: float) -> dict:
-    """Return what is known of an upstream, for people."""
+    """Return an upstream's state for the state dump."""
     stats = upstream.stats
     return {
         "service": upstream.record.service,
--- a/sequoiabridge/tests/relay/test_reloading.py
+++ b/sequoiabridge/tests/relay/test_reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the daemon runs."""
+"""Reloading settings while the daemon runs."""
 
 import json
 
@@ -24,13 +24,13 @@
 
 
 class Store:
-    """Has an address."""
+    """A store's client with an address."""
 
     address = ""
 
 
 def build_reloader(tmp_path):
-    """Return a watch over a file, the file, the store and the log's lines."""
+    """Return a reloader, its file, its store and the log's lines."""
     file = tmp_path / "vm.ini"
     file.write_text(SETTINGS_TEXT.format(port=5))
     log, lines = decision_log()
@@ -40,14 +40,14 @@
 
 
 def change(file, text):
-    """Write the file so that its time differs."""
+    """Write the file with another modification time."""
     import os
 
     file.write_text(text)
     os.utime(file, ns=(1, 1))
 
 
-def test_a_changed_file_is_taken_in_without_a_signal_and_an_unchanged_one_is_not(tmp_path):
+def test_only_a_changed_file_is_reloaded_without_a_signal(tmp_path):
     reloader, file, store, lines = build_reloader(tmp_path)
     reloader.poll()
     assert lines == [] and store.address == ""
@@ -58,14 +58,14 @@
     assert [json.loads(line)["event"] for line in lines] == ["reload"]
 
 
-def test_a_signal_reads_the_file_again_even_if_it_is_the_same(tmp_path):
+def test_a_signal_reloads_an_unchanged_file(tmp_path):
     reloader, _, store, lines = build_reloader(tmp_path)
     reloader.reload_requested = True
     reloader.poll()
     assert store.address == "127.0.0.1:5" and len(lines) == 1
 
 
-def test_settings_that_are_not_valid_are_refused_and_the_old_ones_stay(tmp_path):
+def test_invalid_settings_are_refused_and_the_old_ones_stay(tmp_path):
     reloader, file, store, lines = build_reloader(tmp_path)
     change(file, SETTINGS_TEXT.format(port=9).replace("grace = 6s", "grace = soon"))
     reloader.poll()
