--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -196,7 +196,7 @@
     """Return what sending `call` to `upstream` now is likely to cost."""
     stats = upstream.stats
     report_age = now - stats.load_reported_at
-    slowdown, queue_position = _load(upstream, report_age)
+    slowdown, queue_position = _slowdown_and_queue_position(upstream, report_age)
     processing_time = call.work * slowdown * stats.latency_ratio_at(now)
     if now < upstream.warm_at:
         processing_time *= COLD_START_FACTOR
@@ -207,8 +207,8 @@
         1.0 + REMAINING_WORK_SHARE * max(0, queue_position) / slots
     )
     late_probability = exceed_probability(expected_duration, call.time_to_target)
-    failure = stats.failure_rate(now)
-    cost = failure + (1.0 - failure) * LATE_COST * late_probability
+    failure_rate = stats.failure_rate(now)
+    cost = failure_rate + (1.0 - failure_rate) * LATE_COST * late_probability
     cost += DURATION_COST * expected_duration / call.target_latency
     displacement_cost = 0.0
     if call.is_late:
@@ -271,7 +271,7 @@
     return 1.0 / (1.0 + exp(-distance * 1.7))
 
 
-def _load(upstream: Upstream, report_age: float) -> tuple[float, int]:
+def _slowdown_and_queue_position(upstream: Upstream, report_age: float) -> tuple[float, int]:
     """Return the slowdown, and how many requests a new one would wait for.
 
     0 means that it gets the last free slot, a negative number that some slots stay free.
@@ -306,7 +306,7 @@
         return True
     if call.is_late:
         return True
-    slow_anyway = (
+    slow_without_queue = (
         exceed_probability(best.processing_time, call.time_to_target) > MAX_LATE_PROBABILITY
     )
-    return best.late_probability > MAX_LATE_PROBABILITY and not slow_anyway
+    return best.late_probability > MAX_LATE_PROBABILITY and not slow_without_queue
