--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -1,4 +1,4 @@
-"""The pure decisions of the path of calls: budget, allowance, evidence, choice, splitting."""
+"""Tests of the balancing decisions: limits, statistics, cost model, candidates and splitting."""
 
 from random import Random
 
@@ -31,10 +31,10 @@
 )
 
 
-def test_repeats_of_a_fleet_stay_under_its_limit_however_calls_are_spread():
+def test_retries_of_a_fleet_stay_within_its_limit_when_load_is_uneven():
     random, now = Random(5), 0.0
     fleet = [RetryBudget(0.2, 10.0, 56) for _ in range(13)]
-    calls, repeats = [], []
+    calls, retries = [], []
     for _ in range(6000):
         now += random.expovariate(60)
         budget = fleet[min(12, int(random.expovariate(0.3)))]
@@ -42,23 +42,23 @@
         calls.append(now)
         for _ in range(3):
             if budget.take(now):
-                repeats.append(now)
-    for start in repeats:
-        sent = sum(start <= at < start + 10 for at in repeats)
+                retries.append(now)
+    for start in retries:
+        sent = sum(start <= at < start + 10 for at in retries)
         counted = max(
             sum(start - back <= at < start - back + 10 for at in calls) for back in (0, 5, 10)
         )
         assert sent <= 0.2 * counted + 56
 
 
-def test_a_quiet_vm_may_repeat_a_call_but_not_all_calls():
+def test_a_vm_with_few_calls_may_send_one_retry_per_window():
     budget = RetryBudget(0.2, 10.0, 56)
     budget.record_call(1.0)
     assert [budget.take(1.0 + n / 10) for n in range(3)] == [True, False, False]
     assert budget.take(11.2)
 
 
-def test_the_fleet_keeps_to_the_limit_on_health_checks_over_a_day():
+def test_the_probes_of_a_fleet_stay_within_its_rate_limit():
     fleet, sent = [ProbeRateLimiter(60.0) for _ in range(18)], 0
     for probe_limiter in fleet:
         probe_limiter.vm_count = 18
@@ -69,25 +69,25 @@
     assert sent / 37 / 30.0 >= 60.0 * USED_SHARE * 0.9
 
 
-def test_the_cheapest_upstream_is_the_one_that_is_likely_to_answer_in_time():
+def test_upstreams_that_are_slow_full_or_remote_cost_more_than_an_idle_one():
     idle, noisy = upstream("idle"), upstream("noisy", load=(0, 0, 2, 7.0))
-    full, far = upstream("full", load=(2, 2, 2, 1.0)), upstream("far", near=False)
-    costs = {u.id: estimate_cost(CALL, u, 0.01).cost for u in (idle, noisy, full, far)}
-    assert costs["idle"] < costs["far"] < costs["full"] < costs["noisy"]
+    full, remote = upstream("full", load=(2, 2, 2, 1.0)), upstream("remote", near=False)
+    costs = {u.id: estimate_cost(CALL, u, 0.01).cost for u in (idle, noisy, full, remote)}
+    assert costs["idle"] < costs["remote"] < costs["full"] < costs["noisy"]
 
 
-@pytest.mark.parametrize("hurt", ["failed", "silent", "unwell", "overdue", "slow", "sent"])
-def test_each_kind_of_bad_evidence_makes_an_upstream_dearer(hurt):
+@pytest.mark.parametrize("sign", ["failed", "unresponsive", "unhealthy", "overdue", "slow", "sent"])
+def test_each_sign_of_trouble_raises_the_cost_of_an_upstream(sign):
     good, bad = upstream("good"), upstream("bad")
-    if hurt == "failed":
+    if sign == "failed":
         bad.stats.record_failure(0.0)
-    elif hurt == "silent":
+    elif sign == "unresponsive":
         bad.stats.record_probe_failure(0.0)
-    elif hurt == "unwell":
+    elif sign == "unhealthy":
         bad.stats.record_probe_answer(healthy=False)
-    elif hurt == "overdue":
+    elif sign == "overdue":
         bad.stats.add_open_call(OpenCall(-1.0, 0.1))
-    elif hurt == "slow":
+    elif sign == "slow":
         for _ in range(3):
             bad.stats.record_latency_ratio(5.0, 0.0)
     else:
@@ -95,7 +95,7 @@
     assert estimate_cost(CALL, bad, 0.01).cost > estimate_cost(CALL, good, 0.01).cost
 
 
-def test_bad_evidence_fades_so_that_a_mended_upstream_comes_back():
+def test_failures_and_slow_calls_decay_so_that_a_recovered_upstream_is_used_again():
     bad = upstream("bad")
     for _ in range(5):
         bad.stats.record_failure(0.0)
@@ -105,7 +105,7 @@
     assert bad.stats.latency_ratio_at(20.0) < 1.1
 
 
-def test_one_slow_call_does_not_condemn_an_upstream_and_three_do():
+def test_one_slow_call_has_little_effect_and_three_mark_an_upstream_as_slow():
     one = upstream("one")
     one.stats.record_latency_ratio(7.0, 0.0)
     assert one.stats.latency_ratio_at(0.0) < 2.0
@@ -114,7 +114,7 @@
     assert one.stats.latency_ratio_at(0.0) > 3.0
 
 
-def test_a_silent_upstream_is_asked_again_after_a_pause_that_grows():
+def test_an_unresponsive_upstream_is_probed_again_with_backoff():
     stats = upstream().stats
     stats.record_probe_failure(0.0)
     assert stats.is_unresponsive(0.1) and not stats.is_probe_due(0.1)
@@ -125,19 +125,19 @@
     assert not stats.is_unresponsive(0.9)
 
 
-def test_an_open_health_check_that_takes_long_says_silence_before_it_ends():
+def test_an_upstream_is_unresponsive_while_an_open_probe_takes_too_long():
     stats = upstream().stats
     stats.record_probe_sent(1.0)
     assert not stats.is_unresponsive(1.01) and stats.is_unresponsive(1.1)
 
 
-def test_a_call_is_not_sent_into_a_queue_that_alone_makes_it_late():
+def test_a_call_is_not_sent_into_a_queue_that_would_make_it_late():
     queued, noisy = upstream(load=(2, 4, 2, 1.0)), upstream(load=(2, 0, 2, 7.0))
     free = upstream(load=(1, 0, 2, 1.0))
     assert lacks_capacity(CALL, estimate_cost(CALL, queued, 0.01))
     assert not lacks_capacity(
         CALL, estimate_cost(CALL, noisy, 0.01)
-    ), "late anywhere: it may wait its turn"
+    ), "late without the queue as well"
     assert not lacks_capacity(CALL, estimate_cost(CALL, free, 0.01))
     late = CallRequirements(
         work=0.1,
@@ -151,28 +151,28 @@
     assert lacks_capacity(late, estimate_cost(late, upstream(load=(2, 1, 2, 1.0)), 0.01))
 
 
-def coming_back(overload_ratio, time_to_deadline=0.9):
+def late_call(overload_ratio, time_to_deadline=0.9):
     return CallRequirements(0.1, -0.1, 0.4, 0.0, time_to_deadline, overload_ratio)
 
 
-def test_a_call_that_comes_back_late_leaves_fast_places_to_others_while_they_are_scarce():
+def test_a_late_call_leaves_fast_upstreams_to_other_calls_under_overload():
     fast, slowed = upstream("fast"), upstream("slowed", load=(0, 0, 2, 6.0))
 
     def chosen(call):
         return min((estimate_cost(call, one, 0.01) for one in (fast, slowed)), key=lambda w: w.cost)
 
-    assert chosen(coming_back(overload_ratio=0.0)).upstream is fast
-    assert chosen(coming_back(overload_ratio=0.9)).upstream is slowed
+    assert chosen(late_call(overload_ratio=0.0)).upstream is fast
+    assert chosen(late_call(overload_ratio=0.9)).upstream is slowed
     assert (
-        chosen(coming_back(overload_ratio=0.9, time_to_deadline=0.4)).upstream is fast
-    ), "slowed is too slow"
+        chosen(late_call(overload_ratio=0.9, time_to_deadline=0.4)).upstream is fast
+    ), "the slowed one would miss the deadline"
 
 
-def test_a_call_that_comes_back_late_gets_no_place_that_others_would_be_in_time_at():
+def test_a_late_call_takes_no_slot_under_overload_at_which_other_calls_would_be_in_time():
     fast, slowed = upstream("fast"), upstream("slowed", load=(0, 0, 2, 6.0))
-    crowded, calm = coming_back(overload_ratio=0.9), coming_back(overload_ratio=0.2)
-    assert lacks_capacity(crowded, estimate_cost(crowded, fast, 0.01))
-    assert not lacks_capacity(crowded, estimate_cost(crowded, slowed, 0.01))
+    overloaded, calm = late_call(overload_ratio=0.9), late_call(overload_ratio=0.2)
+    assert lacks_capacity(overloaded, estimate_cost(overloaded, fast, 0.01))
+    assert not lacks_capacity(overloaded, estimate_cost(overloaded, slowed, 0.01))
     assert not lacks_capacity(calm, estimate_cost(calm, fast, 0.01))
 
 
@@ -190,14 +190,14 @@
     assert abs(counts["s1"] / 1200 - 0.1) < 0.03
 
 
-def test_new_weights_count_from_their_first_call_and_a_single_service_gets_all():
+def test_new_weights_apply_from_the_next_call_and_a_single_service_gets_all_calls():
     splitter = Splitter(Random(1))
     assert {splitter.service_for(route(50, 50)) for _ in range(4)} == {"s0", "s1"}
     assert {splitter.service_for(route(100, 0)) for _ in range(20)} == {"s0"}
     assert splitter.service_for(route(1)) == "s0"
 
 
-def test_a_vm_looks_at_a_part_of_a_large_service_that_stays_when_others_come():
+def test_the_subset_of_a_large_service_is_stable_when_upstreams_join():
     log, _ = decision_log()
     known = UpstreamList("here", ManualClock(), log, lambda u: None)
     known.update([record(f"u{n}") for n in range(40)], [], 1)
@@ -210,34 +210,37 @@
     assert len(before & after) >= MAX_LOCAL - 1
 
 
-FOUR = (3, 0, 4, 1.0)
-"""The load of an upstream with one slot of four left."""
+LAST_OF_FOUR = (3, 0, 4, 1.0)
+"""Load of an upstream with one free slot of four."""
 
 
-def wide(id, load):
-    """Return an upstream of four slots that has just told its load."""
+def four_slots(id, load):
+    """Return an upstream with four slots and a new load report."""
     made = upstream(id, load=load)
     made.record.slots = 4
     return made
 
 
-def needs(overload_ratio, time_to_target=0.4):
+def requirements(overload_ratio, time_to_target=0.4):
     return CallRequirements(0.1, time_to_target, 0.4, 0.04, 1.2, overload_ratio)
 
 
-def test_the_last_of_four_slots_is_left_free_when_places_are_scarce():
-    last, noisy = wide("last", FOUR), wide("noisy", (1, 0, 4, 2.0))
-    assert not lacks_capacity(needs(0.1), estimate_cost(needs(0.1), last, 0.01))
-    assert lacks_capacity(needs(0.8), estimate_cost(needs(0.8), last, 0.01))
-    assert estimate_cost(needs(0.1), noisy, 0.01).cost < estimate_cost(needs(0.1), last, 0.01).cost
+def test_the_last_of_four_slots_is_left_free_under_overload():
+    last, noisy = four_slots("last", LAST_OF_FOUR), four_slots("noisy", (1, 0, 4, 2.0))
+    assert not lacks_capacity(requirements(0.1), estimate_cost(requirements(0.1), last, 0.01))
+    assert lacks_capacity(requirements(0.8), estimate_cost(requirements(0.8), last, 0.01))
+    assert (
+        estimate_cost(requirements(0.1), noisy, 0.01).cost
+        < estimate_cost(requirements(0.1), last, 0.01).cost
+    )
 
 
-def test_of_two_slots_the_last_one_does_more_than_it_costs_however_scarce_places_are():
+def test_the_last_of_two_slots_is_used_under_any_overload():
     last = upstream("last", load=(1, 0, 2, 1.0))
-    assert not lacks_capacity(needs(1.0), estimate_cost(needs(1.0), last, 0.01))
+    assert not lacks_capacity(requirements(1.0), estimate_cost(requirements(1.0), last, 0.01))
 
 
-def test_a_single_slot_and_a_free_one_cost_the_others_nothing():
+def test_a_single_slot_and_a_slot_that_is_not_the_last_have_no_saturation_cost():
     assert cost_of_saturation(1, 0, 1.0) == cost_of_saturation(4, -1, 1.0) == 0.0
     assert (
         cost_of_saturation(4, 0, 1.0)
@@ -247,13 +250,13 @@
     )
 
 
-def test_no_call_goes_into_a_queue_or_last_slot_on_an_old_word():
+def test_no_call_queues_or_takes_the_last_slot_on_an_old_load_report():
     last, free = upstream("last", load=(1, 0, 2, 1.0)), upstream("free", load=(0, 0, 2, 1.0))
-    for age, crowded in ((MAX_OCCUPANCY_AGE / 2, False), (MAX_OCCUPANCY_AGE * 2, True)):
-        assert lacks_capacity(CALL, estimate_cost(CALL, last, age)) is crowded
+    for age, overloaded in ((MAX_OCCUPANCY_AGE / 2, False), (MAX_OCCUPANCY_AGE * 2, True)):
+        assert lacks_capacity(CALL, estimate_cost(CALL, last, age)) is overloaded
         assert not lacks_capacity(CALL, estimate_cost(CALL, free, age))
-    untold = upstream("untold", load=None)
-    untold.stats.add_open_call(OpenCall(0.0, 0.1))
+    unreported = upstream("unreported", load=None)
+    unreported.stats.add_open_call(OpenCall(0.0, 0.1))
     assert not lacks_capacity(
-        needs(0.0, 9.0), estimate_cost(needs(0.0, 9.0), untold, 0.01)
+        requirements(0.0, 9.0), estimate_cost(requirements(0.0, 9.0), unreported, 0.01)
     ), "no load report"
--- a/sequoiabridge/tests/balancing/test_dispatch.py
+++ b/sequoiabridge/tests/balancing/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The way of a call as steps, taken by hand: no network, no time but the test's own."""
+"""Tests of Dispatch.run, driven step by step with a manual clock and without a network."""
 
 from random import Random
 
@@ -20,8 +20,8 @@
 from ..relay.fakes import decision_log, record
 
 
-class Deaf(UpstreamObserver):
-    """Passes nothing on."""
+class NullObserver(UpstreamObserver):
+    """Ignores all observations."""
 
     def record_load_report(self, upstream, load):
         pass
@@ -33,8 +33,8 @@
         pass
 
 
-class Walk:
-    """One call's way over some upstreams of one service."""
+class CallDriver:
+    """Performs the steps of one call to a service."""
 
     def __init__(self, upstreams=4, idempotent=True, max_attempts=2):
         self.clock = ManualClock(100.0)
@@ -46,7 +46,7 @@
         self.dispatch = Dispatch(
             chooser,
             Hedging(chooser, route_stats, self.clock),
-            AttemptRecorder(route_stats, Deaf()),
+            AttemptRecorder(route_stats, NullObserver()),
             self.clock,
             lambda: RetryBudget(0.2, 10.0, 1000),
         )
@@ -54,73 +54,75 @@
         route = Route("r", b"/", idempotent, 2.0, 0.5, max_attempts, 1, (Target("s", 1.0),))
         self.call.apply_route(route, 2.0)
         self.call.service = "s"
-        self.way = self.dispatch.run(self.call)
-        self.step = next(self.way)
+        self.steps = self.dispatch.run(self.call)
+        self.step = next(self.steps)
 
-    def go_on(self, found=None):
-        """Send what came of the step, and pass over steps that only ask."""
-        self.step = self.way.send(found)
+    def resume(self, result=None):
+        """Send the result of the current step; return the next step."""
+        self.step = self.steps.send(result)
         return self.step
 
-    def until(self, kind):
-        """Answer steps with nothing until one of a kind comes; waiting takes its time."""
+    def run_until(self, kind):
+        """Answer steps with None until one of type `kind` is reached; `Wait` advances the clock."""
         for _ in range(50):
             if isinstance(self.step, kind):
                 return self.step
             if isinstance(self.step, Wait):
                 self.clock.advance(max(0.0, self.step.until - self.clock.now()))
-            self.go_on()
+            self.resume()
         raise AssertionError(f"no {kind.__name__} within 50 steps")
 
     def start(self):
-        """Let the call be sent; return the attempt."""
-        attempt = CallAttempt(self.until(Send).estimate, self.clock.now())
+        """Run until the call is sent; return the attempt."""
+        attempt = CallAttempt(self.run_until(Send).estimate, self.clock.now())
         attempt.sent = True
-        self.go_on(attempt)
+        self.resume(attempt)
         return attempt
 
     def end(self, attempt, ending, status=0):
-        """Let an attempt end and tell the way so; return its result once it has one."""
+        """End an attempt; return the result of the call, None while it has none."""
         attempt.ending, attempt.status, attempt.ended_at = ending, status, self.clock.now()
-        self.until(Wait)
+        self.run_until(Wait)
         try:
-            self.go_on(attempt)
+            self.resume(attempt)
         except StopIteration as end:
             return end.value
         return None
 
 
-def test_an_answer_that_is_ready_is_delivered_though_the_other_attempt_failed_at_that_moment():
-    walk = Walk()
-    first = walk.start()
-    second = walk.start()
-    assert walk.call.open_attempts == [first, second]
+def test_a_finished_answer_is_returned_although_the_other_attempt_fails_at_the_same_time():
+    driver = CallDriver()
+    first = driver.start()
+    second = driver.start()
+    assert driver.call.open_attempts == [first, second]
     second.ending, second.status = Ending.ANSWERED, 200
-    assert walk.end(first, Ending.BROKEN) is None
-    assert isinstance(walk.step, Wait), "it waits for the one that is open in its eyes"
-    assert walk.end(second, Ending.ANSWERED, 200) is second
+    assert driver.end(first, Ending.BROKEN) is None
+    assert isinstance(
+        driver.step, Wait
+    ), "it waits for the second attempt, whose end it has not processed"
+    assert driver.end(second, Ending.ANSWERED, 200) is second
 
 
-def test_a_call_that_may_run_once_and_may_have_run_is_not_sent_again():
-    walk = Walk(idempotent=False)
+def test_a_call_that_is_not_idempotent_is_not_retried_after_it_may_have_run():
+    driver = CallDriver(idempotent=False)
     with pytest.raises(Refusal) as refused:
-        walk.end(walk.start(), Ending.BROKEN)
+        driver.end(driver.start(), Ending.BROKEN)
     assert refused.value.status == 502
-    walk = Walk(idempotent=False)
-    walk.end(walk.start(), Ending.NOT_RUN)
-    assert walk.start().upstream.id != walk.call.attempts[0].upstream.id
+    driver = CallDriver(idempotent=False)
+    driver.end(driver.start(), Ending.NOT_RUN)
+    assert driver.start().upstream.id != driver.call.attempts[0].upstream.id
 
 
-def test_an_attempt_whose_upstream_started_again_is_given_up():
-    walk = Walk(upstreams=1)
-    attempt = walk.start()
-    walk.known.update([record("u0", born=2)], [], 2)
-    assert walk.until(CancelAttempt).attempt is attempt
+def test_an_attempt_at_a_restarted_upstream_is_cancelled():
+    driver = CallDriver(upstreams=1)
+    attempt = driver.start()
+    driver.known.update([record("u0", born=2)], [], 2)
+    assert driver.run_until(CancelAttempt).attempt is attempt
     with pytest.raises(Refusal):
-        walk.end(attempt, Ending.RESTARTED)
+        driver.end(attempt, Ending.RESTARTED)
 
 
-def test_the_least_bad_failure_of_an_upstream_is_the_answer_when_nothing_is_left():
-    walk = Walk(max_attempts=1)
-    attempt = walk.start()
-    assert walk.end(attempt, Ending.ANSWERED, 500) is attempt
+def test_a_failure_answer_of_the_upstream_is_returned_when_no_attempt_is_left():
+    driver = CallDriver(max_attempts=1)
+    attempt = driver.start()
+    assert driver.end(attempt, Ending.ANSWERED, 500) is attempt
