--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -271,7 +271,7 @@
             await curio.spawn(follower.run(), daemon=True)
         await curio.spawn(self.watchers.run(), daemon=True)
         await self.operators.start()
-        self.sharing.channel.bind(self.members.local.address)
+        self.sharing.channel.bind(self.members.own_hello.address)
         await curio.spawn(self.sharing.channel.run(), daemon=True)
         await curio.spawn(self.members.join(), daemon=True)
         self._schedule_periodic_work()
--- a/sequoiabridge/relay/channel.py
+++ b/sequoiabridge/relay/channel.py
@@ -38,8 +38,7 @@
         self.unreadable = 0
 
     def bind(self, address: str) -> None:
-        """Bind the socket to `address` ("IP:port"). If that fails, the daemon runs without
-        peers."""
+        """Bind the socket to `address` ("IP:port"); on failure, the daemon runs without peers."""
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -42,13 +42,13 @@
 
 
 class Update(Generic[Entry]):
-    """Changes of a feed, decoded.
+    """Decoded changes of a feed.
 
     Attributes:
-        version: Version of the store that the update leads to.
-        entries: Entries that are new or changed; all of them after a full read.
+        version: Version of the store after the changes.
+        entries: Entries that are new or changed; all entries after a full read.
         removed: Keys of removed entries.
-        problems: Errors of entries that cannot be used, which may replace usable ones.
+        problems: Errors of entries that cannot be used, including entries that were usable before.
     """
 
     __slots__ = ("version", "entries", "removed", "problems")
@@ -308,8 +308,7 @@
         self.entry_errors.record(self.feed.name, update.problems)
 
     def _history_lost(self) -> float:
-        """Schedule a full read; return the seconds until then, 0 unless history was lost in a
-        row."""
+        """Schedule a full read; return the seconds until then, 0 unless calls failed before."""
         self.decisions.event("history-lost", feed=self.feed.name, version=self.version)
         self.version = None
         delay = 0.0 if not self.failures else FIRST_RETRY_DELAY * 2**self.failures
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -41,7 +41,7 @@
     """The peers that this daemon knows.
 
     Args:
-        local: This daemon.
+        own_hello: Hello of this daemon.
         send_hello: Sends a hello to an address.
         first_start: The whole fleet starts for the first time, so that this daemon has no row yet.
 
@@ -49,8 +49,8 @@
         joined: The table has been read, and the peers are known.
         join_failed: An attempt to join has failed, so that peers may be unknown for some time.
         peers: The other daemons, by VM.
-        near_addresses: Addresses of the peers in this data centre.
-        far_addresses: Addresses of the other peers.
+        local_addresses: Addresses of the peers in this data centre.
+        remote_addresses: Addresses of the other peers.
         sharing_addresses: Addresses of the peers that get each call and load report.
     """
 
@@ -58,14 +58,14 @@
 
     def __init__(
         self,
-        local: Hello,
+        own_hello: Hello,
         tables: Tables,
         decisions: DecisionLog,
         random: Random,
         send_hello: Callable[[Hello, str], None],
         first_start: bool,
     ):
-        self.local = local
+        self.own_hello = own_hello
         self.tables = tables
         self.decisions = decisions
         self.random = random
@@ -75,9 +75,9 @@
         self.joined = False
         self.join_failed = False
         self.peers: dict[str, Hello] = {}
-        self.near_addresses: list[str] = []
+        self.local_addresses: list[str] = []
         self.sharing_addresses: list[str] = []
-        self.far_addresses: list[str] = []
+        self.remote_addresses: list[str] = []
         self.all_addresses: list[str] = []
 
     @property
@@ -109,14 +109,14 @@
         for other in rows.rows:
             self._add_row(other.key, other.value)
         for address in self.all_addresses:
-            self.send_hello(self.local, address)
+            self.send_hello(self.own_hello, address)
         self.joined = True
-        self.decisions.event("joined", members=self.count, near=len(self.near_addresses))
+        self.decisions.event("joined", members=self.count, near=len(self.local_addresses))
 
     def _own_row(self) -> Write:
-        local = self.local
-        row = {"address": local.address, "data_centre": local.data_centre, "link": local.link}
-        return Write(TABLE, "", local.vm, json.dumps(row).encode())
+        own = self.own_hello
+        row = {"address": own.address, "data_centre": own.data_centre, "link": own.link}
+        return Write(TABLE, "", own.vm, json.dumps(row).encode())
 
     def _add_row(self, vm: str, value: bytes | None) -> None:
         try:
@@ -128,17 +128,17 @@
 
     def add_peer(self, hello: Hello) -> None:
         """Add a daemon, or replace it if its address has changed."""
-        if hello.vm == self.local.vm:
+        if hello.vm == self.own_hello.vm:
             return
         known = self.peers.get(hello.vm)
         if known is not None and known.address == hello.address:
             return
         self.peers[hello.vm] = hello
         self.all_addresses = [other.address for other in self.peers.values()]
-        near = [o for o in self.peers.values() if o.data_centre == self.local.data_centre]
-        self.near_addresses = [other.address for other in near]
-        self.sharing_addresses = self.near_addresses if len(near) <= MAX_SHARING_PEERS else []
-        self.far_addresses = [o.address for o in self.peers.values() if o not in near]
+        local = [o for o in self.peers.values() if o.data_centre == self.own_hello.data_centre]
+        self.local_addresses = [other.address for other in local]
+        self.sharing_addresses = self.local_addresses if len(local) <= MAX_SHARING_PEERS else []
+        self.remote_addresses = [o.address for o in self.peers.values() if o not in local]
 
     def dump(self) -> dict:
         """Describe the members for the state dump."""
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -25,9 +25,8 @@
 """Seconds within which entries count as missing at once."""
 
 LAPSE_GRACE = 2.0
-"""Seconds for which an upstream with a lapsed entry is kept. Live ones are listed again within that
-time."""
-
+"""Seconds for which an upstream with a lapsed entry is kept; live ones are listed again
+meanwhile."""
 
 MAX_REMOVED_BIRTHS = 2000
 """Maximum number of removed upstreams whose start times are kept, to ignore late entries of
@@ -158,8 +157,7 @@
             self._rebuild_index()
 
     def record_unhealthy(self, upstream: Upstream) -> None:
-        """Remove an upstream with a lapsed entry that reports itself unhealthy, since it is
-        leaving."""
+        """Remove an upstream that reports itself unhealthy while its entry has lapsed."""
         if upstream.forget_at is None or upstream.has_restarted:
             return
         self._remove(upstream, "its entry lapsed, and it says that it is leaving")
@@ -203,8 +201,8 @@
             self.on_retire(known)
 
     def _add(self, record: UpstreamRecord, now: float) -> None:
-        near = record.data_centre == self.data_centre
-        self.by_id[record.id] = Upstream(record, near, now)
+        is_local = record.data_centre == self.data_centre
+        self.by_id[record.id] = Upstream(record, is_local, now)
         self.decisions.event(
             "upstream-joined", upstream=record.id, service=record.service, born=record.born
         )
@@ -216,8 +214,7 @@
         self.on_retire(upstream)
 
     def _handle_missing(self, ids: list[str], now: float) -> None:
-        """Remove upstreams whose entries are gone, but keep those for a while that may have
-        lapsed."""
+        """Remove upstreams whose entries are gone; keep those for a while that may have lapsed."""
         self.recently_missing = [
             m for m in self.recently_missing if now - m[0] <= MASS_LAPSE_WINDOW
         ]
--- a/sequoiabridge/relay/watchers.py
+++ b/sequoiabridge/relay/watchers.py
@@ -41,7 +41,7 @@
 """Seconds between two checks during a daemon's start, and the seconds that the start lasts."""
 
 HEARTBEAT_TIMEOUT = 1.5
-"""Seconds without a heartbeat after which a watcher of the same data centre counts as failed."""
+"""Seconds without a heartbeat after which a watcher of this data centre counts as failed."""
 
 TAKEOVER_DELAY = 0.4
 """Seconds for which there must be too few live watchers before this daemon becomes one. After a
@@ -50,10 +50,10 @@
 PEER_READ_DELAY = 0.4
 """Seconds that a watcher waits for a newer version from the store before it asks a peer for it."""
 
-FAR_HEARTBEAT_RATIO = 4
+REMOTE_HEARTBEAT_RATIO = 4
 """Number of heartbeats of which one is sent to the other data centres, where traffic is charged."""
 
-FAR_HEARTBEAT_TIMEOUT = 4.0
+REMOTE_HEARTBEAT_TIMEOUT = 4.0
 """Seconds without a heartbeat after which a watcher of another data centre counts as failed."""
 
 MAX_WATCHERS_WITHOUT_STORE = 4
@@ -143,22 +143,21 @@
         """Send the versions of the feeds to the peers if this daemon is a watcher.
 
         The heartbeat has no versions while the store is unavailable. Peers of the same data centre
-        get each heartbeat; the others get one in `FAR_HEARTBEAT_RATIO`, from the first watcher
+        get each heartbeat; the others get one in `REMOTE_HEARTBEAT_RATIO`, from the first watcher
         only.
         """
         heartbeat = self._own_heartbeat()
         if heartbeat is None:
             return
-        self.channel.send(heartbeat, self.members.near_addresses)
+        self.channel.send(heartbeat, self.members.local_addresses)
         self.heartbeats_sent += 1
-        if self.heartbeats_sent % FAR_HEARTBEAT_RATIO == 0 and not self._count_preferred(
+        if self.heartbeats_sent % REMOTE_HEARTBEAT_RATIO == 0 and not self._count_preferred(
             self._live_heartbeats()
         ):
-            self.channel.send(heartbeat, self.members.far_addresses)
+            self.channel.send(heartbeat, self.members.remote_addresses)
 
     def _announce(self) -> None:
-        """Send a heartbeat at once after the first read of the store, since peers may wait for
-        it."""
+        """Send a heartbeat at once after the first read of the store; peers may wait for it."""
         heartbeat = None if self.has_announced else self._own_heartbeat()
         if heartbeat is not None and heartbeat.versions:
             self.has_announced = True
@@ -191,8 +190,8 @@
             versions = {name: follower.version for name, follower in followers.items()}
         if None in versions.values():
             return None
-        local = self.members.local
-        return Heartbeat(local.vm, local.data_centre, self.reader.own_address, versions, local.link)
+        own = self.members.own_hello
+        return Heartbeat(own.vm, own.data_centre, self.reader.own_address, versions, own.link)
 
     def _connected_heartbeats(self) -> list[Heartbeat]:
         """Return the latest heartbeats of the live watchers that can reach the store."""
@@ -200,7 +199,7 @@
 
     def _live_heartbeats(self) -> list[Heartbeat]:
         """Return the latest heartbeats of all live watchers."""
-        now, local_data_centre = self.clock.now(), self.members.local.data_centre
+        now, local_data_centre = self.clock.now(), self.members.own_hello.data_centre
         return [
             heartbeat
             for at, heartbeat in self.latest_heartbeats.values()
@@ -208,7 +207,7 @@
             <= (
                 HEARTBEAT_TIMEOUT
                 if heartbeat.data_centre == local_data_centre
-                else FAR_HEARTBEAT_TIMEOUT
+                else REMOTE_HEARTBEAT_TIMEOUT
             )
         ]
 
@@ -230,7 +229,7 @@
         elif self.shortage_since is None:
             self.shortage_since = self.clock.now()
             # Watchers that missed this daemon's hello send it no heartbeats.
-            self.channel.send(self.members.local, self.members.near_addresses)
+            self.channel.send(self.members.own_hello, self.members.local_addresses)
         for follower in self.followers.values():
             follower.slow_retries = self.members.joined and not default_watcher
         shortage_duration = (
@@ -247,17 +246,17 @@
 
     def _count_preferred(self, heartbeats: list[Heartbeat]) -> int:
         """Return how many of the senders are in this data centre and rank before this daemon."""
-        local = self.members.local
-        rank = rank_of(local)
-        return sum(h.data_centre == local.data_centre and rank_of(h) < rank for h in heartbeats)
+        own = self.members.own_hello
+        rank = rank_of(own)
+        return sum(h.data_centre == own.data_centre and rank_of(h) < rank for h in heartbeats)
 
     def _is_default_watcher(self) -> bool:
         """Return whether this daemon is a watcher as long as no daemon has failed."""
         if not self.members.joined:
             return False
-        local = self.members.local
-        near = [h for h in self.members.peers.values() if h.data_centre == local.data_centre]
-        return sum(rank_of(other) < rank_of(local) for other in near) < WATCHERS_PER_DATA_CENTRE
+        own = self.members.own_hello
+        local = [h for h in self.members.peers.values() if h.data_centre == own.data_centre]
+        return sum(rank_of(other) < rank_of(own) for other in local) < WATCHERS_PER_DATA_CENTRE
 
     async def _set_watching(self, needed: bool) -> None:
         if needed == self.watching:
@@ -268,19 +267,19 @@
             await follower.set_active(needed)
 
     def _is_sentinel(self) -> bool:
-        """Return whether this daemon polls the store with a short timeout."""
+        """Return whether this daemon is the first watcher of one of the first data centres."""
         live = self._live_heartbeats()
         if not self.watching or self._count_preferred(live):
             return False
-        local = self.members.local
+        own = self.members.own_hello
         # Only the first watcher of another data centre sends heartbeats here.
-        far = [h for h in live if h.data_centre != local.data_centre]
-        before = {h.data_centre for h in far if rank_of(h) < rank_of(local)}
+        remote = [h for h in live if h.data_centre != own.data_centre]
+        before = {h.data_centre for h in remote if rank_of(h) < rank_of(own)}
         return len(before) < SENTINEL_DATA_CENTRES
 
     async def _repoll_stale(self) -> None:
-        """Set each poll's timeout, and send again polls that were sent before the store became
-        unavailable or that are overdue."""
+        """Set each poll's timeout; repeat polls that are overdue or older than an outage of the
+        store."""
         sentinel = self._is_sentinel()
         now = self.clock.now()
         for name, follower in self.followers.items():
@@ -311,9 +310,9 @@
         await self._read_from(source)
 
     def _choose_source(self) -> Heartbeat | None:
-        """Return the heartbeat of a peer with a newer version, preferably of this data centre; None
-        if no peer has one."""
-        local = self.members.local
+        """Return the heartbeat of a peer with a newer version, or None; prefer peers of this data
+        centre."""
+        own = self.members.own_hello
         ahead = [
             heartbeat for heartbeat in self._connected_heartbeats() if self._is_newer(heartbeat)
         ]
@@ -321,8 +320,8 @@
         return min(
             ahead,
             key=lambda heartbeat: (
-                heartbeat.data_centre != local.data_centre,
-                digest(local.vm + heartbeat.vm),
+                heartbeat.data_centre != own.data_centre,
+                digest(own.vm + heartbeat.vm),
             ),
             default=None,
         )
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -13,38 +13,38 @@
     """Return a daemon's sharing with `peers` peers here and one elsewhere, its list of upstreams
     and the datagrams that it sends."""
     log, _ = decision_log()
-    known = UpstreamList("here", ManualClock(5.0), log, lambda u: None)
-    known.update([record("u"), record("far", zone="there")], [], 1)
-    sharing, datagrams = Sharing(known, ManualClock(5.0)), []
+    upstreams = UpstreamList("here", ManualClock(5.0), log, lambda u: None)
+    upstreams.update([record("u"), record("far", zone="there")], [], 1)
+    sharing, datagrams = Sharing(upstreams, ManualClock(5.0)), []
     sharing.channel.send = lambda message, to: datagrams.extend((a, message) for a in to)
     members = Members(Hello("me", "me:1", "here", 1.0), None, log, None, lambda *a: None, True)
     for number in range(peers):
         members.add_peer(Hello(f"p{number}", f"p{number}:1", "here", 1.0))
     members.add_peer(Hello("other", "other:1", "there", 1.0))
     sharing.members = members
-    return sharing, known, datagrams
+    return sharing, upstreams, datagrams
 
 
-def test_calls_and_load_reports_of_near_upstreams_are_shared_in_the_data_centre():
-    sharing, known, datagrams = fleet(3)
-    sharing.record_send(known.by_id["u"])
-    sharing.record_load_report(known.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
+def test_calls_and_load_reports_of_local_upstreams_are_shared_in_the_data_centre():
+    sharing, upstreams, datagrams = fleet(3)
+    sharing.record_send(upstreams.by_id["u"])
+    sharing.record_load_report(upstreams.by_id["u"], UpstreamLoad(1, 0, 2, 1.0))
     assert {address for address, _ in datagrams} == {"p0:1", "p1:1", "p2:1"} and len(datagrams) == 6
-    sharing.record_send(known.by_id["far"])
+    sharing.record_send(upstreams.by_id["far"])
     assert len(datagrams) == 6
 
 
 def test_large_data_centres_share_failures_but_no_calls():
-    sharing, known, datagrams = fleet(MAX_SHARING_PEERS + 1)
-    sharing.record_send(known.by_id["u"])
+    sharing, upstreams, datagrams = fleet(MAX_SHARING_PEERS + 1)
+    sharing.record_send(upstreams.by_id["u"])
     assert datagrams == []
-    sharing.record_failure(known.by_id["u"])
+    sharing.record_failure(upstreams.by_id["u"])
     assert len(datagrams) == MAX_SHARING_PEERS + 2
 
 
 def test_reports_of_peers_count_like_own_observations():
-    sharing, known, _ = fleet(1)
-    stats = known.by_id["u"].stats
+    sharing, upstreams, _ = fleet(1)
+    stats = upstreams.by_id["u"].stats
     sharing._handle(LoadReport("u", UpstreamLoad(1, 0, 2, 7.0)))
     sharing._handle(CallSent("u"))
     assert stats.load.slowdown == 7.0 and stats.sent_since_report == 1
@@ -55,15 +55,15 @@
 
 
 def test_reports_on_an_earlier_lifetime_are_ignored():
-    sharing, known, datagrams = fleet(1)
-    known.update([record("u", born=1000)], [], 2)
-    known.update([record("u", born=2000)], [], 3)
-    stats = known.by_id["u"].stats
+    sharing, upstreams, datagrams = fleet(1)
+    upstreams.update([record("u", born=1000)], [], 2)
+    upstreams.update([record("u", born=2000)], [], 3)
+    stats = upstreams.by_id["u"].stats
     for late in ("u", "u@1000"):
         sharing._handle(LoadReport(late, UpstreamLoad(1, 0, 2, 7.0)))
         sharing._handle(CallFailed(late))
     assert stats.load is None and stats.failure_rate(5.0) < 0.05
     sharing._handle(LoadReport("u@2000", UpstreamLoad(1, 0, 2, 7.0)))
     assert stats.load.slowdown == 7.0
-    sharing.record_send(known.by_id["u"])
+    sharing.record_send(upstreams.by_id["u"])
     assert datagrams[-1][1].upstream == "u@2000"
--- a/sequoiabridge/tests/relay/test_watchers.py
+++ b/sequoiabridge/tests/relay/test_watchers.py
@@ -8,10 +8,10 @@
 from ...relay.members import Members
 from ...relay.messages import Heartbeat, Hello
 from ...relay.watchers import (
-    FAR_HEARTBEAT_TIMEOUT,
     HEARTBEAT_TIMEOUT,
     MAX_WATCHERS_WITHOUT_STORE,
     OVERDUE_MARGIN,
+    REMOTE_HEARTBEAT_TIMEOUT,
     SENTINEL_FEED,
     TAKEOVER_DELAY,
     Watchers,
@@ -63,8 +63,8 @@
     """Return the watchers of one VM in a fleet of four, its channel, its updates and its
     follower."""
     log, _ = decision_log(clock)
-    me = hello(vm)
-    members = Members(me, None, log, None, lambda *a: None, True)
+    own = hello(vm)
+    members = Members(own, None, log, None, lambda *a: None, True)
     for other in VMS:
         members.add_peer(hello(other))
     members.add_peer(hello("far", "there"))
@@ -187,7 +187,7 @@
         assert sum(address == "far:1" for address, _ in channel.sent) == expected
 
 
-def test_a_daemon_with_far_watchers_only_is_current_and_becomes_a_watcher():
+def test_a_daemon_with_remote_watchers_only_is_current_and_becomes_a_watcher():
     clock = ManualClock(10.0)
     watchers, _, _, follower = build_watchers(VMS[3], clock, rows(5))
     clock.advance(1.0)
@@ -197,7 +197,7 @@
     clock.advance(TAKEOVER_DELAY)
     step(watchers)
     assert follower.active
-    clock.advance(FAR_HEARTBEAT_TIMEOUT + 0.1)
+    clock.advance(REMOTE_HEARTBEAT_TIMEOUT + 0.1)
     follower.store_unavailable = True
     assert not watchers.is_current
 
