--- a/sequoiabridge/balancing/chooser.py
+++ b/sequoiabridge/balancing/chooser.py
@@ -30,7 +30,7 @@
 latency."""
 
 HOLD_POLL_INTERVAL = 0.01
-"""Seconds between two attempts to place a held call."""
+"""Seconds between checks for capacity while a call is held."""
 
 LOGGED_ESTIMATES = 3
 """Maximum number of cost estimates logged per choice."""
