--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -1,7 +1,7 @@
-"""The daemon on the users' platform: its parts in the order in which they are built, and its run.
+"""The daemon on the platform: builds its parts from the settings, and starts and stops them.
 
-It keeps nothing: what it must know lies in the platform's store, and it follows that. The daemon
-of a fleet without such a platform is `daemon.Daemon`.
+It stores nothing itself: the configuration and the list of upstreams come from the platform's
+store. `daemon.Daemon` is the daemon for fleets without such a platform.
 """
 
 from __future__ import annotations
@@ -59,40 +59,40 @@
 log = get_log("gateway")
 
 IDLE_SWEEP_INTERVAL = 2.0
-"""Seconds between two looks for connections that have been idle too long."""
+"""Interval in seconds at which idle upstream connections are closed."""
 
 EXPIRY_INTERVAL = 0.5
-"""Seconds between two looks for lapsed upstreams, and for lines of the log that wait."""
+"""Interval in seconds at which lapsed upstreams are removed and buffered log lines are written."""
 
 MEMBER_COUNT_INTERVAL = 2.0
-"""Seconds between two counts of the fleet's daemons."""
+"""Interval in seconds at which this VM's share of the fleet's health checks is updated."""
 
 SETTINGS_POLL_INTERVAL = 1.0
-"""Seconds between two looks whether the settings file has changed; no signal need come."""
+"""Interval in seconds at which the settings file is polled for changes."""
 
 CALLER_POLL_INTERVAL = 0.2
-"""Seconds between two looks whether callers have left; their work must end within half a second."""
+"""Interval in seconds at which callers are checked for having disconnected."""
 
 BALANCER_DELAY = 2.6
-"""Seconds after a stop began in which new connections still come: the balancer asks once a second
-and acts on the second answer that says no."""
+"""Seconds for which new connections are still accepted after a planned stop began, until the
+platform's balancer has noticed it."""
 
 STOP_MARGIN = 0.4
-"""Seconds before the end of the grace time at which the daemon stops waiting for calls."""
+"""Seconds before the end of the grace period at which open calls are cut off."""
 
 STOP_POLL_INTERVAL = 0.05
-"""Seconds between two looks whether all calls have ended."""
+"""Interval in seconds at which a planned stop checks whether all calls have ended."""
 
 MAX_CONNECTIONS_PER_UPSTREAM = 8
-"""Connections to one upstream: two calls and some probes at a time at the present load of a VM. A
-fleet of 100 VMs keeps below the 860 that an upstream of its size takes."""
+"""Maximum number of connections to one upstream. Each VM of the fleet may open as many, so that it
+must be low."""
 
 UPSTREAM_IDLE_TIMEOUT = 30.0
-"""Seconds that an idle connection to an upstream is kept unless the upstream asks for less."""
+"""Seconds after which an idle upstream connection is closed, unless the upstream asks for less."""
 
 
 class Gateway:
-    """One daemon: built from its settings, run once."""
+    """One daemon, built from its settings; `run` is called once."""
 
     def __init__(self, settings: GatewaySettings):
         self.settings = settings
@@ -114,14 +114,14 @@
         )
 
     async def run(self) -> int:
-        """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
+        """Serve until a stop is requested, then stop gracefully; return the exit code."""
         await self._start()
         await self.stop_requested.wait()
         await self._stop()
         return 0
 
     def _build_store_followers(self) -> None:
-        """Build what follows the store: the configuration and the list of upstreams."""
+        """Build the parts that follow the store: the configuration and the list of upstreams."""
         settings = self.settings
         limits = ConnectorLimits(idle_timeout=UPSTREAM_IDLE_TIMEOUT, until_close=True)
         self.connector = HttpConnector(self.clock, limits, MAX_CONNECTIONS_PER_UPSTREAM)
@@ -163,7 +163,7 @@
         )
 
     def _build_watchers(self) -> None:
-        """Build what decides whether this daemon follows the store itself."""
+        """Build the part that decides whether this daemon follows the store itself."""
         reader = PeerReader(self.operators_address, self.clock)
         self.watchers = Watchers(
             self.members,
@@ -180,19 +180,19 @@
         self.configuration.receives_updates = lambda: self.watchers.is_current
 
     def _build_fleet(self) -> None:
-        """Build what this daemon and the others tell each other."""
+        """Build the parts that exchange messages with the peers."""
         vm, listen = self.settings.vm, self.settings.listen
         self.probe_limiter = ProbeRateLimiter(self.settings.bounds.probes_per_second)
         self.sharing = Sharing(self.upstreams, self.clock)
         address = f"{listen.fleet_ip}:{listen.fleet_ports[-1]}"
-        me = Hello(vm.name, address, vm.data_centre, vm.link)
+        local = Hello(vm.name, address, vm.data_centre, vm.link)
         self.members = Members(
-            me, self.store, self.decisions, self.random, self.sharing.send_hello, vm.first_start
+            local, self.store, self.decisions, self.random, self.sharing.send_hello, vm.first_start
         )
         self.sharing.members = self.members
 
     def _build_call_path(self) -> None:
-        """Build what calls go through."""
+        """Build the parts that handle calls."""
         bounds, clock = self.settings.bounds, self.clock
         self.prober = Prober(
             self.connector,
@@ -236,12 +236,12 @@
         )
 
     def _build_servers(self) -> None:
-        """Build what listens: callers' port, the balancer's question, operators' port."""
+        """Build the servers of the callers', the readiness and the operators' ports."""
         clock = self.clock
-        self.limits = CallerLimits()
+        self.caller_limits = CallerLimits()
         self.callers = CallerServer(
             self.relay,
-            self.limits,
+            self.caller_limits,
             clock,
             self.relay.next_id,
             self.dialect.refusal,
@@ -258,7 +258,7 @@
         self.operators = OperatorPort(self.operators_address, self)
 
     async def _start(self) -> None:
-        """Listen first, so that nobody is turned away; serve once the store has been read."""
+        """Listen first, so that no connection is refused, then start the other parts."""
         logging.getLogger(ROOT).addHandler(DecisionLogHandler(self.decisions))
         logging.getLogger(ROOT).setLevel(logging.INFO)
         quiet_curio()
@@ -277,12 +277,12 @@
         self._schedule_periodic_work()
         await curio.spawn(self.timers.run(), daemon=True)
         self.decisions.event("start", pid=os.getpid(), callers=settings.listen.callers)
-        # What was made at the start stays; the collector need not go through it again and again.
+        # Objects made at the start live as long as the daemon; the collector can skip them.
         gc.collect()
         gc.freeze()
 
     def _schedule_periodic_work(self) -> None:
-        """Subscribe the periodic work."""
+        """Register the periodic work with the timers."""
         self.timers.every(IDLE_SWEEP_INTERVAL, "idle connections", self.connector.sweep)
         self.timers.every(EXPIRY_INTERVAL, "lapsed upstreams", self.upstreams.expire)
         self.timers.every(EXPIRY_INTERVAL, "waiting lines", self.log_writer.flush)
@@ -291,7 +291,7 @@
         self.timers.every(SETTINGS_POLL_INTERVAL, "settings", self.settings_reloader.poll)
 
     async def _stop(self) -> None:
-        """Leave the balancer, serve on for its lag, finish all calls, then end."""
+        """Serve until the balancer sends no more callers, then finish the open calls and end."""
         began = self.clock.now()
         self.decisions.event("stop", in_flight=self.callers.in_flight)
         self.callers.announce_stop()
@@ -305,7 +305,7 @@
         self.log_writer.flush()
 
     def catch_signals(self) -> None:
-        """Stop at SIGTERM and SIGINT; read the settings again at SIGHUP."""
+        """Install signal handlers: SIGTERM and SIGINT stop the daemon, SIGHUP reloads settings."""
 
         def stop(number: int, frame: object) -> None:
             self.readiness.stopping = True
@@ -326,13 +326,13 @@
         self.watchers.note_store_unavailable()
 
     def _apply_configuration(self, table: RouteTable) -> None:
-        """Let callers have what a configuration that came into force allows them."""
+        """Apply the services and the caller limits of a new configuration."""
         self.upstreams.set_services(table.services)
         limits = table.limits
-        self.limits.max_head = limits.max_head
-        self.limits.max_body = limits.max_body
-        self.limits.head_timeout = limits.head_timeout
-        self.limits.idle_timeout = limits.idle_timeout
+        self.caller_limits.max_head = limits.max_head
+        self.caller_limits.max_body = limits.max_body
+        self.caller_limits.head_timeout = limits.head_timeout
+        self.caller_limits.idle_timeout = limits.idle_timeout
 
     def _replace_upstreams(self, update: Update[UpstreamRecord]) -> None:
         self.upstreams.replace(update.entries, update.version, update.unusable)
@@ -341,11 +341,11 @@
         self.upstreams.update(update.entries, update.removed, update.version, update.unusable)
 
     def _retire_connections(self, upstream: Upstream) -> None:
-        """Close what is open to an upstream that gets no more calls, as soon as it is idle."""
+        """Close connections to an upstream that gets no more calls as soon as they are idle."""
         self.connector.retire(upstream.address)
 
     def _update_probe_share(self) -> None:
-        """Share the limit on health checks between the daemons that are known now."""
+        """Divide the limit on health checks between the known daemons."""
         if self.members.peers:
             self.probe_limiter.vm_count = self.members.count
 
@@ -357,7 +357,7 @@
 def run_daemon(path: str) -> int:
     """Run the daemon of a settings file until it is stopped; return its exit code.
 
-    What is wrong with the settings, or keeps it from starting, goes to standard error.
+    Invalid settings and errors that prevent the start are printed to standard error.
     """
     try:
         settings = GatewaySettings.load(path)
--- a/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
+++ b/sequoiabridge/tests/balancing/test_decisions_of_the_path.py
@@ -71,7 +71,7 @@
 
 def test_upstreams_that_are_slow_full_or_remote_cost_more_than_an_idle_one():
     idle, noisy = upstream("idle"), upstream("noisy", load=(0, 0, 2, 7.0))
-    full, remote = upstream("full", load=(2, 2, 2, 1.0)), upstream("remote", near=False)
+    full, remote = upstream("full", load=(2, 2, 2, 1.0)), upstream("remote", is_local=False)
     costs = {u.id: estimate_cost(CALL, u, 0.01).cost for u in (idle, noisy, full, remote)}
     assert costs["idle"] < costs["remote"] < costs["full"] < costs["noisy"]
 
--- a/sequoiabridge/tests/relay/test_log.py
+++ b/sequoiabridge/tests/relay/test_log.py
@@ -1,4 +1,4 @@
-"""The log of decisions: bounded, never waited for, and what is left out is counted."""
+"""Tests of the decision log: rate limits, counts of omitted lines, slow and closed readers."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 from .fakes import decision_log
 
 
-def test_a_flood_of_good_calls_hides_no_bad_one_and_is_counted():
+def test_successful_calls_beyond_the_limit_displace_no_failed_call_and_are_counted():
     clock = ManualClock(5.0)
     log, lines = decision_log(clock)
     for number in range(1000):
@@ -20,14 +20,14 @@
     assert json.loads(lines[-1])["omitted_so_far"] == 1000 - GOOD_CALL_LIMITS[1]
 
 
-def test_bad_calls_are_bounded_too():
+def test_failed_calls_are_limited_too():
     log, lines = decision_log(ManualClock(5.0))
     for number in range(1000):
         log.call(False, {"id": number})
     assert len(lines) == BAD_CALL_LIMITS[1] and log.omitted == 1000 - BAD_CALL_LIMITS[1]
 
 
-def test_a_reader_that_does_not_read_holds_nothing_up():
+def test_a_slow_reader_does_not_block_the_writer():
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     lines = LineWriter(writer)
@@ -45,7 +45,7 @@
     os.close(reader)
 
 
-def test_a_reader_that_is_gone_is_no_failure():
+def test_a_closed_reader_raises_no_error():
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     os.close(reader)
--- a/sequoiabridge/tests/relay/test_sharing.py
+++ b/sequoiabridge/tests/relay/test_sharing.py
@@ -14,7 +14,7 @@
     and the datagrams that it sends."""
     log, _ = decision_log()
     upstreams = UpstreamList("here", ManualClock(5.0), log, lambda u: None)
-    upstreams.update([record("u"), record("far", zone="there")], [], 1)
+    upstreams.update([record("u"), record("far", data_centre="there")], [], 1)
     sharing, datagrams = Sharing(upstreams, ManualClock(5.0)), []
     sharing.channel.send = lambda message, to: datagrams.extend((a, message) for a in to)
     members = Members(Hello("me", "me:1", "here", 1.0), None, log, None, lambda *a: None, True)
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The daemon on the platform, whole, against the emulator: what callers and upstreams see."""
+"""End-to-end tests of the daemon on the platform, against emulated upstreams and store."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 def calls_of(scene):
-    """Return the decision log's lines of calls."""
+    """Return the lines of calls in the decision log."""
     lines = [json.loads(line) for line in scene.lines]
     return [line for line in lines if line["event"] == "call"]
 
@@ -46,7 +46,7 @@
     play(test)
 
 
-def test_before_a_configuration_is_known_calls_are_told_truly_that_they_did_not_run():
+def test_without_a_configuration_calls_are_refused_as_not_run():
     async def test(scene):
         ready = await scene.connect(scene.gateway.ready.address)
         assert (await ready.call("/ready")).status == 503
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "cut", "unsigned"])
-def test_a_call_that_may_run_once_is_never_sent_again_and_its_failure_is_no_promise(fault):
+def test_a_non_idempotent_call_that_may_have_run_is_not_retried(fault):
     async def test(scene):
         for upstream in scene.upstreams.values():
             setattr(upstream.faults, fault, True if fault == "unsigned" else 1.0)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "cut", "unsigned", "fail"])
-def test_an_idempotent_call_is_tried_at_a_second_upstream_and_no_third(fault):
+def test_an_idempotent_call_is_retried_at_one_other_upstream(fault):
     async def test(scene):
         bad = [u for u in scene.upstreams.values() if u.service == "reads"]
         for upstream in bad[:-1]:
@@ -84,7 +84,7 @@
     play(test, reads=3)
 
 
-def test_a_refusal_of_an_upstream_is_tried_elsewhere_for_any_kind_and_told_truly_at_last():
+def test_a_call_refused_by_an_upstream_is_retried_whatever_its_type():
     async def test(scene):
         scene.upstreams["a0"].faults.shed = True
         replies = [
@@ -99,7 +99,7 @@
     play(test)
 
 
-def test_a_second_answer_is_never_handed_to_another_call():
+def test_a_late_duplicate_answer_is_not_returned_to_another_call():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.faults.late_extra = True
@@ -111,7 +111,7 @@
     play(test, approvals=1)
 
 
-def test_an_answer_without_a_length_is_whole_when_its_connection_ends():
+def test_an_answer_without_a_length_ends_with_its_connection():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.faults.until_close = True
@@ -121,7 +121,7 @@
     play(test)
 
 
-def test_a_caller_gets_its_final_answer_when_the_time_of_its_route_is_over():
+def test_a_caller_gets_a_504_when_the_timeout_of_its_route_expires():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.faults.hang = True
@@ -134,7 +134,7 @@
     play(test)
 
 
-def test_work_ends_when_its_caller_leaves():
+def test_an_attempt_is_cancelled_when_its_caller_disconnects():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.faults.hang = True
@@ -157,7 +157,7 @@
     play(test)
 
 
-def test_a_leaving_upstream_gets_no_more_calls_and_a_new_one_gets_some():
+def test_a_draining_upstream_gets_no_more_calls_and_a_new_one_does():
     async def test(scene):
         assert (await scene.call(READ)).status == 200
         await scene.add("r9", "reads")
@@ -173,7 +173,7 @@
     play(test)
 
 
-def test_an_address_that_went_to_another_upstream_gets_no_call_of_the_first():
+def test_a_reused_address_gets_no_call_meant_for_its_former_upstream():
     async def test(scene):
         old = scene.upstreams["a0"]
         address = old.address
@@ -188,7 +188,7 @@
     play(test)
 
 
-def test_a_newer_configuration_comes_into_force_and_an_older_one_never_again():
+def test_a_newer_configuration_is_applied_and_an_older_one_is_not():
     async def test(scene):
         await scene.store.put("op", "config", document(5, [path("/new/", "idempotent", "reads")]))
         await scene.until(lambda: scene.gateway.configuration.version == 5)
@@ -202,7 +202,7 @@
     play(test)
 
 
-def test_the_daemon_serves_on_while_the_store_is_away_and_catches_up_after():
+def test_calls_are_served_while_the_store_is_unavailable_and_changes_follow_later():
     async def test(scene):
         scene.store.faults.refuse = 10**6
         await scene.store.cut()
@@ -216,7 +216,7 @@
     play(test)
 
 
-def test_a_store_that_forgot_what_waited_in_it_is_asked_again_soon_after_its_return():
+def test_changes_missed_while_the_store_was_silent_are_read_soon_after_its_recovery():
     async def test(scene):
         followers = scene.gateway.followers.values()
         await scene.until(lambda: scene.store.calls.get("/rows-feed", 0) >= 2)
@@ -231,7 +231,7 @@
     play(test)
 
 
-def test_a_planned_stop_leaves_the_balancer_first_and_cuts_nothing_off():
+def test_a_planned_stop_turns_unready_first_and_cuts_off_no_call():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.work = 0.8
@@ -253,13 +253,13 @@
     play(test)
 
 
-def test_bodies_come_in_chunks_too_and_one_that_is_too_large_is_refused():
+def test_chunked_bodies_are_accepted_and_too_large_ones_are_refused():
     async def test(scene):
         connection = await scene.connect()
         head = f"POST {UPLOAD} HTTP/1.1\r\nHost: reads.example\r\nX-Attempt-Id: c1\r\n"
         chunked = "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n2\r\n!!\r\n0\r\n\r\n"
         await connection.sock.sendall((head + chunked).encode())
-        connection.state = h11_client_waiting()
+        connection.state = client_awaiting_answer()
         assert (await connection.reply()).body.endswith(b" c1 7")
         reply = await scene.call(UPLOAD, "big", method="POST", body=b"z" * 1_200_000)
         assert reply.status == 413 and scene.runs("big") == 0
@@ -267,8 +267,8 @@
     play(test)
 
 
-def h11_client_waiting():
-    """Return a client's state that has sent a request and waits for the answer."""
+def client_awaiting_answer():
+    """Return the state of an HTTP client that has sent a request and expects the answer."""
     import h11
 
     state = h11.Connection(h11.CLIENT)
@@ -277,7 +277,7 @@
     return state
 
 
-def test_each_call_has_a_line_with_what_decided_it():
+def test_each_call_has_a_decision_log_line_with_its_attempts_and_candidates():
     async def test(scene):
         scene.upstreams["a0"].faults.shed = scene.upstreams["a1"].faults.shed = True
         await scene.call(APPROVE, "c42", method="POST", body=b"x")
@@ -303,7 +303,7 @@
     play(test)
 
 
-def test_a_request_that_crashes_upstreams_is_stopped_and_others_are_not():
+def test_a_request_that_crashes_upstreams_is_blocked_and_others_are_not():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.faults.crash_path = "/read/poison"
@@ -312,14 +312,14 @@
             statuses.append((await scene.call("/read/poison", f"p{number}")).status)
             await curio.sleep(0.15)
         crashed = [u for u in scene.upstreams.values() if any(r[0] == "p" for r in u.runs)]
-        # The third death may be heard of while the fourth attempt is already under way.
+        # The third crash may be detected after the fourth attempt has started.
         assert len(crashed) in (3, 4) and statuses[-1] == 503
         assert (await scene.call("/read/other", "fine")).status == 200
 
     play(test, reads=6)
 
 
-def test_a_page_is_not_stopped_because_upstreams_die_by_chance_while_all_ask_for_it():
+def test_a_popular_request_is_not_blocked_for_unrelated_crashes():
     async def test(scene):
         for upstream in scene.upstreams.values():
             upstream.work = 0.3
@@ -336,7 +336,7 @@
     play(test, reads=5)
 
 
-def test_open_calls_end_soon_when_their_upstream_starts_again_under_its_id():
+def test_open_calls_end_soon_when_their_upstream_restarts_under_the_same_id():
     async def test(scene):
         slow = path("/slow/", "non_idempotent", "approvals", timeout_s=8.0)
         await scene.store.put("op", "config", document(2, [slow]))
@@ -354,14 +354,14 @@
         started = scene.gateway.clock.now()
         await scene.relist("a0")
         assert (await connection.reply()).status == 502
-        assert scene.gateway.clock.now() - started < 4.0, "long before its time is over"
-        assert scene.runs("a") == 0, "the new lifetime does not run it"
+        assert scene.gateway.clock.now() - started < 4.0, "long before its deadline"
+        assert scene.runs("a") == 0, "the restarted upstream does not run it"
         await scene.until(lambda: old.cancelled)
 
     play(test, approvals=1)
 
 
-def test_each_lifetime_that_dies_with_a_request_counts_in_its_blame():
+def test_crashes_of_successive_lifetimes_of_an_upstream_count_separately():
     async def test(scene):
         guard, upstreams = scene.gateway.sender.crash_guard, scene.gateway.upstreams.by_id
         for born in (1000, 2000, 3000):
@@ -374,7 +374,7 @@
     play(test, reads=1)
 
 
-def test_one_foreign_entry_does_not_blind_the_daemon():
+def test_invalid_store_entries_do_not_stop_updates():
     async def test(scene):
         good = scene.upstreams["r0"].entry()
         good["info"]["service"] = ["reads"]
