--- a/sequoiabridge/policy/admission.py
+++ b/sequoiabridge/policy/admission.py
@@ -74,9 +74,7 @@
         return QUEUED
 
     def release(self, ticket: Ticket, now: float, latency: float, ok: bool) -> list[Ticket]:
-        """Record the end of an admitted call after `latency` seconds; return the calls admitted
-        now.
-        """
+        """Record the end of a call after `latency` seconds; return the calls admitted now."""
         if ticket.admitted_at is None:
             return []
         time_left = ticket.deadline - ticket.admitted_at
--- a/sequoiabridge/policy/choosers.py
+++ b/sequoiabridge/policy/choosers.py
@@ -105,10 +105,10 @@
         return cost
 
     def explain(self, candidates: Sequence[UpstreamState], now: float) -> list[ScoredUpstream]:
-        weighed = [
+        scored = [
             ScoredUpstream(c.name, self.score(c, now), self.detail(c, now)) for c in candidates
         ]
-        return sorted(weighed, key=lambda w: w.score)
+        return sorted(scored, key=lambda w: w.score)
 
     def detail(self, upstream: UpstreamState, now: float) -> str:
         """Return the inputs of a score in one line."""
--- a/sequoiabridge/policy/crashes.py
+++ b/sequoiabridge/policy/crashes.py
@@ -131,10 +131,11 @@
     def take_trial(self, fingerprint: str, now: float) -> bool:
         """Return whether a blocked request may run now as a trial; if so, record the trial."""
         crashes = self.by_fingerprint.get(fingerprint, ())
-        last = max((crash.learned_at for crash in crashes), default=now)
-        further = self._upstream_count(fingerprint) - self.min_upstreams
+        last_learned_at = max((crash.learned_at for crash in crashes), default=now)
+        extra_upstreams = self._upstream_count(fingerprint) - self.min_upstreams
         due = (
-            max(last, self.last_trial_at.get(fingerprint, last)) + TRIAL_DELAY_SECONDS * 2**further
+            max(last_learned_at, self.last_trial_at.get(fingerprint, last_learned_at))
+            + TRIAL_DELAY_SECONDS * 2**extra_upstreams
         )
         if now < due:
             return False
--- a/sequoiabridge/policy/ejection.py
+++ b/sequoiabridge/policy/ejection.py
@@ -80,9 +80,11 @@
         """
         if ejected >= self.max_ejected(total):
             return False
-        first = max(BASE_EJECTION_SECONDS, BASE_EJECTION_CALLS * upstream.averages.call_interval)
-        length = min(MAX_EJECTION_SECONDS, first * 2**upstream.ejections)
-        upstream.ejected_until = now + length * self.random.uniform(0.75, 1.25)
+        min_duration = max(
+            BASE_EJECTION_SECONDS, BASE_EJECTION_CALLS * upstream.averages.call_interval
+        )
+        duration = min(MAX_EJECTION_SECONDS, min_duration * 2**upstream.ejections)
+        upstream.ejected_until = now + duration * self.random.uniform(0.75, 1.25)
         upstream.ejections += 1
         upstream.on_trial = True
         upstream.good_trials = 0
--- a/sequoiabridge/policy/pool.py
+++ b/sequoiabridge/policy/pool.py
@@ -95,12 +95,12 @@
         """Return the scores of the usable upstreams, best first, then the unusable ones and why."""
         if now >= self.refresh_at:
             self._refresh(now)
-        weighed = self.chooser.explain(self.usable, now)
+        scored = self.chooser.explain(self.usable, now)
         for upstream in self.upstreams.values():
             why = self.why_unusable(upstream, now)
             if why:
-                weighed.append(ScoredUpstream(upstream.name, float("inf"), why))
-        return weighed
+                scored.append(ScoredUpstream(upstream.name, float("inf"), why))
+        return scored
 
     def why_unusable(self, upstream: UpstreamState, now: float) -> str:
         """Return why the upstream gets no new calls, or an empty string if it may get some."""
@@ -209,20 +209,20 @@
 
     def drain(self, name: str, incarnation: int, now: float) -> bool:
         """Mark an upstream as draining; return whether that changed its state."""
-        news = self.drains.drain(name, incarnation)
-        if news:
+        changed = self.drains.drain(name, incarnation)
+        if changed:
             self._apply_drain(name, now)
-        return news
+        return changed
 
     def resume(self, name: str, incarnation: int, now: float) -> bool:
         """Mark an upstream as active again; return whether that changed its state.
 
         Only a newer incarnation undoes a drain.
         """
-        news = self.drains.resume(name, incarnation)
-        if news:
+        changed = self.drains.resume(name, incarnation)
+        if changed:
             self._apply_drain(name, now)
-        return news
+        return changed
 
     def dump(self, now: float) -> dict:
         """Return the state of the pool for operators."""
--- a/sequoiabridge/policy/retries.py
+++ b/sequoiabridge/policy/retries.py
@@ -91,10 +91,10 @@
     def take(self, now: float) -> bool:
         """Take one retry from the budget; return False if none is left."""
         count = self._current(now)
-        earned = self.grant + self.ratio * count.successes
-        first = MIN_FLEET_RETRIES / (1 + len(self.peers))
-        spent = count.retries >= MIN_PERIOD_RETRIES and count.retries + 1 > earned
-        if spent and sum(c.retries for c in self.own) >= first:
+        available = self.grant + self.ratio * count.successes
+        min_retries = MIN_FLEET_RETRIES / (1 + len(self.peers))
+        exhausted = count.retries >= MIN_PERIOD_RETRIES and count.retries + 1 > available
+        if exhausted and sum(c.retries for c in self.own) >= min_retries:
             self.refused += 1
             return False
         count.retries += 1
@@ -137,16 +137,14 @@
         }
 
     def _current(self, now: float) -> PeriodCount:
-        """Return the counts of the current period; at the start of one, divide the remaining
-        budget.
-        """
+        """Return the counts of the current period; divide the budget at the start of one."""
         period = int(now / PERIOD_SECONDS)
         if self.own and self.own[-1].period == period:
             return self.own[-1]
         self._drop_expired(now)
         counts = self.own + [count for counts in self.peers.values() for count in counts]
-        room = sum(self.ratio * c.successes - c.retries for c in counts)
-        self.grant = max(0.0, PERIOD_SPEND_SHARE * room / (1 + len(self.peers)))
+        remaining = sum(self.ratio * c.successes - c.retries for c in counts)
+        self.grant = max(0.0, PERIOD_SPEND_SHARE * remaining / (1 + len(self.peers)))
         self.own.append(PeriodCount(period, now))
         return self.own[-1]
 
--- a/sequoiabridge/tests/policy/test_crashes.py
+++ b/sequoiabridge/tests/policy/test_crashes.py
@@ -51,7 +51,9 @@
 
 
 def simulate(seed):
-    """Return whether the harmful request is blocked after 2 and 4 crashes, then harmless requests
+    """Let a harmful request crash four upstreams among random crashes.
+
+    Return whether it is blocked after 2 and after 4 crashes, and how many harmless requests are
     blocked and suspected.
     """
     ledger, random = CrashLedger(), Random(seed)
