--- a/sequoiabridge/balancing/attempt_recorder.py
+++ b/sequoiabridge/balancing/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Takes in what an ended attempt says about its upstream and about its route."""
+"""Updates the statistics of upstreams and routes from attempts that have ended."""
 
 from __future__ import annotations
 
@@ -10,31 +10,35 @@
 from .upstream import Upstream
 
 NOISY_NEIGHBOUR_RATIO = 1.5
-"""Rise of the reported slowdown during a call from which its duration says nothing of the upstream
-itself."""
+"""Factor by which the reported slowdown must rise during a call for the call's duration to be
+attributed to a noisy neighbour instead of the upstream itself."""
 
 
 class UpstreamObserver(ABC):
-    """Enters what was seen of upstreams, and tells those who must know."""
+    """Records observations of upstreams and passes them on to peers."""
 
     @abstractmethod
     def record_load_report(self, upstream: Upstream, load: UpstreamLoad) -> None:
-        """An upstream told its load."""
+        """Record an upstream's load report."""
 
     @abstractmethod
     def record_failure(self, upstream: Upstream) -> None:
-        """An upstream failed a call."""
+        """Record that an upstream failed a call."""
 
     @abstractmethod
     def record_replacement(self, upstream: Upstream) -> None:
-        """Another upstream answered at its address."""
+        """Record that another upstream answered at this one's address."""
 
 
 class AttemptRecorder:
-    """Learns from attempts that have ended.
+    """Records the outcome of attempts.
+
+    Args:
+        route_stats: Statistics of the routes.
+        observer: Receives observations of upstreams.
 
     Attributes:
-        endings: Attempts by how they ended.
+        endings: Number of attempts by ending.
     """
 
     def __init__(self, route_stats: RouteStats, observer: UpstreamObserver):
@@ -43,13 +47,13 @@
         self.endings: dict[str, int] = {}
 
     def record(self, call: Call, attempt: CallAttempt) -> None:
-        """Take in one attempt."""
+        """Record an attempt that has ended."""
         ending, now = attempt.ending, attempt.ended_at
         self.endings[ending.value] = self.endings.get(ending.value, 0) + 1
         upstream, estimate = attempt.upstream, attempt.estimate
         stats = upstream.stats
         seconds = now - attempt.started
-        # What was expected without regard to the upstream's own slowness.
+        # The expected duration without the upstream's own latency ratio.
         expected_seconds = estimate.expected_duration / stats.latency_ratio_at(now)
         if attempt.load is not None:
             self.observer.record_load_report(upstream, attempt.load)
@@ -70,6 +74,6 @@
 
 
 def slowed_by_neighbour(attempt: CallAttempt) -> bool:
-    """Return whether other work slowed the upstream down after the call was sent there."""
+    """Return whether a noisy neighbour slowed the upstream down after the call was sent."""
     load = attempt.load
     return load is not None and load.slowdown > NOISY_NEIGHBOUR_RATIO * attempt.estimate.slowdown
--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -1,6 +1,6 @@
-"""Which of several upstreams a call goes to: the one that is likely to cost it least.
+"""Estimates what sending a call to an upstream costs, and whether the upstream has capacity for it.
 
-All costs are in one unit, the worth of an answer in time. No I/O; time is an argument.
+Costs are relative to the value of an answer in time, which is 1. No I/O; time is an argument.
 """
 
 from __future__ import annotations
@@ -10,86 +10,74 @@
 from .upstream import Upstream
 
 LATE_COST = 0.9
-"""Part of a call's worth that is lost when its answer comes late (the users' figures: a late one
-is worth a tenth)."""
+"""Cost of a late answer."""
 
 EXPIRED_COST = 1.0
-"""Cost of a call's waiting at an upstream until its caller leaves: more than any place is worth to
-others, so that such a call is rather turned away at once."""
+"""Cost of a late call whose deadline passes before the upstream answers."""
 
 MAX_DISPLACEMENT_COST = 0.45
-"""Worth to other calls up to which a place is given to one that is late already. Without it, such
-calls took a fifth of the places of the users' most crowded day; 5,002 of 9,306 reads were in time,
-5,935 with it, one run each."""
+"""Maximum displacement cost at which a call that is late already takes a free slot."""
 
 LOG_DURATION_SPREAD = 0.25
-"""Spread of the logarithm of a call's duration around what is expected: work times spread by 0.3
-and reports are some milliseconds old."""
+"""Scale of the distribution of the logarithm of a call's duration around its expected value."""
 
 COLD_START_FACTOR = 2.0
-"""How many times longer work takes on an upstream that has just started (the users' figure)."""
+"""Slowdown of an upstream that has just started."""
 
 REMAINING_WORK_SHARE = 0.67
-"""Part of its work that a running request still has before it, on average; a little over half,
-since those that run long are met more often."""
+"""Mean share of its work that a running request still has to do. More than half, since long
+requests are more likely to be running."""
 
 UNHEALTHY_COST = 0.25
-"""Cost of an upstream that calls itself unwell: some say so wrongly, so it is not shut out."""
+"""Cost of an upstream that reports itself unhealthy. The report may be wrong, so the upstream is
+not excluded."""
 
 OVERDUE_COST = 0.2
-"""Cost of each open call there that is overdue: it may have fallen silent."""
+"""Cost per overdue open call at an upstream, which may have become unresponsive."""
 
 UNRESPONSIVE_COST = 0.5
-"""Cost of an upstream that did not answer the last probe."""
+"""Cost of an upstream that did not answer the latest probe."""
 
 SATURATED_FACTOR = 1.7
-"""How many times longer work takes on an upstream of which all slots are taken: some slow down when
-they are nearly full (1.7 times at the users' site that shows it)."""
+"""Slowdown of an upstream of which all slots are taken."""
 
 MIN_OVERLOAD_WEIGHT = 0.15
-"""Share of the work that a full upstream does not get done which is missed even where places are
-not scarce: the calls there may meet a neighbour as well and be late."""
+"""Lower bound on the overload ratio when computing the saturation cost."""
 
 DEFAULT_SLOWDOWN = 2.5
-"""Slowdown that is assumed of an upstream that has not told its load lately: the mean over time
-where neighbours slow it sevenfold for a quarter of it."""
+"""Slowdown assumed of an upstream without a recent load report."""
 
 MAX_LATE_PROBABILITY = 0.2
-"""Likelihood of being late from which a call is not sent into a queue. Of 0.7,
-0.4, 0.2 and 0.05, one run each of the users' most crowded day: worth 0.352, 0.389, 0.416, 0.403."""
+"""Maximum probability of being late at which a call is sent into a queue."""
 
 MAX_QUEUE_PER_SLOT = 2
-"""Requests for each slot that may wait at an upstream at most; the users' upstreams have room for 2
-to 4 and reset the connection of one more, which leaves open whether that ran."""
+"""Maximum number of queued requests per slot of an upstream."""
 
 MAX_SLOWDOWN_AGE = 0.5
-"""Seconds after which a reported slowdown says nothing any more: neighbours change twice a
-second."""
+"""Maximum age in seconds of a load report of which the slowdown is used."""
 
 MAX_OCCUPANCY_AGE = 0.1
-"""Seconds after which an upstream's word is too old for sending a call into its queue or its last
-slot: by then other VMs have taken the same place. In a fleet of 101 VMs, such calls took 2.0 s
-where 0.56 s was expected; without them a day with bursts earned 0.652 of what was owed, 0.566
-before (one run each)."""
+"""Maximum age in seconds of a load report on which a call takes the last free slot or queues. By
+then, other VMs may have taken the same slot."""
 
 NO_REPORT_AGE = float("inf")
-"""Age of the word of an upstream that has told no load yet."""
+"""Report age of an upstream that has not sent a load report."""
 
 DURATION_COST = 0.05
-"""Cost of an expected duration as long as the target latency; decides between upstreams that would
+"""Cost of an expected duration equal to the target latency. Decides between upstreams that would
 all answer in time."""
 
 
 class CallRequirements:
-    """What the choice must know of a call.
+    """The properties of a call that determine its cost.
 
     Attributes:
-        work: Seconds that its work takes on an upstream that nothing slows.
-        time_left: Seconds until its answer is late; negative once it is.
-        target: Seconds from arrival within which an answer is in time.
-        far_cost: Cost of the bytes that it would move between data centres.
-        patience: Seconds until its caller leaves.
-        crowding: Share of new calls of the service that lately found no place at once.
+        work: Processing time in seconds on an upstream that is not slowed down.
+        time_to_target: Seconds until the answer is late; negative if it is late already.
+        target_latency: Seconds from arrival within which an answer is in time.
+        transfer_cost: Cost of transferring the call and its answer between data centres.
+        time_to_deadline: Seconds until the deadline of the call.
+        overload_ratio: Share of recent new calls of the service that found no capacity at once.
     """
 
     __slots__ = (
@@ -119,23 +107,26 @@
 
     @property
     def is_late(self) -> bool:
-        """Return whether its answer will be late wherever it goes."""
+        """Return whether the answer is late already."""
         return self.time_to_target <= 0.0
 
 
 class CostEstimate:
-    """One upstream as it was weighed.
+    """The estimated cost of sending a call to an upstream.
 
     Attributes:
-        expected: Seconds that the call would take there.
-        alone: Seconds that it would take there if it had to wait for no other.
-        late: How likely its answer is to come late.
-        cost: What sending it there is likely to cost.
-        queue: Requests that it would wait for; 0 if it gets the last free slot.
-        age: Seconds since the upstream told its load.
-        displaced: What the place is worth to another call, which would be in time there, if this
-            one is late already.
-        others: What the call's being there costs the calls that are there.
+        upstream: The upstream.
+        expected_duration: Expected duration of the call in seconds.
+        processing_time: Expected duration in seconds without time in the queue.
+        late_probability: Probability that the answer is late.
+        cost: Total expected cost.
+        slowdown: Slowdown of the upstream.
+        queue_position: Position of the call in the upstream's queue; 0 if it takes the last free
+            slot, negative if other slots stay free.
+        report_age: Seconds since the latest load report of the upstream.
+        displacement_cost: Cost of taking the slot from another call that would be in time, if this
+            call is late already.
+        saturation_cost: Cost to the calls at the upstream of taking its last slot.
     """
 
     __slots__ = (
@@ -176,7 +167,7 @@
         self.saturation_cost = saturation_cost
 
     def row(self) -> dict:
-        """Return the inputs of the choice, for the log."""
+        """Return the estimate as a log row."""
         row = {
             "upstream": self.upstream.id,
             "cost": round(self.cost, 3),
@@ -193,7 +184,7 @@
 
 
 def estimate_cost(call: CallRequirements, upstream: Upstream, now: float) -> CostEstimate:
-    """Return what sending `call` to `upstream` now is likely to cost."""
+    """Estimate the cost of sending `call` to `upstream` at the time `now`."""
     stats = upstream.stats
     report_age = now - stats.load_reported_at
     slowdown, queue_position = _slowdown_and_queue_position(upstream, report_age)
@@ -244,16 +235,14 @@
 
 
 def cost_of_saturation(slots: int, queue_position: int, overload_ratio: float) -> float:
-    """Return what taking the last free slot of an upstream, or waiting there, costs others.
+    """Return the cost to other calls of taking an upstream's last free slot, or of queueing there.
 
-    Load pattern: more calls than there are quiet places, for some seconds. An upstream with all
-    slots taken is `FULL_FACTOR` times slower for all calls there, so each of the others takes
-    `FULL_FACTOR - 1` of a call's work longer. With four slots that is work for 2.1 calls lost for
-    one that is gained: filled up, the upstreams do less than with a slot left free, and stay full.
-    What is lost is missed by as many calls as find no place: `crowding` of them.
+    An upstream of which all slots are taken is `SATURATED_FACTOR` times slower for all its calls,
+    so each other call takes longer by `SATURATED_FACTOR - 1` of its work. With many slots, more
+    work is lost than gained by using the last one. The loss is weighted with the overload ratio,
+    the share of calls that lack that capacity.
 
-    Limit: it never keeps a slot free that would serve more. With two slots the loss is 0.7 calls
-    at most, less than the one gained, so both are used however crowded it is.
+    With two slots, the loss is always smaller than the gain, so both slots are used.
     """
     if slots < 2 or queue_position < 0:
         return 0.0
@@ -262,7 +251,7 @@
 
 
 def exceed_probability(expected_duration: float, limit: float) -> float:
-    """Return how likely a call that should take `expected` seconds ends after `limit`."""
+    """Return the probability that a call takes longer than `limit` seconds."""
     if limit <= 0.0:
         return 1.0
     distance = (log(max(expected_duration, 1e-6)) - log(limit)) / LOG_DURATION_SPREAD
@@ -272,9 +261,9 @@
 
 
 def _slowdown_and_queue_position(upstream: Upstream, report_age: float) -> tuple[float, int]:
-    """Return the slowdown, and how many requests a new one would wait for.
+    """Return the slowdown of an upstream and the position that a new call would have in its queue.
 
-    0 means that it gets the last free slot, a negative number that some slots stay free.
+    The position is 0 if the call takes the last free slot, negative if other slots stay free.
     """
     stats, slots = upstream.stats, max(1, upstream.record.slots)
     load = stats.load
@@ -287,14 +276,16 @@
 
 
 def lacks_capacity(call: CallRequirements, best: CostEstimate) -> bool:
-    """Return whether even the best upstream has no place for a call now.
-
-    Only the calls before it would make it late: if it is sent all the same, those that come after
-    it are late as well, and soon all are. A call that would be late anywhere takes no place from
-    one that would not, so it may wait in a short queue. One that is late already, since its caller
-    comes back, waits in no queue and leaves places to others while the service is crowded. One
-    that would cost the calls there more than it gains has no place there either, nor one that
-    would take a last place on a word so old that others have seen that place too.
+    """Return whether even the best upstream lacks capacity for a call.
+
+    This is the case if one of the following holds:
+
+    - taking the last slot would cost the calls there more than this call gains;
+    - the call would take the last slot or queue, and the load report is too old for that;
+    - a free slot is left, but the call is late already and other calls need the slot more;
+    - the queue is full;
+    - the call would queue although it is late already;
+    - the time in the queue, and not the processing time alone, would make the call late.
     """
     if best.saturation_cost > 1.0 - LATE_COST * best.late_probability:
         return True
--- a/sequoiabridge/balancing/overload.py
+++ b/sequoiabridge/balancing/overload.py
@@ -1,33 +1,31 @@
-"""How crowded each service is: the share of its new calls that lately found no place at once."""
+"""Measures how overloaded each service is."""
 
 from __future__ import annotations
 
 from .upstream_stats import DecayingSum
 
 DECAY_SECONDS = 1.0
-"""Seconds in which what was met loses two thirds of its weight: neighbours change twice a second,
-waves of callers take some seconds."""
+"""Time constant in seconds of the exponential decay of recorded calls."""
 
 PRIOR_CALLS = 2.0
-"""Calls' worth of room that is assumed before anything is known: one call without a place does not
-make a service crowded."""
+"""Weight, in calls, of the initial assumption that a service has capacity."""
 
 
 class OverloadTracker:
-    """What new calls of each service met."""
+    """Tracks the share of recent new calls of each service that found no upstream with capacity."""
 
     def __init__(self) -> None:
         self.calls: dict[str, DecayingSum] = {}
         self.overloaded: dict[str, DecayingSum] = {}
 
     def record(self, service: str, overloaded: bool, now: float) -> None:
-        """A new call looked for a place: all upstreams were crowded, or not."""
+        """Record a new call and whether all upstreams lacked capacity for it."""
         self.calls.setdefault(service, DecayingSum(DECAY_SECONDS)).add(1.0, now)
         if overloaded:
             self.overloaded.setdefault(service, DecayingSum(DECAY_SECONDS)).add(1.0, now)
 
     def ratio(self, service: str, now: float) -> float:
-        """Return the share of new calls that lately found no place at once."""
+        """Return the share of recent new calls that found no upstream with capacity at once."""
         if service not in self.overloaded:
             return 0.0
         return self.overloaded[service].value_at(now) / (
--- a/sequoiabridge/balancing/prior_wait.py
+++ b/sequoiabridge/balancing/prior_wait.py
@@ -1,32 +1,36 @@
-"""How long a caller has been waiting already, judged by the time that it still has.
+"""Estimates how long a caller has already been waiting when its call arrives.
 
-Callers say how long they still wait. Those of a route mostly begin with the same patience; one that
-was refused or failed and comes back has less of it left. What is missing is how long it has waited.
+Most callers of a route start with the same timeout. A caller that retries after a refusal or a
+failure states a shorter one; the difference is the time that it has waited before.
 """
 
 from __future__ import annotations
 
 USUAL_TOLERANCE = 0.97
-"""Part of the usual patience from which a call counts as a first try: opening a connection takes
-some milliseconds of it."""
+"""Share of the usual timeout from which a call counts as a first attempt. Opening the connection
+may already have used up a few milliseconds."""
 
 SHARE_WEIGHT = 0.02
-"""Weight of the latest call in the share of calls that have the usual patience; some fifty calls
-fix it."""
+"""Weight of a new call in the moving average of the share of calls with the usual timeout."""
 
 MIN_USUAL_SHARE = 0.6
-"""Share of calls with the usual patience from which the others are taken to come back. Callers that
-differ in their patience have no usual one."""
+"""Minimum share of calls with the usual timeout for a shorter timeout to count as prior waiting.
+Below it, the callers have no common timeout."""
 
 INITIAL_SHARE = 0.5
-"""Share that is assumed before any call has shown it; too low to be trusted."""
+"""Initial share; below `MIN_USUAL_SHARE`."""
 
 RESET_SHARE = 0.1
-"""Share below which the usual patience is learned anew: callers have become less patient."""
+"""Share below which the usual timeout is learned anew, since the callers have shortened theirs."""
 
 
 class UsualTimeout:
-    """The patience that callers of one route mostly begin with, in seconds."""
+    """The timeout that most callers of one route start with.
+
+    Attributes:
+        seconds: The timeout in seconds.
+        share: Moving average of the share of calls with this timeout.
+    """
 
     __slots__ = ("seconds", "share")
 
@@ -35,7 +39,7 @@
         self.share = INITIAL_SHARE
 
     def prior_wait(self, caller_timeout: float) -> float:
-        """Take in a call's patience; return the seconds that its caller has probably waited."""
+        """Record a call's timeout; return the seconds that its caller has probably waited."""
         if caller_timeout * USUAL_TOLERANCE > self.seconds or self.share < RESET_SHARE:
             self.seconds, self.share = caller_timeout, INITIAL_SHARE
             return 0.0
@@ -47,16 +51,17 @@
 
 
 class PriorWaitEstimator:
-    """The usual patience of each route."""
+    """Estimates prior waiting times per route."""
 
     def __init__(self) -> None:
         self.by_route: dict[str, UsualTimeout] = {}
 
     def estimate(self, route: str, caller_timeout: float | None) -> float:
-        """Return the seconds that a caller has probably waited before its call came.
+        """Record a call; return the seconds that its caller has probably waited before it.
 
         Args:
-            patience: Seconds that it still waits, None if it did not say.
+            route: Name of the route.
+            caller_timeout: Seconds that the caller still waits, None if it did not say.
         """
         if caller_timeout is None:
             return 0.0
--- a/sequoiabridge/balancing/probe_limiter.py
+++ b/sequoiabridge/balancing/probe_limiter.py
@@ -1,24 +1,26 @@
-"""How many health checks this VM may send, so that all VMs together stay within the limit."""
+"""Limits the rate of probes of this VM, so that all VMs together stay within the fleet's limit."""
 
 from __future__ import annotations
 
 USED_SHARE = 0.7
-"""Part of the limit that is used: callers are spread unevenly over the VMs, and the limit counts
-what all of them send."""
+"""Share of the limit that is used. The rest covers uneven load between the VMs."""
 
 BURST_SECONDS = 4.0
-"""Seconds' worth of unused checks that are kept for a burst of calls; the limit is on the mean of a
-day."""
+"""Capacity of the token bucket, in seconds of refill."""
 
 DEFAULT_VM_COUNT = 20
-"""VMs that are assumed to share the limit while their number is not known."""
+"""Number of VMs assumed to share the limit until it is known."""
 
 
 class ProbeRateLimiter:
-    """A bucket that fills with this VM's share of the fleet's health checks.
+    """A token bucket that refills at this VM's share of the fleet's probe rate.
 
     Args:
-        per_upstream: Health checks a second that one upstream may get from all VMs.
+        rate_per_upstream: Probes per second that one upstream may receive from all VMs.
+
+    Attributes:
+        vm_count: Number of VMs that share the limit.
+        denied: Number of probes refused so far.
     """
 
     __slots__ = ("rate_per_upstream", "vm_count", "tokens", "refilled_at", "denied")
@@ -31,10 +33,11 @@
         self.denied = 0
 
     def take(self, wanted: int, upstreams: int, now: float) -> int:
-        """Return how many of the `wanted` checks may be sent now.
+        """Take tokens for up to `wanted` probes; return how many may be sent now.
 
         Args:
-            upstreams: How many upstreams there are.
+            upstreams: Number of known upstreams.
+            now: Current time in seconds.
         """
         rate = self.rate_per_upstream * USED_SHARE * upstreams / max(1, self.vm_count)
         max_tokens = rate * BURST_SECONDS
--- a/sequoiabridge/balancing/retry_budget.py
+++ b/sequoiabridge/balancing/retry_budget.py
@@ -1,7 +1,7 @@
-"""How many repeated sends this VM may make, so that the fleet together stays within its limit.
+"""Limits the retries and hedges of this VM, so that the fleet stays within its limit.
 
-No VM asks another: each keeps to a share of its own calls that is below the fleet's ratio, and to
-a small number that it may use whatever its calls. Both hold for each VM, so they hold for the sum.
+The VMs do not coordinate. Each one may send a share of its own calls again, plus a small fixed
+number; since both bounds hold on each VM, they hold for the sum.
 """
 
 from __future__ import annotations
@@ -9,25 +9,27 @@
 from collections import deque
 
 USED_SHARE = 0.75
-"""Part of the fleet's ratio that is used. The limit counts the repeats of any span of the window's
-length against the calls of that span, the one before or half a window before; the rest of the
-ratio covers calls that fall just outside of it."""
+"""Share of the fleet's ratio that is used. The rest covers calls that fall just outside the window
+in which their retries are counted."""
 
 MAX_VM_COUNT = 128
-"""VMs that the limit's fixed part is shared between."""
+"""Maximum number of VMs that share the fixed part of the limit."""
 
 MIN_FREE_RETRIES = 1.0
-"""Repeats that a VM may make in a window whatever its calls: without it a quiet VM could never
-repeat a call."""
+"""Minimum number of retries per window that a VM may send regardless of its number of calls, so
+that a VM with few calls can retry at all."""
 
 
 class RetryBudget:
-    """The repeated sends to one service.
+    """Sliding-window budget of retries and hedges to one service.
 
     Args:
-        ratio: Repeats that the fleet may send for each call.
-        window: Seconds over which they are counted.
-        free: Repeats that the fleet may send in a window beside those.
+        ratio: Retries and hedges that the fleet may send per call.
+        window: Length of the sliding window in seconds.
+        free_retries: Retries and hedges that the fleet may send per window in addition.
+
+    Attributes:
+        refused: Number of retries and hedges refused so far.
     """
 
     __slots__ = ("ratio", "window", "free_retries", "calls", "retries", "refused")
@@ -41,17 +43,17 @@
         self.refused = 0
 
     def record_call(self, now: float) -> None:
-        """A caller's call for the service came."""
+        """Record the arrival of a call for the service."""
         self.calls.append(now)
         self._expire(now)
 
     def has_token(self, now: float) -> bool:
-        """Return whether one more repeat may be sent now."""
+        """Return whether a retry or hedge may be sent now."""
         self._expire(now)
         return len(self.retries) + 1 <= self.free_retries + self.ratio * len(self.calls)
 
     def take(self, now: float) -> bool:
-        """Take one repeat; return False if there is none left."""
+        """Take a token for one retry or hedge; return False if there is none."""
         if not self.has_token(now):
             self.refused += 1
             return False
--- a/sequoiabridge/balancing/route_stats.py
+++ b/sequoiabridge/balancing/route_stats.py
@@ -1,4 +1,4 @@
-"""What a route's calls are like, learned from those that went by: work time and answer size."""
+"""Moving averages per route and service: work of a call and size of its answer."""
 
 from __future__ import annotations
 
@@ -7,28 +7,33 @@
 from .call import Call, CallAttempt
 
 INITIAL_WORK_SHARE = 0.35
-"""Share of its target latency that a call's work is taken to need before any was measured; the
-users' targets are 2.5 to 3.3 times their mean work."""
+"""Initial estimate of a call's work, as a share of the target latency of its route."""
 
 LEARNING_RATE = 0.1
-"""Weight of the latest call; some ten calls fix a mean to a tenth."""
+"""Weight of a new call in the moving averages."""
 
 MAX_LOG_RATIO = 0.5
-"""Bound on one call's part in the logarithm of the work time: one that met a neighbour takes seven
-times as long, and says nothing about the work."""
+"""Bound on the logarithm of the ratio of measured to expected time of one call. Limits the effect
+of calls that a noisy neighbour slowed down."""
 
 MAX_SAMPLED_SLOWDOWN = 1.3
-"""Slowdown up to which a call tells what its work takes; the reports of quiet upstreams say 1."""
+"""Maximum slowdown of an upstream at which a call's duration is a sample of its work."""
 
 INITIAL_ANSWER_SIZE = 4000.0
-"""Bytes of an answer that are expected before any was seen."""
+"""Initial estimate of the answer size in bytes."""
 
 MEGABYTE = 1_000_000
 MIN_DURATION = 0.001
+"""Lower bound in seconds on a measured duration, whose logarithm is taken."""
 
 
 class RouteAverages:
-    """The means of one route."""
+    """The averages of one route and service.
+
+    Attributes:
+        work: Seconds of processing on an upstream that is not slowed down.
+        answer_size: Bytes of an answer.
+    """
 
     __slots__ = ("work", "answer_size")
 
@@ -38,10 +43,11 @@
 
 
 class RouteStats:
-    """Learns the means of each route.
+    """Maintains the averages of all routes.
 
     Args:
-        far_megabyte: Cost of a megabyte between data centres, in answers in time.
+        transfer_cost_per_mb: Cost of transferring a megabyte between data centres, relative to the
+            value of an answer in time.
     """
 
     def __init__(self, transfer_cost_per_mb: float):
@@ -49,18 +55,18 @@
         self.by_route: dict[str, RouteAverages] = {}
 
     def work(self, call: Call) -> float:
-        """Return the seconds that the call's work takes on an upstream that nothing slows."""
+        """Return the expected processing time of the call in seconds without any slowdown."""
         return self._averages_of(call).work
 
     def transfer_cost(self, call: Call) -> float:
-        """Return the cost of sending the call to another data centre."""
+        """Return the expected cost of transferring the call and its answer between data centres."""
         size = call.length + self._averages_of(call).answer_size
         return size / MEGABYTE * self.transfer_cost_per_mb
 
     def record(self, call: Call, attempt: CallAttempt) -> None:
-        """An attempt at a call was answered well.
+        """Record a successful attempt.
 
-        Its work is learned only if it had a slot at once on an upstream that nothing slowed.
+        Its duration counts only if it did not wait in a queue and the upstream was not slowed down.
         """
         averages, estimate = self._averages_of(call), attempt.estimate
         averages.answer_size += LEARNING_RATE * (attempt.size - averages.answer_size)
--- a/sequoiabridge/balancing/upstream_stats.py
+++ b/sequoiabridge/balancing/upstream_stats.py
@@ -1,4 +1,4 @@
-"""What a VM knows of one upstream, and how it fades. No I/O; time is an argument."""
+"""Decaying statistics of one upstream, as this VM observes it. No I/O; time is an argument."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 from .load import UpstreamLoad
 
 FAILURE_DECAY_SECONDS = 4.0
-"""Seconds in which failures and successes lose two thirds of their weight: upstreams that fail do
-so for some seconds, and one that has been mended must not stay out of use for long."""
+"""Time constant in seconds of the exponential decay of successes and failures."""
 
 PRIOR_CALLS = 2.0
-"""Calls' worth of trust that an upstream has before anything is known of it: one failure alone
-does not condemn it."""
+"""Weight, in calls, of the prior failure rate."""
 
 PRIOR_FAILURE_RATE = 0.02
-"""Share of failures that is expected of an upstream of which nothing is known."""
+"""Failure rate assumed of an upstream without recorded calls."""
 
 LATENCY_RATIO_DECAY_SECONDS = 4.0
-"""Seconds in which the memory of an upstream's own slowness fades by two thirds."""
+"""Time constant in seconds with which the latency ratio decays towards 1."""
 
 LATENCY_RATIO_WEIGHT = 0.3
-"""Weight of the latest call in the logarithm of an upstream's pace: three calls that take five
-times as long tell a slow upstream, one alone does not."""
+"""Weight of a new call in the moving average of the logarithm of the latency ratio."""
 
 MIN_LATENCY_RATIO, MAX_LATENCY_RATIO = 0.5, 20.0
-"""Bounds on one call's part in the pace, so that a single odd call cannot outweigh all others."""
+"""Bounds on the latency ratio of one call, which limit the effect of outliers."""
 
 MIN_PROBE_BACKOFF, MAX_PROBE_BACKOFF = 0.25, 2.0
-"""Seconds for which an upstream that did not answer a probe is not asked again; doubles up to the
-longest. Waiting for a silent upstream costs each call the whole patience of its probes."""
+"""Initial and maximum seconds between probes of an unresponsive upstream; doubles in between."""
 
 PROBE_WAIT = 0.03
-"""Seconds within which a health check is answered; upstreams do so within 1 to 5 ms."""
+"""Seconds that a decision waits for the answers to its probes. An upstream that takes longer counts
+as unresponsive until it answers."""
 
 PROBE_TIMEOUT = 0.4
-"""Seconds after which a probe is given up: healthy upstreams answer within milliseconds, and one
-lost packet is sent again after 0.2 s."""
+"""Timeout of a probe in seconds; long enough for one retransmission."""
 
 PEER_FAILURE_WEIGHT = 0.7
-"""Weight of a failure that another VM saw: some upstreams fail only some VMs."""
+"""Weight of a failure that a peer observed; some upstreams fail only for some VMs."""
 
 OVERDUE_FACTOR = 2.5
-"""Times its expected duration after which an open call says that something is wrong."""
+"""Multiple of its expected duration after which an open call is overdue."""
 
 
 class DecayingSum:
-    """A sum whose parts lose weight exponentially with their age."""
+    """A sum whose terms decay exponentially with time.
+
+    Args:
+        decay_seconds: Time constant of the decay in seconds.
+    """
 
     __slots__ = ("value", "updated_at", "decay_seconds")
 
@@ -56,19 +56,24 @@
         self.decay_seconds = decay_seconds
 
     def value_at(self, now: float) -> float:
-        """Return the sum with all parts faded up to `now`."""
+        """Return the sum, decayed up to `now`."""
         if self.value and now > self.updated_at:
             self.value *= exp((self.updated_at - now) / self.decay_seconds)
         self.updated_at = now
         return self.value
 
     def add(self, amount: float, now: float) -> None:
-        """Add a part that is fresh at `now`."""
+        """Add `amount` at the time `now`."""
         self.value = self.value_at(now) + amount
 
 
 class OpenCall:
-    """A call that an upstream has now; times in seconds."""
+    """A call of this VM that is open at an upstream.
+
+    Attributes:
+        started: Start time in seconds.
+        expected_duration: Expected duration in seconds.
+    """
 
     __slots__ = ("started", "expected_duration")
 
@@ -78,17 +83,19 @@
 
 
 class UpstreamStats:
-    """What this VM knows of one upstream.
+    """Statistics of one upstream. Times are in seconds on the daemon's clock.
 
     Attributes:
-        load: The upstream's last word on its load, heard at `load_at`, or None.
-        sent_since: Calls that are known to have been sent to it since then.
-        open_calls: Own calls that it has now.
-        pace: How many times longer its calls take than its reports let expect.
-        healthy: Its last answer to a health check; it may be mistaken.
-        silent: Health checks in a row that it did not answer.
-        retry_at: When it may be asked again after such silence.
-        asked_at: When the oldest health check that is still open was sent, or None.
+        load: Latest load report, or None.
+        load_reported_at: Time at which it was received.
+        sent_since_report: Number of calls known to have been sent to the upstream since then.
+        open_calls: Open calls of this VM at the upstream.
+        calls, failures: Decaying numbers of calls and of failed calls.
+        latency_ratio: Ratio of measured to expected duration at `latency_ratio_updated_at`.
+        healthy: Whether the upstream reported itself healthy in its latest answer to a probe.
+        unanswered_probes: Number of consecutive unanswered probes.
+        next_probe_at: Time from which an unresponsive upstream is probed again.
+        probe_sent_at: Time at which the oldest open probe was sent, or None.
     """
 
     __slots__ = (
@@ -121,86 +128,86 @@
         self.probe_sent_at: float | None = None
 
     def record_load_report(self, load: UpstreamLoad, now: float) -> None:
-        """The upstream told its load."""
+        """Record a load report."""
         self.load = load
         self.load_reported_at = now
         self.sent_since_report = 0
 
     def record_probe_sent(self, now: float) -> None:
-        """A health check was sent."""
+        """Record that a probe was sent."""
         if self.probe_sent_at is None:
             self.probe_sent_at = now
 
     def record_probe_not_sent(self) -> None:
-        """The health check could not be sent, for a reason of this VM's own."""
+        """Record that a probe could not be sent for a local reason, such as no free connection."""
         self.probe_sent_at = None
 
     def record_probe_answer(self, healthy: bool) -> None:
-        """The upstream answered a health check."""
+        """Record the answer to a probe."""
         self.probe_sent_at = None
         self.healthy = healthy
         self.unanswered_probes = 0
         self.next_probe_at = 0.0
 
     def record_probe_failure(self, now: float) -> None:
-        """The upstream did not answer a health check in time."""
+        """Record an unanswered probe; the next one follows after an exponential backoff."""
         self.probe_sent_at = None
         backoff = min(MAX_PROBE_BACKOFF, MIN_PROBE_BACKOFF * 2**self.unanswered_probes)
         self.unanswered_probes += 1
         self.next_probe_at = now + backoff
 
     def is_unresponsive(self, now: float) -> bool:
-        """Return whether it left its last health check unanswered, or the open one for too long."""
+        """Return whether the latest probe was not answered, or not within `PROBE_WAIT` so far."""
         open_for_long = self.probe_sent_at is not None and now - self.probe_sent_at > PROBE_WAIT
         return self.unanswered_probes > 0 or open_for_long
 
     def is_probe_due(self, now: float) -> bool:
-        """Return whether it is time to see if it answers health checks again."""
+        """Return whether the upstream is unresponsive and due to be probed again."""
         return (
             self.unanswered_probes > 0 and self.probe_sent_at is None and now >= self.next_probe_at
         )
 
     def record_send(self) -> None:
-        """A call is on its way to it, from this VM or from another."""
+        """Record that this VM or a peer sent a call to the upstream."""
         self.sent_since_report += 1
 
     def add_open_call(self, call: OpenCall) -> None:
-        """This VM has a call open there."""
+        """Add an open call of this VM."""
         self.open_calls.append(call)
 
     def remove_open_call(self, call: OpenCall) -> None:
-        """A call is over, however it ended."""
+        """Remove a call of this VM that has ended."""
         self.open_calls.remove(call)
 
     def record_success(self, now: float) -> None:
-        """A call was answered well."""
+        """Record a successful call."""
         self.calls.add(1.0, now)
 
     def record_failure(self, now: float, weight: float = 1.0) -> None:
-        """A call failed, here or (with less weight) at another VM."""
+        """Record a failed call; a failure that a peer observed has a lower weight."""
         self.calls.add(weight, now)
         self.failures.add(weight, now)
 
     def record_latency_ratio(self, ratio: float, now: float) -> None:
-        """A call took `ratio` times as long as expected."""
+        """Record a call that took `ratio` times its expected duration."""
         ratio = min(MAX_LATENCY_RATIO, max(MIN_LATENCY_RATIO, ratio))
         latency_ratio = self.latency_ratio_at(now)
         self.latency_ratio = latency_ratio * (ratio / latency_ratio) ** LATENCY_RATIO_WEIGHT
         self.latency_ratio_updated_at = now
 
     def latency_ratio_at(self, now: float) -> float:
-        """Return the pace, faded towards 1."""
+        """Return the latency ratio, decayed towards 1."""
         return 1.0 + (self.latency_ratio - 1.0) * exp(
             (self.latency_ratio_updated_at - now) / LATENCY_RATIO_DECAY_SECONDS
         )
 
     def failure_rate(self, now: float) -> float:
-        """Return the share of calls that it is expected to fail."""
+        """Return the expected share of failed calls."""
         failures = self.failures.value_at(now) + PRIOR_FAILURE_RATE * PRIOR_CALLS
         return min(1.0, failures / (self.calls.value_at(now) + PRIOR_CALLS))
 
     def overdue_calls(self, now: float) -> int:
-        """Return how many open calls have taken far longer than expected."""
+        """Return the number of overdue open calls."""
         return sum(
             now - call.started > OVERDUE_FACTOR * call.expected_duration for call in self.open_calls
         )
