--- a/sequoiabridge/experiment/vm.py
+++ b/sequoiabridge/experiment/vm.py
@@ -55,7 +55,7 @@
     """A fixed list of all upstreams.
 
     Args:
-        data_centre: Data centre of the VM; its upstreams are near.
+        data_centre: Data centre of the VM; the upstreams there are local.
     """
 
     def __init__(self, models: list[ModelUpstream], data_centre: int):
--- a/sequoiabridge/tests/experiment/test_model.py
+++ b/sequoiabridge/tests/experiment/test_model.py
@@ -111,15 +111,15 @@
 def test_messages_reach_peers_of_the_data_centre_but_no_isolated_vm():
     simulation = Simulation(parse_scene(CROWDED, "test"), 1, "own")
     sender, receiver = simulation.vms[0], simulation.vms[2]
-    near = next(u for u in sender.upstreams.by_id.values() if u.is_local)
-    sender._share_with_peers(near, lambda entry: entry.stats.record_send())
+    local = next(u for u in sender.upstreams.by_id.values() if u.is_local)
+    sender._share_with_peers(local, lambda entry: entry.stats.record_send())
     simulation.scheduler.run()
-    assert receiver.upstreams.by_id[near.id].stats.sent_since_report == 1
-    assert simulation.vms[1].upstreams.by_id[near.id].stats.sent_since_report == 0
+    assert receiver.upstreams.by_id[local.id].stats.sent_since_report == 1
+    assert simulation.vms[1].upstreams.by_id[local.id].stats.sent_since_report == 0
     receiver.isolated = True
-    sender._share_with_peers(near, lambda entry: entry.stats.record_send())
+    sender._share_with_peers(local, lambda entry: entry.stats.record_send())
     simulation.scheduler.run()
-    assert receiver.upstreams.by_id[near.id].stats.sent_since_report == 1
+    assert receiver.upstreams.by_id[local.id].stats.sent_since_report == 1
 
 
 def test_unresponsive_upstream_is_not_probed_again_before_its_backoff_ends():
