--- a/sequoiabridge/relay/messages.py
+++ b/sequoiabridge/relay/messages.py
@@ -30,7 +30,7 @@
 
 
 class Hello:
-    """A daemon has started.
+    """Announces a daemon to its peers, which answer with a heartbeat if they are watchers.
 
     Attributes:
         vm: Name of its VM.
@@ -142,11 +142,13 @@
 
 
 class Heartbeat:
-    """A daemon is live and polls the store.
+    """Announces the feeds of a watcher, a daemon that polls the store.
 
     Attributes:
+        vm: Name of its VM.
+        data_centre: Data centre of its VM.
         address: "IP:port" at which its feeds can be read.
-        versions: Version of each feed that it has, by feed; empty while it cannot reach the store.
+        versions: Version of each feed, by the feed's name; empty while it cannot reach the store.
         link: Bandwidth of its VM's link in Mbit/s.
     """
 
