--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -64,7 +64,7 @@
 EXPIRY_INTERVAL = 0.5
 """Interval in seconds at which lapsed upstreams are removed and buffered log lines are written."""
 
-MEMBER_COUNT_INTERVAL = 2.0
+PROBE_SHARE_INTERVAL = 2.0
 """Interval in seconds at which this VM's share of the fleet's health checks is updated."""
 
 SETTINGS_POLL_INTERVAL = 1.0
@@ -84,8 +84,7 @@
 """Interval in seconds at which a planned stop checks whether all calls have ended."""
 
 MAX_CONNECTIONS_PER_UPSTREAM = 8
-"""Maximum number of connections to one upstream. Each VM of the fleet may open as many, so that it
-must be low."""
+"""Maximum number of connections from this VM to one upstream, which must bear those of all VMs."""
 
 UPSTREAM_IDLE_TIMEOUT = 30.0
 """Seconds after which an idle upstream connection is closed, unless the upstream asks for less."""
@@ -144,9 +143,9 @@
             self.clock,
             self.random,
             self.decisions,
-            self._read_configuration,
-            self._read_configuration,
-            self._store_lost,
+            self._offer_configuration,
+            self._offer_configuration,
+            self._note_store_unavailable,
             lambda: None,
         )
 
@@ -158,7 +157,7 @@
             self.decisions,
             self._replace_upstreams,
             self._update_upstreams,
-            self._store_lost,
+            self._note_store_unavailable,
             self.upstreams.store_recovered,
         )
 
@@ -185,9 +184,14 @@
         self.probe_limiter = ProbeRateLimiter(self.settings.bounds.probes_per_second)
         self.sharing = Sharing(self.upstreams, self.clock)
         address = f"{listen.fleet_ip}:{listen.fleet_ports[-1]}"
-        local = Hello(vm.name, address, vm.data_centre, vm.link)
+        own_hello = Hello(vm.name, address, vm.data_centre, vm.link)
         self.members = Members(
-            local, self.store, self.decisions, self.random, self.sharing.send_hello, vm.first_start
+            own_hello,
+            self.store,
+            self.decisions,
+            self.random,
+            self.sharing.send_hello,
+            vm.first_start,
         )
         self.sharing.members = self.members
 
@@ -287,7 +291,7 @@
         self.timers.every(EXPIRY_INTERVAL, "lapsed upstreams", self.upstreams.expire)
         self.timers.every(EXPIRY_INTERVAL, "waiting lines", self.log_writer.flush)
         self.timers.every(HEARTBEAT_INTERVAL, "beacons", self.watchers.send_heartbeat)
-        self.timers.every(MEMBER_COUNT_INTERVAL, "members", self._update_probe_share)
+        self.timers.every(PROBE_SHARE_INTERVAL, "members", self._update_probe_share)
         self.timers.every(SETTINGS_POLL_INTERVAL, "settings", self.settings_reloader.poll)
 
     async def _stop(self) -> None:
@@ -318,11 +322,11 @@
         signal.signal(signal.SIGINT, stop)
         signal.signal(signal.SIGHUP, reload)
 
-    def _read_configuration(self, update: Update[RouteTable]) -> None:
+    def _offer_configuration(self, update: Update[RouteTable]) -> None:
         for table in update.entries:
             self.configuration.offer(table)
 
-    def _store_lost(self) -> None:
+    def _note_store_unavailable(self) -> None:
         self.watchers.note_store_unavailable()
 
     def _apply_configuration(self, table: RouteTable) -> None:
--- a/sequoiabridge/relay/decisions.py
+++ b/sequoiabridge/relay/decisions.py
@@ -1,7 +1,7 @@
 """The decision log: JSON lines on standard output, rate-limited and never blocking.
 
 Events, calls answered in time and all other calls have a rate limiter each, so that many successful
-calls do not displace the failed ones. The next line counts the lines that its limiter omitted.
+calls do not displace the failed ones. Omitted lines are counted in the next line of their kind.
 """
 
 from __future__ import annotations
--- a/sequoiabridge/relay/operators.py
+++ b/sequoiabridge/relay/operators.py
@@ -24,7 +24,7 @@
 METRICS_PATH, DUMP_PATH = b"/metrics", b"/dump"
 
 LIMITS = CallerLimits(max_connections=256)
-"""Connections of operators, and of the peers that read feeds."""
+"""Limits for the connections of operators, and of the peers that read feeds."""
 
 TEXT = (b"content-type", b"text/plain; charset=utf-8")
 JSON = (b"content-type", b"application/json")
--- a/sequoiabridge/relay/probing.py
+++ b/sequoiabridge/relay/probing.py
@@ -33,7 +33,7 @@
 
     Args:
         configuration: Provides the health check path of each service.
-        allowance: Limits the rate of health checks.
+        probe_limiter: Limits the rate of health checks.
     """
 
     def __init__(
--- a/sequoiabridge/relay/readiness.py
+++ b/sequoiabridge/relay/readiness.py
@@ -9,10 +9,10 @@
 from .upstreams import UpstreamList
 
 READY_LIMITS = CallerLimits(max_connections=64)
-"""Connections of the balancer, and of people who check by hand."""
+"""Limits for the connections of the balancer, and of people who check by hand."""
 
 SWEEP_INTERVAL = 2.0
-"""Interval in seconds at which the readiness and operators' ports check for closed connections."""
+"""Interval in seconds at which the readiness and operators' ports check their connections."""
 
 OK, UNAVAILABLE = 200, 503
 
