--- a/sequoiabridge/codec.py
+++ b/sequoiabridge/codec.py
@@ -3,7 +3,7 @@
 A relayed call passes h11 four times. `h11.Connection` spends a third of that on states that a
 relay keeps anyway (one request at a time, a connection reused only after a clean end); see
 docs/design/hop-latency.md. The names taken from h11's modules are not public: pyproject.toml
-holds h11 to 0.16, and only this module and `headlines` import them.
+holds h11 to 0.16, and only this module and `header_cache` import them.
 """
 
 import h11
@@ -25,7 +25,7 @@
 
 from .exceptions import SequoiaError
 from .fields import HTTP_11
-from .headlines import LineMemory
+from .header_cache import HeaderCache
 
 READ_SIZE = 64 * 1024
 """Most bytes taken from a socket at once; bounds the memory of a streamed body."""
@@ -34,7 +34,7 @@
 
 FIRST_FINAL = 200
 """Status from which an answer is not an interim one."""
-LINES = LineMemory()
+HEADER_CACHE = HeaderCache()
 """Remembered header lines of all connections."""
 
 END = h11.EndOfMessage()
@@ -126,7 +126,7 @@
         h11.LocalProtocolError: It is malformed.
     """
     first = validate(request_line_re, lines[0], "illegal request line: {!r}", lines[0])
-    return h11.Request(headers=LINES.headers(lines[1:]), _parsed=True, **first)
+    return h11.Request(headers=HEADER_CACHE.parse(lines[1:]), _parsed=True, **first)
 
 
 def read_response(lines: list[bytearray]) -> h11.Response | h11.InformationalResponse:
@@ -135,7 +135,7 @@
     status = int(first["status_code"])
     kind = h11.Response if status >= FIRST_FINAL else h11.InformationalResponse
     return kind(
-        headers=LINES.headers(lines[1:]),
+        headers=HEADER_CACHE.parse(lines[1:]),
         _parsed=True,
         status_code=status,
         reason=first["reason"] or b"",
--- a/sequoiabridge/headlines.py
+++ b/sequoiabridge/header_cache.py
@@ -11,20 +11,20 @@
 
 from .fields import CONTENT_LENGTH, TRANSFER_ENCODING, Headers
 
-LONGEST = 256
+MAX_CACHED_LINE_BYTES = 256
 """Bytes of a line that is worth remembering."""
-MOST_LINES = 2048
+MAX_LINES = 2048
 """Lines of one generation; two are kept, so that lines that come once push nothing out for long."""
-FRAMED = frozenset({CONTENT_LENGTH, TRANSFER_ENCODING})
+FRAMING_FIELDS = frozenset({CONTENT_LENGTH, TRANSFER_ENCODING})
 """Fields that h11 also judges together, so that two of them need a look of its own."""
-SECRET = frozenset({b"authorization", b"proxy-authorization", b"cookie", b"set-cookie"})
+SENSITIVE = frozenset({b"authorization", b"proxy-authorization", b"cookie", b"set-cookie"})
 """Fields whose values are not kept longer than their call."""
 
-Item = tuple[bytes, bytes, bytes]
+ParsedField = tuple[bytes, bytes, bytes]
 """Name as it came, name in lower case, value."""
 
 
-class ReadHeaders(Headers):
+class ParsedHeaders(Headers):
     """Header fields that came from h11's parser; quicker to go through than h11's own class."""
 
     __slots__ = ()
@@ -33,47 +33,47 @@
         return iter([(name, value) for _, name, value in self._full_items])
 
 
-class LineMemory:
+class HeaderCache:
     """What h11 made of the header lines that came lately; bounded."""
 
-    __slots__ = ("young", "old")
+    __slots__ = ("recent", "previous")
 
     def __init__(self):
-        self.young: dict[bytes, Item] = {}
-        self.old: dict[bytes, Item] = {}
+        self.recent: dict[bytes, ParsedField] = {}
+        self.previous: dict[bytes, ParsedField] = {}
 
-    def headers(self, lines: list[bytearray]) -> Headers:
+    def parse(self, lines: list[bytearray]) -> Headers:
         """Return the header fields of a head's lines, without its first line.
 
         Raises:
             h11.LocalProtocolError: They are malformed.
         """
-        items, framed, young = [], 0, self.young
+        items, framing_count, recent = [], 0, self.recent
         for line in map(bytes, lines):
-            item = young.get(line)
+            item = recent.get(line)
             if item is None:
                 if line[:1] in b" \t":
-                    return whole(lines)
-                item = self._read(line)
-            if item[1] in FRAMED:
-                framed += 1
+                    return parse_lines(lines)
+                item = self._lookup(line)
+            if item[1] in FRAMING_FIELDS:
+                framing_count += 1
             items.append(item)
-        return whole(lines) if framed > 1 else ReadHeaders(items)
+        return parse_lines(lines) if framing_count > 1 else ParsedHeaders(items)
 
-    def _read(self, line: bytes) -> Item:
+    def _lookup(self, line: bytes) -> ParsedField:
         """Return a line that is not young: remembered from the last generation, or read anew."""
-        item = self.old.get(line)
+        item = self.previous.get(line)
         if item is None:
-            item = whole([line])._full_items[0]
-        if len(line) > LONGEST or item[1] in SECRET:
+            item = parse_lines([line])._full_items[0]
+        if len(line) > MAX_CACHED_LINE_BYTES or item[1] in SENSITIVE:
             return item
-        if len(self.young) >= MOST_LINES:
+        if len(self.recent) >= MAX_LINES:
             # `headers` holds on to the full one until its head is read, which does no harm.
-            self.young, self.old = {}, self.young
-        self.young[line] = item
+            self.recent, self.previous = {}, self.recent
+        self.recent[line] = item
         return item
 
 
-def whole(lines: list[bytearray] | list[bytes]) -> Headers:
+def parse_lines(lines: list[bytearray] | list[bytes]) -> Headers:
     """Return the header fields as h11 reads them, folded lines joined."""
     return normalize_and_validate(list(_decode_header_lines(lines)), _parsed=True)
--- a/sequoiabridge/tests/test_headlines.py
+++ b/sequoiabridge/tests/test_header_cache.py
@@ -6,7 +6,7 @@
 from h11._receivebuffer import ReceiveBuffer
 
 from ..codec import Received
-from ..headlines import MOST_LINES, LineMemory
+from ..header_cache import MAX_LINES, HeaderCache
 
 HEADS = [
     b"Host: a\r\nX-One: 1\r\nx-one:  2 \r\nContent-Length: 5",
@@ -56,12 +56,12 @@
 
 
 def test_memory_is_bounded_keeps_no_secrets_and_no_long_lines():
-    memory = LineMemory()
-    for number in range(3 * MOST_LINES):
-        memory.headers([b"host: a", b"x-request: %d" % number])
-        memory.headers([b"Cookie: %d" % number, b"AUTHORIZATION: b", b"x: " + b"l" * 300])
-    kept = memory.young | memory.old
-    assert len(kept) <= 2 * MOST_LINES and b"host: a" in kept
+    cache = HeaderCache()
+    for number in range(3 * MAX_LINES):
+        cache.parse([b"host: a", b"x-request: %d" % number])
+        cache.parse([b"Cookie: %d" % number, b"AUTHORIZATION: b", b"x: " + b"l" * 300])
+    kept = cache.recent | cache.previous
+    assert len(kept) <= 2 * MAX_LINES and b"host: a" in kept
     assert not [
         line for line in kept if line[:6].lower() in (b"cookie", b"author") or len(line) > 256
     ]
