--- a/sequoiabridge/commands/gateway.py
+++ b/sequoiabridge/commands/gateway.py
@@ -8,7 +8,7 @@
 import sys
 
 from ..config.problem import Invalid
-from ..lean import import_curio
+from ..curio_import import import_curio
 
 SETTINGS_VARIABLE = "SEQUOIABRIDGE_CONFIG"
 """Environment variable that names the settings file when no argument does."""
--- a/sequoiabridge/lean.py
+++ b/sequoiabridge/curio_import.py
@@ -8,7 +8,7 @@
 import sys
 from types import ModuleType
 
-UNUSED = "asyncio"
+ASYNCIO = "asyncio"
 
 
 def import_curio() -> None:
@@ -17,10 +17,10 @@
 
     Nothing is done where one of the two is imported already.
     """
-    if UNUSED in sys.modules or "curio" in sys.modules:
+    if ASYNCIO in sys.modules or "curio" in sys.modules:
         return
-    sys.modules[UNUSED] = ModuleType(UNUSED)
+    sys.modules[ASYNCIO] = ModuleType(ASYNCIO)
     try:
         import curio  # noqa: F401
     finally:
-        del sys.modules[UNUSED]
+        del sys.modules[ASYNCIO]
--- a/sequoiabridge/tests/test_lean.py
+++ b/sequoiabridge/tests/test_curio_import.py
@@ -5,7 +5,7 @@
 
 SCRIPT = """
 import sys
-from sequoiabridge.lean import import_curio
+from sequoiabridge.curio_import import import_curio
 import_curio()
 import sequoiabridge.gateway
 assert "asyncio" not in sys.modules, "something imports asyncio after all"
@@ -32,7 +32,9 @@
 
 
 def test_nothing_is_replaced_where_asyncio_is_used_already():
-    script = "import asyncio, sys; from sequoiabridge.lean import import_curio; import_curio();"
+    script = (
+        "import asyncio, sys; from sequoiabridge.curio_import import import_curio; import_curio();"
+    )
     done = run(script + "assert sys.modules['asyncio'] is asyncio and asyncio.run")
     assert done.returncode == 0, done.stderr
 
