--- a/sequoiabridge/commands/client.py
+++ b/sequoiabridge/commands/client.py
@@ -16,7 +16,7 @@
     SequoiaError,
     StoreUnavailable,
 )
-from ..wording import cause_of
+from ..formatting import describe_error
 
 TOKEN_VARIABLE = "SEQUOIA_TOKEN"
 
@@ -87,7 +87,7 @@
             connection.connect()
         except OSError as error:
             raise DaemonUnavailable(
-                f"No daemon answers at {self.address} ({cause_of(error)}): "
+                f"No daemon answers at {self.address} ({describe_error(error)}): "
                 "check the address and that the daemon runs."
             ) from None
         headers = {"Authorization": f"Bearer {self.token}", "Content-Length": str(len(body))}
@@ -108,7 +108,7 @@
         if changes:
             remedy = "What was asked for may have been done: look before asking again."
         return DaemonUnavailable(
-            f"The daemon at {self.address} gave no answer ({cause_of(error)}). {remedy}"
+            f"The daemon at {self.address} gave no answer ({describe_error(error)}). {remedy}"
         )
 
     def result(self, status: int, data: bytes) -> Any:
--- a/sequoiabridge/commands/tables.py
+++ b/sequoiabridge/commands/tables.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from ..wording import counted
+from ..formatting import format_count
 
 INDENT = "  "
 GAP = "  "
@@ -118,7 +118,7 @@
     if answer.get("version") is not None:
         parts.append(f"configuration version {answer['version']}")
     if "heard" in answer:
-        parts.append(f"heard {counted(len(answer['heard']), 'VM')}")
+        parts.append(f"heard {format_count(len(answer['heard']), 'VM')}")
     return "; ".join(parts)
 
 
--- a/sequoiabridge/wording.py
+++ b/sequoiabridge/formatting.py
@@ -3,12 +3,12 @@
 import os
 
 
-def counted(number: int, noun: str) -> str:
+def format_count(number: int, noun: str) -> str:
     """Return a number with its noun, such as `1 VM` or `2 VMs`."""
     return f"{number} {noun}" if number == 1 else f"{number} {noun}s"
 
 
-def cause_of(error: Exception) -> str:
+def describe_error(error: Exception) -> str:
     """Return an error of the network in a few words, such as `Connection refused`."""
     number = getattr(error, "errno", None)
     if number is not None and number > 0:
--- a/sequoiabridge/operators/executor.py
+++ b/sequoiabridge/operators/executor.py
@@ -8,8 +8,8 @@
 
 from ..config.document import Document
 from ..exceptions import SequoiaError
+from ..formatting import format_count
 from ..timers import Clock
-from ..wording import counted
 from .bases import ConfigurationGate, Releases, StateSource
 from .changes import Proposal, check_expected, propose_command, propose_document, row_table
 from .commands import ChangeCommand, Command, Diff, Explain, Release, Show, Subject
@@ -138,7 +138,9 @@
                 return Error(found.error)
             documents.append(found.ok)
         columns, rows = row_table(*documents)
-        message = f"{counted(len(rows), 'difference')} from version {command.old} to {command.new}."
+        message = (
+            f"{format_count(len(rows), 'difference')} from version {command.old} to {command.new}."
+        )
         return Ok(self._reply(columns, rows, message=message))
 
     async def _change(self, command: ChangeCommand, author: str) -> Replied:
--- a/sequoiabridge/operators/fetch.py
+++ b/sequoiabridge/operators/fetch.py
@@ -8,7 +8,7 @@
 
 from ..config.units import split_address
 from ..exceptions import AdminError
-from ..wording import cause_of
+from ..formatting import describe_error
 
 READ_BYTES = 65536
 
@@ -28,7 +28,7 @@
     except curio.TaskTimeout:
         raise AdminError(f"no answer within {timeout:g} s") from None
     except OSError as error:
-        raise AdminError(f"the connection to {address} failed ({cause_of(error)})") from error
+        raise AdminError(f"the connection to {address} failed ({describe_error(error)})") from error
     except (h11.RemoteProtocolError, ValueError) as error:
         raise AdminError(f"its answer is not whole or not HTTP ({error})") from error
     if status != 200:
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -13,9 +13,9 @@
 from datetime import UTC, datetime
 
 from ..exceptions import Refusal
+from ..formatting import format_count
 from ..parts import Part
 from ..timers import Clock
-from ..wording import counted
 from .rows import RefusalRow
 
 RECENT_CALLS = 2000
@@ -214,7 +214,7 @@
 
 def ending(entry: CallEntry) -> str:
     """Say how a call ended."""
-    took = f"after {entry.seconds * 1000:.1f} ms and {counted(entry.attempts, 'attempt')}"
+    took = f"after {entry.seconds * 1000:.1f} ms and {format_count(entry.attempts, 'attempt')}"
     if entry.refusal is None:
         hedged = ", hedged" if entry.hedged else ""
         return f"answered {entry.status} by {entry.upstream or 'this daemon'} {took}{hedged}"
