--- a/sequoiabridge/platform/entries.py
+++ b/sequoiabridge/platform/entries.py
@@ -6,8 +6,8 @@
 
 from ..balancing.upstream import UpstreamRecord
 from ..exceptions import BadEntry
-from ..foreign import as_address, as_number, as_table, as_text, as_whole, parsed
 from ..store.rows import StoredRow
+from ..untrusted_json import as_address, as_integer, as_number, as_object, as_text, parse_json
 
 READY, DRAINING = "ready", "draining"
 STATES = (READY, DRAINING)
@@ -31,17 +31,17 @@
     """
     if not row.key.isascii():
         raise BadEntry("its key is no id that a header can carry")
-    entry = as_table(parsed(row.value or b""), "the entry")
-    info = as_table(entry.get("info"), "info")
-    status = as_table(entry.get("status"), "status")
+    entry = as_object(parse_json(row.value or b""), "the entry")
+    info = as_object(entry.get("info"), "info")
+    status = as_object(entry.get("status"), "status")
     # It counts the entry's own changes; only an upstream itself writes it.
-    as_whole(status.get("sequence"), "sequence", 0, LAST_COUNT)
+    as_integer(status.get("sequence"), "sequence", 0, LAST_COUNT)
     return UpstreamRecord(
         id=as_text(row.key, "its key"),
         service=as_text(info.get("service"), "service"),
         address=as_address(entry.get("address"), "address"),
         data_centre=as_text(info.get("zone"), "zone"),
-        slots=as_whole(info.get("slots"), "slots", 1, MOST_SLOTS),
+        slots=as_integer(info.get("slots"), "slots", 1, MOST_SLOTS),
         draining=_state(status) == DRAINING,
         cold_seconds=as_number(status.get("cold_remaining_s"), "its cold time", 0.0, LONGEST_COLD),
         version=as_text(info.get("version"), "version"),
@@ -60,4 +60,4 @@
     """Return the Unix millisecond of its start, None where the platform does not tell it."""
     if "born" not in entry:
         return None
-    return as_whole(entry["born"], "born", 0, LAST_COUNT)
+    return as_integer(entry["born"], "born", 0, LAST_COUNT)
--- a/sequoiabridge/platform/feeds.py
+++ b/sequoiabridge/platform/feeds.py
@@ -4,10 +4,10 @@
 
 from ..balancing.routes import RouteTable
 from ..balancing.upstream import UpstreamRecord
-from ..foreign import as_table, parsed
 from ..relay.feeds import Feed
 from ..store.rows import Changes, Rows, StoredRow
 from ..store.tables import Tables
+from ..untrusted_json import as_object, parse_json
 from .configuration import route_table
 from .entries import upstream_record
 from .names import CONFIGURATION_KEY, CONFIGURATION_TABLE, UPSTREAM_TABLE
@@ -31,7 +31,7 @@
     def decode(self, row: StoredRow) -> RouteTable | None:
         if row.key != CONFIGURATION_KEY:
             return None
-        return route_table(as_table(parsed(row.value or b""), "the configuration"))
+        return route_table(as_object(parse_json(row.value or b""), "the configuration"))
 
 
 class UpstreamFeed(Feed[UpstreamRecord]):
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -14,10 +14,10 @@
 import curio
 
 from ..exceptions import BadEntry, StoreUnavailable
-from ..foreign import as_address, as_number, as_table, as_text, parsed
 from ..parts import Part
 from ..store.rows import Write
 from ..store.tables import Tables
+from ..untrusted_json import as_address, as_number, as_object, as_text, parse_json
 from .decisions import DecisionLog
 from .entry_errors import EntryErrorLog
 from .messages import MAX_LINK_MBPS, Hello
@@ -151,7 +151,7 @@
     Raises:
         BadEntry: The row describes no daemon that can be reached.
     """
-    row = as_table(parsed(value), "the row")
+    row = as_object(parse_json(value), "the row")
     return Hello(
         as_text(vm, "its key"),
         as_address(row.get("address"), "address"),
--- a/sequoiabridge/relay/messages.py
+++ b/sequoiabridge/relay/messages.py
@@ -7,7 +7,15 @@
 
 from ..balancing.load import UpstreamLoad
 from ..exceptions import BadEntry
-from ..foreign import as_address, as_list, as_number, as_table, as_text, as_whole, parsed
+from ..untrusted_json import (
+    as_address,
+    as_integer,
+    as_list,
+    as_number,
+    as_object,
+    as_text,
+    parse_json,
+)
 
 HELLO, SENT, LOAD, FAILED = "hello", "sent", "load", "failed"
 CRASHED, SURVIVED, HEARTBEAT = "crashed", "survived", "beacon"
@@ -179,7 +187,7 @@
 def decode_message(data: bytes) -> Message | None:
     """Return the message of a datagram, None if it is invalid or of an unknown type."""
     try:
-        fields = as_list(parsed(data), "the datagram")
+        fields = as_list(parse_json(data), "the datagram")
         decoder = DECODERS.get(fields[0]) if fields and isinstance(fields[0], str) else None
         return None if decoder is None else decoder(fields[1:])
     except (BadEntry, IndexError):
@@ -205,7 +213,7 @@
 
 def _decode_load_report(fields: list) -> LoadReport:
     running, waiting, slots = (
-        as_whole(fields[index], "the load", 0, MAX_REQUESTS) for index in (1, 2, 3)
+        as_integer(fields[index], "the load", 0, MAX_REQUESTS) for index in (1, 2, 3)
     )
     slowdown = as_number(fields[4], "the slowdown", 0.0, MAX_SLOWDOWN)
     return LoadReport(_text(fields, 0), UpstreamLoad(running, waiting, slots, slowdown))
@@ -224,9 +232,10 @@
 
 
 def _decode_heartbeat(fields: list) -> Heartbeat:
-    versions_table = as_table(fields[3], "the versions")
+    versions_table = as_object(fields[3], "the versions")
     versions = {
-        name: as_whole(versions_table[name], "a version", 0, MAX_VERSION) for name in versions_table
+        name: as_integer(versions_table[name], "a version", 0, MAX_VERSION)
+        for name in versions_table
     }
     address = as_address(fields[2], "the address")
     return Heartbeat(_text(fields, 0), _text(fields, 1), address, versions, _link(fields[4]))
--- a/sequoiabridge/relay/peer_feeds.py
+++ b/sequoiabridge/relay/peer_feeds.py
@@ -9,9 +9,9 @@
 import curio
 
 from ..exceptions import BadEntry, StoreUnavailable, UpstreamFailed
-from ..foreign import as_list, as_table, as_whole, parsed
 from ..store.rows import Changes, Rows, StoredRow
 from ..timers import Clock
+from ..untrusted_json import as_integer, as_list, as_object, parse_json
 from ..upstreams.connections import ConnectorLimits, HttpConnector
 from ..upstreams.fetch import fetch
 from .feeds import Follower
@@ -114,9 +114,9 @@
         StoreUnavailable: The response is invalid.
     """
     try:
-        found = as_table(parsed(zlib.decompress(data)), "the answer")
+        found = as_object(parse_json(zlib.decompress(data)), "the answer")
         rows = [_decode_row(as_list(row, "a row")) for row in as_list(found.get("rows"), "rows")]
-        version = as_whole(found.get("version"), "version", 0, MAX_VERSION)
+        version = as_integer(found.get("version"), "version", 0, MAX_VERSION)
     except (BadEntry, zlib.error) as error:
         raise StoreUnavailable(f"Invalid rows from a peer: {error}.") from error
     kind = Rows if found.get("whole") is True else Changes
@@ -132,7 +132,7 @@
     if value is not None and not (isinstance(value, str) and is_latin1(value)):
         raise BadEntry("a row's value is not Latin-1 text")
     data = None if value is None else value.encode("latin-1")
-    return StoredRow(table, part, key, data, as_whole(version, "version", 0, MAX_VERSION))
+    return StoredRow(table, part, key, data, as_integer(version, "version", 0, MAX_VERSION))
 
 
 def is_latin1(text: str) -> bool:
