--- a/sequoiabridge/assembly/operators.py
+++ b/sequoiabridge/assembly/operators.py
@@ -4,6 +4,12 @@
 
 from typing import TYPE_CHECKING
 
+from ..daemon_metrics import (
+    declare_call_metrics,
+    declare_fleet_metrics,
+    declare_store_metrics,
+    declare_upload_metrics,
+)
 from ..operators.admin import AdminServer
 from ..operators.dump import Dump
 from ..operators.executor import Executor
@@ -11,7 +17,6 @@
 from ..operators.releases import DaemonReleases
 from ..operators.routes import Routes
 from ..operators.state import DaemonState
-from ..readings import declare_fleet, declare_path, declare_store, declare_uploads
 
 if TYPE_CHECKING:
     from ..daemon import Daemon
@@ -54,10 +59,10 @@
     return [Peer(m.name, f"{m.address.rpartition(':')[0]}:{port}") for m in others]
 
 
-def declare_metrics(daemon: Daemon) -> None:
+def declare_daemon_metrics(daemon: Daemon) -> None:
     """Show the readings of all parts as metrics."""
     metrics, path = daemon.metrics, daemon.path
-    declare_path(metrics, path.services, path.callers)
-    declare_fleet(metrics, daemon.fleet, daemon.configuration, daemon.readiness)
-    declare_store(metrics, daemon.store, daemon.claims)
-    declare_uploads(metrics, daemon.uploads, path.deliveries)
+    declare_call_metrics(metrics, path.services, path.callers)
+    declare_fleet_metrics(metrics, daemon.fleet, daemon.configuration, daemon.readiness)
+    declare_store_metrics(metrics, daemon.store, daemon.claims)
+    declare_upload_metrics(metrics, daemon.uploads, path.deliveries)
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -12,7 +12,7 @@
 import curio
 
 from .assembly import stopping
-from .assembly.operators import build_admin, declare_metrics
+from .assembly.operators import build_admin, declare_daemon_metrics
 from .assembly.path import CallPath
 from .assembly.schedule import Schedule
 from .config.document import Document
@@ -60,7 +60,7 @@
         self.pipeline = self.path.pipeline
         self.callers = self.path.callers
         self.admin = build_admin(self)
-        declare_metrics(self)
+        declare_daemon_metrics(self)
         self.schedule = Schedule(self)
         self.stop_asked = curio.UniversalEvent()
 
--- a/sequoiabridge/readings.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -19,35 +19,41 @@
 from .store.upload_delivery import Deliveries
 from .store.uploads import Uploads
 
-SERVICE = ("service",)
-RESULT = ("result",)
+SERVICE_LABEL = ("service",)
+RESULT_LABEL = ("result",)
 STORE_EVENTS = ("writes", "reads", "refused", "unanswered", "rejected", "settled", "unsettled")
 
 
-def declare_path(metrics: Metrics, services: Services, callers: CallerServer) -> None:
+def declare_call_metrics(metrics: Metrics, services: Services, callers: CallerServer) -> None:
     """Show queues, calls in flight, ejections and callers' connections."""
 
-    def each(read: Callable[[ServiceState], float]) -> Callable[[], Samples]:
+    def per_service(read: Callable[[ServiceState], float]) -> Callable[[], Samples]:
         return lambda: [((state.service.name,), read(state)) for state in services.states()]
 
     metrics.counter(
         "sequoia_ejections",
         "Upstreams taken out of use.",
-        each(lambda state: state.pool.ejector.count),
-        SERVICE,
+        per_service(lambda state: state.pool.ejector.count),
+        SERVICE_LABEL,
     )
     metrics.gauge(
-        "sequoia_queue_length", "Calls that wait.", each(lambda state: state.queue.waiting), SERVICE
+        "sequoia_queue_length",
+        "Calls that wait.",
+        per_service(lambda state: state.queue.waiting),
+        SERVICE_LABEL,
     )
     metrics.gauge(
-        "sequoia_in_flight", "Calls that run.", each(lambda state: state.queue.running), SERVICE
+        "sequoia_in_flight",
+        "Calls that run.",
+        per_service(lambda state: state.queue.running),
+        SERVICE_LABEL,
     )
     metrics.gauge(
         "sequoia_caller_connections", "Callers' open connections.", lambda: callers.connections
     )
 
 
-def declare_fleet(
+def declare_fleet_metrics(
     metrics: Metrics,
     fleet: FleetNode,
     configuration: ConfigurationInForce,
@@ -76,7 +82,7 @@
     )
 
 
-def declare_store(metrics: Metrics, store: StoreClient, claims: Claims) -> None:
+def declare_store_metrics(metrics: Metrics, store: StoreClient, claims: Claims) -> None:
     """Show what became of calls to the platform, and of claims."""
     metrics.gauge("sequoia_store_down", "1 while no call goes out.", lambda: store.is_down)
     metrics.counter("sequoia_store_outages", "Outages noticed.", lambda: store.gate.breaker.opened)
@@ -90,7 +96,7 @@
         "sequoia_claims",
         "Claims of work that runs at most once.",
         lambda: [((name,), getattr(claims.counts, name)) for name in claims.counts.__slots__],
-        RESULT,
+        RESULT_LABEL,
     )
     metrics.gauge(
         "sequoia_unproven_reports",
@@ -99,13 +105,13 @@
     )
 
 
-def declare_uploads(metrics: Metrics, uploads: Uploads, deliveries: Deliveries) -> None:
+def declare_upload_metrics(metrics: Metrics, uploads: Uploads, deliveries: Deliveries) -> None:
     """Show what became of requests to uploads, and of deliveries."""
     metrics.counter(
         "sequoia_uploads",
         "Requests to uploads by how they ended.",
         lambda: [((result,), number) for result, number in uploads.counts.items()],
-        RESULT,
+        RESULT_LABEL,
     )
     metrics.counter(
         "sequoia_deliveries",
@@ -114,5 +120,5 @@
             (("confirmed",), deliveries.confirmed),
             (("postponed",), deliveries.postponed),
         ],
-        RESULT,
+        RESULT_LABEL,
     )
