--- a/sequoiabridge/assembly/operators.py
+++ b/sequoiabridge/assembly/operators.py
@@ -25,7 +25,7 @@
 def build_admin(daemon: Daemon) -> AdminServer:
     """Return the admin port of a daemon whose other parts are built."""
     token = daemon.settings.admin.token
-    dump = Dump(daemon.vm, daemon.parts, [token, *daemon.settings.fleet.key.split()])
+    dump = Dump(daemon.vm, daemon.components, [token, *daemon.settings.fleet.key.split()])
     routes = Routes(token, daemon.readiness, daemon.metrics, dump, build_executor(daemon))
     return AdminServer(daemon.settings.admin.address, routes)
 
--- a/sequoiabridge/callers/server.py
+++ b/sequoiabridge/callers/server.py
@@ -9,9 +9,9 @@
 import curio
 from curio.traps import _io_release, _read_wait
 
+from ..component import Component
 from ..exceptions import ConfigurationError
 from ..logs import get_log
-from ..parts import Part
 from ..pipeline.exchange import Answer, Request
 from ..timers import Clock
 from .connection import CallerConnection, standalone
@@ -54,7 +54,7 @@
         """
 
 
-class CallerServer(Part):
+class CallerServer(Component):
     """Serves callers on one address.
 
     Args:
--- a/sequoiabridge/parts.py
+++ b/sequoiabridge/component.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 
-class Part(ABC):
+class Component(ABC):
     """A part of the daemon that shows its state in the dump.
 
     Hooks:
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -13,6 +13,7 @@
 import curio
 from expression import Error, Ok, Result
 
+from .component import Component
 from .config.change import Change
 from .config.document import Document
 from .exceptions import ConflictError, SequoiaError, StoreUnavailable
@@ -22,7 +23,6 @@
 from .logs import get_log
 from .operators.bases import ConfigurationGate
 from .operators.errors import NotFound
-from .parts import Part
 from .store.version_rows import (
     CHANGE_DECODER,
     ENCODER,
@@ -51,7 +51,7 @@
 """Seconds between two looks at who has confirmed."""
 
 
-class ConfigurationInForce(ConfigurationGate, Part):
+class ConfigurationInForce(ConfigurationGate, Component):
     """Keeps the document that this VM works by.
 
     Args:
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -15,6 +15,7 @@
 from .assembly.operators import build_admin, declare_daemon_metrics
 from .assembly.path import CallPath
 from .assembly.schedule import Schedule
+from .component import Component
 from .config.document import Document
 from .config.settings import Settings
 from .configuration import ConfigurationInForce
@@ -23,7 +24,6 @@
 from .logs import get_log
 from .metrics import Metrics
 from .operators.journal import Journal
-from .parts import Part
 from .platform.services import PlatformObjects, PlatformTables, PlatformVmList
 from .readiness import DaemonReadiness
 from .store.claim_admin import ClaimAdmin
@@ -64,7 +64,7 @@
         self.schedule = Schedule(self)
         self.stop_asked = curio.UniversalEvent()
 
-    def parts(self) -> list[Part]:
+    def components(self) -> list[Component]:
         """Return what the state dump shows."""
         return [
             self.callers,
--- a/sequoiabridge/fleet/fleet.py
+++ b/sequoiabridge/fleet/fleet.py
@@ -9,8 +9,8 @@
 
 import curio
 
+from ..component import Component
 from ..logs import get_log
-from ..parts import Part
 from ..timers import Clock, Subscription, Timers
 from .base import AnyItem, ConfigurationItem, Fleet, Item, MemberState, MemberView, Urgency
 from .bucket import DEFAULT_RATE, TRANSPORT_OVERHEAD, ByteBucket
@@ -40,7 +40,7 @@
 EventListener = Callable[[Event], None]
 
 
-class FleetNode(Fleet, Part):
+class FleetNode(Fleet, Component):
     """Membership and exchange with the other daemons.
 
     Args:
--- a/sequoiabridge/metrics.py
+++ b/sequoiabridge/metrics.py
@@ -19,10 +19,10 @@
     Metric,
 )
 
+from .component import Component
 from .exposition import Samples, SimpleFamily, cumulative, pieces, render
 from .logs import get_log
 from .outcome import Outcome, Reason
-from .parts import Part
 
 log = get_log("metrics")
 
@@ -112,7 +112,7 @@
         return [((), value)] if isinstance(value, int | float) else value
 
 
-class Metrics(Part):
+class Metrics(Component):
     """All metrics of one daemon, in a registry of their own."""
 
     name = "metrics"
--- a/sequoiabridge/operators/admin.py
+++ b/sequoiabridge/operators/admin.py
@@ -14,9 +14,9 @@
 import h11
 from curio import network
 
+from ..component import Component
 from ..config.units import join_address, split_address
 from ..logs import get_log
-from ..parts import Part
 from .errors import RequestRejected
 from .messages import AdminAnswer, AdminHandler, AdminRequest
 from .reply import error_answer
@@ -155,7 +155,7 @@
                 pass
 
 
-class AdminServer(Part):
+class AdminServer(Component):
     """Serves the admin port on one address.
 
     Args:
--- a/sequoiabridge/operators/dump.py
+++ b/sequoiabridge/operators/dump.py
@@ -6,8 +6,8 @@
 
 import curio
 
+from ..component import Component
 from ..logs import get_log
-from ..parts import Part
 from .errors import NotFound
 
 log = get_log("dump")
@@ -32,9 +32,11 @@
         secrets: Texts that must not be shown, such as the operators' token and the fleet's key.
     """
 
-    def __init__(self, vm: str, parts: Callable[[], Sequence[Part]], secrets: Sequence[str] = ()):
+    def __init__(
+        self, vm: str, components: Callable[[], Sequence[Component]], secrets: Sequence[str] = ()
+    ):
         self.vm = vm
-        self.parts = parts
+        self.components = components
         self.secrets = [secret for secret in secrets if secret]
 
     async def collect(self, only: str | None = None) -> dict:
@@ -43,23 +45,23 @@
         Raises:
             NotFound: There is no part of that name; the message lists those there are.
         """
-        parts = list(self.parts())
-        names = sorted({part.name for part in parts})
+        components = list(self.components())
+        names = sorted({component.name for component in components})
         if only is not None and only not in names:
             raise NotFound(f"There is no part {only}; parts are {', '.join(names)}.")
         shown = {}
-        for part in parts:
-            if only in (None, part.name):
-                shown[part.name] = self._dump(part)
+        for component in components:
+            if only in (None, component.name):
+                shown[component.name] = self._dump(component)
                 await curio.sleep(0)
         return {"vm": self.vm, "parts": shown}
 
-    def _dump(self, part: Part) -> object:
+    def _dump(self, component: Component) -> object:
         try:
-            return self._shown(part.dump(), 0)
+            return self._shown(component.dump(), 0)
         except Exception as error:
             # The others' state is worth most when one part is broken.
-            log.warning("part %s gave no dump: %s", part.name, type(error).__name__)
+            log.warning("part %s gave no dump: %s", component.name, type(error).__name__)
             return {"error": self._text(f"{type(error).__name__}: {error}")}
 
     def _shown(self, value: object, depth: int) -> object:
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterator, Sequence
 from datetime import UTC, datetime
 
+from ..component import Component
 from ..exceptions import Refusal
 from ..formatting import format_count
-from ..parts import Part
 from ..timers import Clock
 from .rows import RefusalRow
 
@@ -82,7 +82,7 @@
         return ENTRY_BYTES + sum(NOTE_BYTES + note_size(note) for note in self.notes)
 
 
-class Journal(Part):
+class Journal(Component):
     """The journal of one daemon."""
 
     name = "journal"
--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterator
 from random import Random
 
+from ..component import Component
 from ..config.document import Document
 from ..config.service import Service
 from ..config.upstream import Upstream
 from ..exceptions import Refusal
 from ..outcome import Reason
-from ..parts import Part
 from ..policy.admission import AdmissionQueue
 from ..policy.choosers import chooser_named
 from ..policy.concurrency import ConcurrencyLimit
@@ -103,7 +103,7 @@
         }
 
 
-class Services(Part):
+class Services(Component):
     """All services of the configuration in force.
 
     Args:
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+from ..component import Component
 from ..fleet.base import CrashItem, DrainItem, LoadItem, RetryItem, Urgency
 from ..fleet.fleet import FleetNode
 from ..fleet.loads import EXPIRED, LocalLoad, Told, worth_sending
 from ..logs import get_log
 from ..metrics import Metrics
-from ..parts import Part
 from ..policy.base import Failure
 from ..policy.crashes import CrashLedger
 from ..policy.suspicions import is_local_suspect
@@ -32,7 +32,7 @@
 MICROSECONDS = 1_000_000
 
 
-class Sharing(Observer, Part):
+class Sharing(Observer, Component):
     """Joins the evidence of this daemon with the fleet's."""
 
     name = "sharing"
--- a/sequoiabridge/relay/configuration.py
+++ b/sequoiabridge/relay/configuration.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from ..balancing.routes import RouteTable
+from ..component import Component
 from ..logs import get_log
-from ..parts import Part
 from .decisions import DecisionLog
 
 log = get_log("configuration")
@@ -15,7 +15,7 @@
 """Path of the health check of services that the configuration does not name."""
 
 
-class Configuration(Part):
+class Configuration(Component):
     """Holds the newest route table; older ones are ignored.
 
     Args:
--- a/sequoiabridge/relay/feeds.py
+++ b/sequoiabridge/relay/feeds.py
@@ -10,8 +10,8 @@
 
 import curio
 
+from ..component import Component
 from ..exceptions import BadEntry, HistoryLost, StoreUnavailable
-from ..parts import Part
 from ..store.rows import Changes, Rows, StoredRow
 from ..timers import Clock
 from .decisions import DecisionLog
@@ -155,7 +155,7 @@
         return update
 
 
-class Follower(Part, Generic[Entry]):
+class Follower(Component, Generic[Entry]):
     """Keeps a feed up to date while the daemon runs.
 
     Args:
--- a/sequoiabridge/relay/members.py
+++ b/sequoiabridge/relay/members.py
@@ -13,8 +13,8 @@
 
 import curio
 
+from ..component import Component
 from ..exceptions import BadEntry, StoreUnavailable
-from ..parts import Part
 from ..store.rows import Write
 from ..store.tables import Tables
 from ..untrusted_json import as_address, as_number, as_object, as_text, parse_json
@@ -37,7 +37,7 @@
 more, the datagrams would take more processor time than the calls."""
 
 
-class Members(Part):
+class Members(Component):
     """The peers that this daemon knows.
 
     Args:
--- a/sequoiabridge/relay/upstreams.py
+++ b/sequoiabridge/relay/upstreams.py
@@ -7,8 +7,8 @@
 
 from ..balancing.candidates import UpstreamSource
 from ..balancing.upstream import Upstream, UpstreamRecord
+from ..component import Component
 from ..logs import get_log
-from ..parts import Part
 from ..timers import Clock
 from .decisions import DecisionLog
 
@@ -33,7 +33,7 @@
 theirs."""
 
 
-class UpstreamList(Part, UpstreamSource):
+class UpstreamList(Component, UpstreamSource):
     """All upstreams, by id and by service.
 
     Args:
--- a/sequoiabridge/store/claims.py
+++ b/sequoiabridge/store/claims.py
@@ -7,7 +7,7 @@
 import curio
 from expression import Result
 
-from ..parts import Part
+from ..component import Component
 from ..timers import Clock, Timers
 from .base import Condition, Row, StoreErrorKind, Write
 from .claim_reports import Report, Reports
@@ -63,7 +63,7 @@
             setattr(self, name, 0)
 
 
-class Claims(Part):
+class Claims(Component):
     """Claims of this VM; `vm_name` is shown to operators and proves nothing."""
 
     name = "claims"
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -9,7 +9,7 @@
 import curio
 from expression import Ok, Result
 
-from ..parts import Part
+from ..component import Component
 from ..timers import Clock, Timers
 from .base import (
     Condition,
@@ -41,7 +41,7 @@
 """Seconds before a transaction is sent again; doubles each round."""
 
 
-class StoreClient(TableService, Part):
+class StoreClient(TableService, Component):
     """Tables and objects (`objects`) at this daemon's share of the fleet's rates.
 
     Args:
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -11,9 +11,9 @@
 
 import curio
 
+from ..component import Component
 from ..exceptions import SequoiaError, StoreUnavailable
 from ..logs import get_log
-from ..parts import Part
 from ..pipeline.exchange import Body
 from ..timers import Clock
 from .upload_chunks import UploadCut
@@ -128,7 +128,7 @@
             raise UploadCut(str(error)) from error
 
 
-class Deliveries(Part):
+class Deliveries(Component):
     """Delivers accepted uploads.
 
     Attributes:
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -5,9 +5,9 @@
 forgotten; both are conditional commits that a live writer wins or notices.
 """
 
+from ..component import Component
 from ..exceptions import StoreUnavailable
 from ..logs import get_log
-from ..parts import Part
 from .upload_delivery import RETENTION
 from .upload_index import CHUNK_PREFIX, DONE, OPEN, UploadEntry, is_dead, owner_of
 from .upload_manifest import Manifest, UploadConflict, UploadState, abandoned
@@ -22,7 +22,7 @@
 """Seconds without a commit after which an upload that was not accepted is given up."""
 
 
-class Orphans(Part):
+class Orphans(Component):
     """Removes what no upload needs, a bounded batch at a time."""
 
     name = "orphans"
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from ..parts import Part
+from ..component import Component
 from ..timers import Clock
 from .base import ObjectStore, TableService
 from .upload_chunks import ChunkStore, Cutter
@@ -59,7 +59,7 @@
     return secrets.token_hex(NONCE_BYTES)
 
 
-class Uploads(Part):
+class Uploads(Component):
     """Receives uploads.
 
     Attributes:
--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -3,8 +3,8 @@
 from collections import deque
 from functools import partial
 
+from ..component import Component
 from ..exceptions import NoFreeConnection, UpstreamFailed
-from ..parts import Part
 from ..timers import Clock
 from .base import Connector, UpstreamConnection
 from .exchange import HttpConnection
@@ -50,7 +50,7 @@
         self.suspected = NEVER_SUSPECTED
 
 
-class HttpConnector(Connector, Part):
+class HttpConnector(Connector, Component):
     """Connections to upstreams over HTTP/1.1.
 
     Args:
