--- a/sequoiabridge/benchmarks/hop_relay.py
+++ b/sequoiabridge/benchmarks/hop_relay.py
@@ -10,7 +10,7 @@
 from ..callers.server import CallerServer, Handler
 from ..headers import REQUEST_ID
 from ..pipeline.exchange import Answer, Request
-from ..selector import KeptSelector
+from ..selector import LazySelector
 from ..timers import SystemClock
 from ..upstreams.base import UpstreamRequest
 from ..upstreams.connections import ConnectorLimits, HttpConnector
@@ -70,4 +70,4 @@
 
 
 if __name__ == "__main__":
-    curio.run(serve, sys.argv[1], selector=KeptSelector())
+    curio.run(serve, sys.argv[1], selector=LazySelector())
--- a/sequoiabridge/commands/daemon.py
+++ b/sequoiabridge/commands/daemon.py
@@ -49,9 +49,9 @@
     """Run the daemon on curio's kernel; returns after a planned stop."""
     # Imported here, so that checking settings does not load the whole daemon.
     from ..daemon import Daemon
-    from ..selector import KeptSelector
+    from ..selector import LazySelector
 
-    return curio.run(Daemon(settings).run, selector=KeptSelector()) or 0
+    return curio.run(Daemon(settings).run, selector=LazySelector()) or 0
 
 
 if __name__ == "__main__":
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -52,7 +52,7 @@
 from .relay.sharing import Sharing
 from .relay.upstreams import UpstreamList
 from .relay.watchers import HEARTBEAT_INTERVAL, Watchers
-from .selector import KeptSelector
+from .selector import LazySelector
 from .timers import SystemClock, Timers
 from .upstreams.connections import ConnectorLimits, HttpConnector
 
@@ -368,7 +368,7 @@
         os.set_blocking(STDOUT, False)
         gateway = Gateway(settings)
         gateway.catch_signals()
-        return curio.run(gateway.run, selector=KeptSelector()) or 0
+        return curio.run(gateway.run, selector=LazySelector()) or 0
     except Invalid as error:
         for problem in error.problems:
             print(problem.text, file=sys.stderr)
--- a/sequoiabridge/selector.py
+++ b/sequoiabridge/selector.py
@@ -3,7 +3,7 @@
 A relayed call waits on two sockets in turn. curio's kernel unregisters the one and registers the
 other each time, two system calls and a good deal of Python for each wait. This selector only marks
 a socket as not waited for, and takes it off the epoll descriptor when it has an event
-that nobody waits for. Pass it as `curio.run(main, selector=KeptSelector())`.
+that nobody waits for. Pass it as `curio.run(main, selector=LazySelector())`.
 """
 
 import select
@@ -45,7 +45,7 @@
         self.data = data
 
 
-class KeptSelector:
+class LazySelector:
     """The part of `selectors.EpollSelector` that curio's kernel uses.
 
     Attributes:
@@ -57,22 +57,22 @@
     def __init__(self):
         self.epoll = select.epoll()
         self.keys: dict[int, Key] = {}
-        self.kept: dict[int, tuple[object, int]] = {}
+        self.registered: dict[int, tuple[object, int]] = {}
 
     def register(self, fileobj: object, events: int, data: object = None) -> Key:
         """Wait for `events` on `fileobj`, a descriptor or an object with `fileno`."""
-        fd = _number(fileobj)
-        kept = self.kept.get(fd)
-        if kept is None or kept[0] is not fileobj or kept[1] != events:
-            self._put(fd, fileobj, events)
+        fd = _descriptor_of(fileobj)
+        registered = self.registered.get(fd)
+        if registered is None or registered[0] is not fileobj or registered[1] != events:
+            self._set_epoll_events(fd, fileobj, events)
         key = self.keys[fd] = Key(fileobj, events, data)
         return key
 
     def unregister(self, fileobj: object) -> Key:
         """Wait for `fileobj` no more."""
-        key = self.keys.pop(_number(fileobj))
+        key = self.keys.pop(_descriptor_of(fileobj))
         if isinstance(fileobj, int):
-            self._drop(fileobj)
+            self._remove_from_epoll(fileobj)
         return key
 
     def modify(self, fileobj: object, events: int, data: object = None) -> Key:
@@ -81,19 +81,19 @@
 
     def get_key(self, fileobj: object) -> Key:
         """Return the key of `fileobj`, or raise `KeyError` if it is not waited for."""
-        return self.keys[_number(fileobj)]
+        return self.keys[_descriptor_of(fileobj)]
 
     def select(self, timeout: float | None = None) -> list[tuple[Key, int]]:
         """Return the keys that have events, with these, after at most `timeout` seconds."""
         try:
-            events = self.epoll.poll(timeout, max(len(self.kept), 1))
+            events = self.epoll.poll(timeout, max(len(self.registered), 1))
         except InterruptedError:
             return []
         ready = []
         for fd, event in events:
             key = self.keys.get(fd)
             if key is None:
-                self._drop(fd)
+                self._remove_from_epoll(fd)
                 continue
             mask = (EVENT_WRITE if event & NOT_READ else 0) | (
                 EVENT_READ if event & NOT_WRITE else 0
@@ -106,21 +106,21 @@
         """Close the epoll descriptor."""
         self.epoll.close()
         self.keys.clear()
-        self.kept.clear()
+        self.registered.clear()
 
-    def _put(self, fd: int, fileobj: object, events: int) -> None:
+    def _set_epoll_events(self, fd: int, fileobj: object, events: int) -> None:
         mask = MASKS[events]
         try:
-            if fd in self.kept:
+            if fd in self.registered:
                 self.epoll.modify(fd, mask)
             else:
                 self.epoll.register(fd, mask)
         except FileNotFoundError:
             self.epoll.register(fd, mask)
-        self.kept[fd] = (fileobj, events)
+        self.registered[fd] = (fileobj, events)
 
-    def _drop(self, fd: int) -> None:
-        self.kept.pop(fd, None)
+    def _remove_from_epoll(self, fd: int) -> None:
+        self.registered.pop(fd, None)
         try:
             self.epoll.unregister(fd)
         except OSError:
@@ -128,5 +128,5 @@
             return
 
 
-def _number(fileobj: object) -> int:
+def _descriptor_of(fileobj: object) -> int:
     return fileobj if isinstance(fileobj, int) else fileobj.fileno()
--- a/sequoiabridge/tests/callers/served.py
+++ b/sequoiabridge/tests/callers/served.py
@@ -7,7 +7,7 @@
 from ...callers.limits import CallerLimits
 from ...callers.server import CallerServer, Handler
 from ...pipeline.exchange import Answer, BytesBody
-from ...selector import KeptSelector
+from ...selector import LazySelector
 from ...timers import ManualClock
 
 GET = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -61,7 +61,7 @@
         finally:
             await task.cancel()
 
-    curio.run(main, selector=KeptSelector())
+    curio.run(main, selector=LazySelector())
 
 
 async def read_all(sock) -> bytes:
--- a/sequoiabridge/tests/commands/test_tool.py
+++ b/sequoiabridge/tests/commands/test_tool.py
@@ -12,7 +12,7 @@
 from ...commands import daemon
 from ...commands.main import main
 from ...exceptions import StoreUnavailable
-from ...selector import KeptSelector
+from ...selector import LazySelector
 
 TOKEN = "operators-token-0001"
 TABLE = {
@@ -198,4 +198,4 @@
     monkeypatch.setattr(daemon.curio, "run", lambda main, **options: ran.append(options))
     settings = Path(__file__).parents[3] / "examples" / "vm.ini"
     assert daemon.main([str(settings)]) == 0
-    assert isinstance(ran[0]["selector"], KeptSelector)
+    assert isinstance(ran[0]["selector"], LazySelector)
--- a/sequoiabridge/tests/platform/scene.py
+++ b/sequoiabridge/tests/platform/scene.py
@@ -5,7 +5,7 @@
 
 from ...config.gateway_settings import GatewaySettings
 from ...gateway import Gateway
-from ...selector import KeptSelector
+from ...selector import LazySelector
 from .store_emulator import StoreEmulator
 from .upstream_emulator import UpstreamEmulator
 
@@ -213,4 +213,4 @@
             await scene.serving()
         await curio.timeout_after(25, test, scene)
 
-    curio.run(main, selector=KeptSelector())
+    curio.run(main, selector=LazySelector())
--- a/sequoiabridge/tests/platform/soak/__main__.py
+++ b/sequoiabridge/tests/platform/soak/__main__.py
@@ -5,7 +5,7 @@
 import curio
 import defopt
 
-from ....selector import KeptSelector
+from ....selector import LazySelector
 from .plan import Soak
 
 
@@ -20,7 +20,7 @@
     bad = 0
     for number in range(seed, seed + seeds):
         soak = Soak(number, seconds, daemons)
-        found = curio.run(soak.run, selector=KeptSelector())
+        found = curio.run(soak.run, selector=LazySelector())
         print(f"seed {number}: {soak.summary()}, broken {len(found)}", flush=True)
         for sentence in found:
             print(f"  BROKEN {sentence}", flush=True)
--- a/sequoiabridge/tests/platform/soak/test_soak.py
+++ b/sequoiabridge/tests/platform/soak/test_soak.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from ....selector import KeptSelector
+from ....selector import LazySelector
 from .oracle import APPROVE, DRAIN_BOUND, MARK, READ, Record, Run, Told, broken
 from .plan import Soak
 
@@ -21,7 +21,7 @@
 def test_no_promise_is_broken(seed, seconds):
     soak = Soak(seed, seconds, daemons=4)
     try:
-        assert curio.run(soak.run, selector=KeptSelector()) == []
+        assert curio.run(soak.run, selector=LazySelector()) == []
         assert len(soak.deployment.record.told) > 200
     finally:
         soak.close()
--- a/sequoiabridge/tests/test_selector.py
+++ b/sequoiabridge/tests/test_selector.py
@@ -6,34 +6,36 @@
 
 import pytest
 
-from ..selector import Descriptor, KeptSelector
+from ..selector import Descriptor, LazySelector
 
 
 @pytest.fixture
 def selector():
-    kept = KeptSelector()
-    yield kept
-    kept.close()
+    lazy = LazySelector()
+    yield lazy
+    lazy.close()
 
 
 def pair():
-    near, far = socket.socketpair()
-    return near, far, Descriptor(near.fileno())
+    local_end, remote_end = socket.socketpair()
+    return local_end, remote_end, Descriptor(local_end.fileno())
 
 
 def test_event_that_nobody_waits_for_is_not_reported_and_does_not_spin(selector):
-    near, far, descriptor = pair()
+    local_end, remote_end, descriptor = pair()
     selector.register(descriptor, EVENT_READ, "task")
     selector.unregister(descriptor)
-    far.send(b"x")
+    remote_end.send(b"x")
     assert selector.select(0) == []
-    assert near.fileno() not in selector.kept, "or each later select would return at once"
+    assert (
+        local_end.fileno() not in selector.registered
+    ), "or each later select would return at once"
     selector.register(descriptor, EVENT_READ, "task")
     assert [(key.data, mask) for key, mask in selector.select(0)] == [("task", EVENT_READ)]
 
 
 def test_wait_for_another_event_on_a_kept_socket(selector):
-    near, far, descriptor = pair()
+    local_end, remote_end, descriptor = pair()
     selector.register(descriptor, EVENT_READ, "reader")
     selector.unregister(descriptor)
     selector.register(descriptor, EVENT_WRITE, "writer")
@@ -41,11 +43,11 @@
 
 
 def test_reused_number_of_a_closed_socket_is_registered_again(selector):
-    near, far, descriptor = pair()
-    number = near.fileno()
+    local_end, remote_end, descriptor = pair()
+    number = local_end.fileno()
     selector.register(descriptor, EVENT_READ)
     selector.unregister(descriptor)
-    near.close()
+    local_end.close()
     other, sender = socket.socketpair()
     os.dup2(other.fileno(), number)
     again = Descriptor(number)
@@ -56,9 +58,9 @@
 
 
 def test_hang_up_wakes_the_waiter(selector):
-    near, far, descriptor = pair()
+    local_end, remote_end, descriptor = pair()
     selector.register(descriptor, EVENT_READ, "task")
-    far.close()
+    remote_end.close()
     assert [key.data for key, _ in selector.select(0)] == ["task"]
     with pytest.raises(KeyError):
         selector.get_key(Descriptor(9999))
--- a/sequoiabridge/tests/upstreams/scripted.py
+++ b/sequoiabridge/tests/upstreams/scripted.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from ...selector import KeptSelector
+from ...selector import LazySelector
 from ...timers import ManualClock
 from ...upstreams.base import UpstreamRequest
 from ...upstreams.connections import ConnectorLimits, HttpConnector
@@ -47,7 +47,7 @@
             await task.cancel()
             await listener.close()
 
-    curio.run(main, selector=KeptSelector())
+    curio.run(main, selector=LazySelector())
 
 
 def answering(*answers):
