--- a/sequoiabridge/callers/body.py
+++ b/sequoiabridge/callers/body.py
@@ -77,7 +77,7 @@
 
     def _next_event(self) -> h11.Data | h11.EndOfMessage | None:
         try:
-            return self.wire.received.body_event(self.reader)
+            return self.wire.received.read_body_event(self.reader)
         except h11.LocalProtocolError as error:
             refusal = bad_request(f"The request's body is malformed: {error}. Correct it.")
             refusal.outcome = self._outcome()
--- a/sequoiabridge/callers/connection.py
+++ b/sequoiabridge/callers/connection.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from ..codec import END, body_writer, response_bytes, written
+from ..codec import END_OF_MESSAGE, body_writer, encode_body_event, encode_response_head
 from ..exceptions import CallerGone, Refusal, SequoiaError, UpstreamFailed
 from ..fields import (
     BODILESS,
@@ -43,7 +43,7 @@
     """Return the bytes of an answer to a caller whose request is not read; it says close."""
     fields = Fields([*answer.headers, (CONTENT_LENGTH, b"%d" % answer.length), CLOSE])
     response = h11.Response(status_code=answer.status, headers=fields)
-    return response_bytes(response) + answer.body.data
+    return encode_response_head(response) + answer.body.data
 
 
 class CallerConnection:
@@ -99,7 +99,7 @@
         timeout, head_end = limits.idle_timeout, None
         while True:
             if wire.received:
-                event, raw = wire.received.request()
+                event, raw = wire.received.read_request()
                 if max(len(raw), 0 if event else len(wire.received)) > limits.max_head:
                     message = f"The head has more than {limits.max_head} bytes. Send less."
                     raise bad_request(message, 431)
@@ -189,7 +189,7 @@
         bodiless = method == b"HEAD" or status in BODILESS
         fields = self._fields(answer, bodiless)
         reason = REASON_PHRASES.get(status, b"")
-        head = response_bytes(h11.Response(status_code=status, headers=fields, reason=reason))
+        head = encode_response_head(h11.Response(status_code=status, headers=fields, reason=reason))
         if bodiless or source is None:
             await wire.send(head)
         elif isinstance(source, BytesBody):
@@ -202,8 +202,8 @@
         writer = body_writer(length, chunked=self.version == HTTP_11)
         try:
             while piece := await body.read():
-                await self.wire.send(written(writer, h11.Data(piece)))
-            if end := written(writer, END):
+                await self.wire.send(encode_body_event(writer, h11.Data(piece)))
+            if end := encode_body_event(writer, END_OF_MESSAGE):
                 await self.wire.send(end)
         except h11.LocalProtocolError as error:
             message = f"The answer's body is not as long as it says: {error}."
--- a/sequoiabridge/callers/wire.py
+++ b/sequoiabridge/callers/wire.py
@@ -10,7 +10,7 @@
 import curio
 from curio.traps import _io_release, _read_wait, _write_wait
 
-from ..codec import READ_SIZE, Received
+from ..codec import READ_SIZE, InputBuffer
 from ..exceptions import CallerGone
 from ..logs import get_log
 from ..selector import Descriptor
@@ -73,7 +73,7 @@
         self.descriptor = Descriptor(sock.fileno())
         self.limits = limits
         self.clock = clock
-        self.received = Received()
+        self.received = InputBuffer()
         self.task: curio.Task | None = None
         self.phase = Phase.IDLE
         self.deadline = clock.now() + limits.idle_timeout
@@ -132,7 +132,7 @@
             if not await self.receive(Phase.CLOSING, end - self.clock.now()):
                 return
             size += len(self.received)
-            self.received = Received()
+            self.received = InputBuffer()
 
     def abort_on_close(self) -> None:
         """Make the close a reset, for an answer whose end is shown by nothing but the close."""
--- a/sequoiabridge/codec.py
+++ b/sequoiabridge/codec.py
@@ -29,15 +29,15 @@
 
 READ_SIZE = 64 * 1024
 """Most bytes taken from a socket at once; bounds the memory of a streamed body."""
-MAX_LINE = 16 * 1024
+MAX_LINE_BYTES = 16 * 1024
 """Most bytes of a chunk's header or of the trailers."""
 
-FIRST_FINAL = 200
+MIN_FINAL_STATUS = 200
 """Status from which an answer is not an interim one."""
 HEADER_CACHE = HeaderCache()
 """Remembered header lines of all connections."""
 
-END = h11.EndOfMessage()
+END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class UntilCloseReader:
@@ -58,7 +58,7 @@
     """A header value holds a line break; remove it where the value is made."""
 
 
-class Received:
+class InputBuffer:
     """What has been received on a connection and not been read yet.
 
     `closed` is true once the other side has ended its stream.
@@ -84,19 +84,19 @@
         """Remove `size` bytes, all of which must be here, and return them."""
         return bytes(self.buffer.maybe_extract_at_most(size) or b"")
 
-    def request(self) -> tuple[h11.Request | None, bytes]:
+    def read_request(self) -> tuple[h11.Request | None, bytes]:
         """Return the next request and its head's bytes; None while its head is not whole.
 
         Raises:
             h11.LocalProtocolError: It is malformed.
         """
-        return self._head(read_request)
+        return self._read_head(parse_request)
 
-    def response(self) -> tuple[h11.Response | h11.InformationalResponse | None, bytes]:
-        """Return the next answer and its head's bytes; as `request`."""
-        return self._head(read_response)
+    def read_response(self) -> tuple[h11.Response | h11.InformationalResponse | None, bytes]:
+        """Return the next answer and its head's bytes; as `read_request`."""
+        return self._read_head(parse_response)
 
-    def _head(self, reader) -> tuple[h11.Event | None, bytes]:
+    def _read_head(self, reader) -> tuple[h11.Event | None, bytes]:
         held = bytes(self.buffer)
         lines = self.buffer.maybe_extract_lines()
         if lines is None:
@@ -107,19 +107,19 @@
             raise h11.LocalProtocolError("the first line is missing")
         return reader(lines), held[: len(held) - len(self.buffer)]
 
-    def body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage | None:
+    def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage | None:
         """Return the next part of a body, None while none is here.
 
         Raises:
             h11.LocalProtocolError: The body is malformed.
         """
         event = reader(self.buffer)
-        if event is None and len(self.buffer) > MAX_LINE:
+        if event is None and len(self.buffer) > MAX_LINE_BYTES:
             raise h11.LocalProtocolError("a chunk's header or the trailers are too long")
         return event
 
 
-def read_request(lines: list[bytearray]) -> h11.Request:
+def parse_request(lines: list[bytearray]) -> h11.Request:
     """Return the request of a head's lines, as h11's own reader does.
 
     Raises:
@@ -129,11 +129,11 @@
     return h11.Request(headers=HEADER_CACHE.parse(lines[1:]), _parsed=True, **first)
 
 
-def read_response(lines: list[bytearray]) -> h11.Response | h11.InformationalResponse:
-    """Return the answer of a head's lines, as h11's own reader does; as `read_request`."""
+def parse_response(lines: list[bytearray]) -> h11.Response | h11.InformationalResponse:
+    """Return the answer of a head's lines, as h11's own reader does; as `parse_request`."""
     first = validate(status_line_re, lines[0], "illegal status line: {!r}", lines[0])
     status = int(first["status_code"])
-    kind = h11.Response if status >= FIRST_FINAL else h11.InformationalResponse
+    kind = h11.Response if status >= MIN_FINAL_STATUS else h11.InformationalResponse
     return kind(
         headers=HEADER_CACHE.parse(lines[1:]),
         _parsed=True,
@@ -155,7 +155,7 @@
     return ChunkedWriter() if chunked else Http10Writer()
 
 
-def written(writer: BodyWriter, event: h11.Data | h11.EndOfMessage) -> bytes:
+def encode_body_event(writer: BodyWriter, event: h11.Data | h11.EndOfMessage) -> bytes:
     """Return the bytes of a part of a body; b"" for an end that has none.
 
     Raises:
@@ -166,21 +166,21 @@
     return parts[0] if len(parts) == 1 else b"".join(parts)
 
 
-def request_bytes(event: h11.Request) -> bytes:
+def encode_request_head(event: h11.Request) -> bytes:
     """Return the head of a request; its fields must say how its body is framed."""
     parts: list[bytes] = []
     write_request(event, parts.append)
-    return _joined(parts)
+    return _join_head(parts)
 
 
-def response_bytes(event: h11.Response | h11.InformationalResponse) -> bytes:
+def encode_response_head(event: h11.Response | h11.InformationalResponse) -> bytes:
     """Return the head of an answer; its fields must say how its body is framed."""
     parts: list[bytes] = []
     write_any_response(event, parts.append)
-    return _joined(parts)
+    return _join_head(parts)
 
 
-def _joined(parts: list[bytes]) -> bytes:
+def _join_head(parts: list[bytes]) -> bytes:
     """Join the lines of a head; raise `UnsafeHeader` if a value has brought one of its own."""
     head = b"".join(parts)
     if head.count(b"\n") != len(parts) or head.count(b"\r") != len(parts):
--- a/sequoiabridge/tests/test_codec.py
+++ b/sequoiabridge/tests/test_codec.py
@@ -4,14 +4,14 @@
 import pytest
 
 from ..codec import (
-    END,
-    Received,
+    END_OF_MESSAGE,
+    InputBuffer,
     UnsafeHeader,
     body_reader,
     body_writer,
-    request_bytes,
-    response_bytes,
-    written,
+    encode_body_event,
+    encode_request_head,
+    encode_response_head,
 )
 from ..fields import Fields
 
@@ -21,30 +21,32 @@
 
 def test_heads_are_what_h11s_connection_writes():
     request = h11.Request(method=b"PUT", target=b"/x", headers=Fields([HOST, LENGTH]))
-    assert request_bytes(request) == h11.Connection(h11.CLIENT).send(request)
+    assert encode_request_head(request) == h11.Connection(h11.CLIENT).send(request)
     server = h11.Connection(h11.SERVER)
     server.receive_data(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
     server.next_event()
     response = h11.Response(status_code=200, headers=Fields([LENGTH]), reason=b"OK")
-    assert response_bytes(response) == server.send(response)
+    assert encode_response_head(response) == server.send(response)
 
 
 @pytest.mark.parametrize("value", [b"a\r\nSequoia-Outcome: not-run", b"a\nb", b"a\rb"])
 def test_line_break_in_a_value_never_leaves(value):
     with pytest.raises(UnsafeHeader):
-        response_bytes(h11.Response(status_code=200, headers=Fields([(b"x", value)])))
+        encode_response_head(h11.Response(status_code=200, headers=Fields([(b"x", value)])))
 
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
 @pytest.mark.parametrize("length", [None, 600])
 def test_body_is_read_whole_however_it_is_cut(step, length):
     writer = body_writer(length)
-    data = written(writer, h11.Data(b"x" * 100)) + written(writer, h11.Data(b"y" * 500))
-    data += written(writer, END)
-    received, reader, body, ended = Received(), body_reader(length), b"", False
+    data = encode_body_event(writer, h11.Data(b"x" * 100)) + encode_body_event(
+        writer, h11.Data(b"y" * 500)
+    )
+    data += encode_body_event(writer, END_OF_MESSAGE)
+    received, reader, body, ended = InputBuffer(), body_reader(length), b"", False
     for start in range(0, len(data), step):
         received.feed(data[start : start + step])
-        while not ended and (event := received.body_event(reader)) is not None:
+        while not ended and (event := received.read_body_event(reader)) is not None:
             ended = type(event) is h11.EndOfMessage
             body += b"" if ended else bytes(event.data)
     assert ended and body == b"x" * 100 + b"y" * 500 and not received
@@ -52,10 +54,10 @@
 
 def test_body_that_does_not_fit_its_length_and_an_endless_chunk_header_are_refused():
     with pytest.raises(h11.LocalProtocolError):
-        written(body_writer(3), h11.Data(b"four"))
+        encode_body_event(body_writer(3), h11.Data(b"four"))
     with pytest.raises(h11.LocalProtocolError):
-        written(body_writer(3), END)
-    received = Received()
+        encode_body_event(body_writer(3), END_OF_MESSAGE)
+    received = InputBuffer()
     received.feed(b"1" * 20_000)
     with pytest.raises(h11.LocalProtocolError):
-        received.body_event(body_reader(None))
+        received.read_body_event(body_reader(None))
--- a/sequoiabridge/tests/test_header_cache.py
+++ b/sequoiabridge/tests/test_header_cache.py
@@ -5,7 +5,7 @@
 from h11._readers import maybe_read_from_IDLE_client
 from h11._receivebuffer import ReceiveBuffer
 
-from ..codec import Received
+from ..codec import InputBuffer
 from ..header_cache import MAX_LINES, HeaderCache
 
 HEADS = [
@@ -47,9 +47,9 @@
         return maybe_read_from_IDLE_client(buffer)
 
     def found():
-        received = Received()
+        received = InputBuffer()
         received.feed(data)
-        return received.request()[0]
+        return received.read_request()[0]
 
     assert outcome(found) == outcome(expected)
     assert outcome(found) == outcome(expected)
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -7,14 +7,14 @@
 import h11
 
 from ..codec import (
-    END,
+    END_OF_MESSAGE,
     BodyReader,
     BodyWriter,
     UntilCloseReader,
     body_reader,
     body_writer,
-    request_bytes,
-    written,
+    encode_body_event,
+    encode_request_head,
 )
 from ..exceptions import UpstreamFailed
 from ..fields import BODILESS, CONTENT_LENGTH, FRAMING, TRANSFER_ENCODING, Fields, Head
@@ -96,7 +96,7 @@
         self.method = request.method
         self.is_answer = request.is_answer
         try:
-            head = request_bytes(_event(request, link.address))
+            head = encode_request_head(_event(request, link.address))
             if request.body is None:
                 await self._send(head)
             else:
@@ -110,13 +110,13 @@
         """Send a request with a body until its end, or until the upstream has refused it."""
         link = self.link
         piece = await body.read()
-        await self._send(head + written(writer, h11.Data(piece)))
+        await self._send(head + encode_body_event(writer, h11.Data(piece)))
         while piece and not link.refused:
             piece = await body.read()
             self._look_for_answer()
             if piece and not link.refused:
-                await self._send(written(writer, h11.Data(piece)))
-        if not link.refused and (end := written(writer, END)):
+                await self._send(encode_body_event(writer, h11.Data(piece)))
+        if not link.refused and (end := encode_body_event(writer, END_OF_MESSAGE)):
             await self._send(end)
 
     async def read_head(self) -> Answer:
@@ -155,7 +155,7 @@
         """Read and drop the body of an answer that belongs to an earlier request."""
         self.link.spoiled = True
         reader = self._reader(head)
-        while type(await self.link.body_event(reader)) is h11.Data:
+        while type(await self.link.read_body_event(reader)) is h11.Data:
             pass
 
     def _reader(self, head: Head) -> BodyReader:
@@ -217,7 +217,7 @@
             return b""
         link = self.connection.link
         try:
-            event = await link.body_event(self.reader)
+            event = await link.read_body_event(self.reader)
         except UpstreamFailed:
             await self.close()
             raise
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -8,7 +8,7 @@
 import h11
 from curio.traps import _io_release, _read_wait, _write_wait
 
-from ..codec import END, READ_SIZE, BodyReader, Received, UntilCloseReader
+from ..codec import END_OF_MESSAGE, READ_SIZE, BodyReader, InputBuffer, UntilCloseReader
 from ..exceptions import UpstreamFailed
 from ..selector import Descriptor
 from ..timers import Clock
@@ -75,7 +75,7 @@
         self.last_heard = self.opened
         self.requests = 0
         self.early: h11.Response | None = None
-        self.received = Received()
+        self.received = InputBuffer()
         self._renew()
         self.kept_for = float("inf")
         self.spoiled = False
@@ -130,7 +130,7 @@
         """Return the answer's head, None while it has not come; interim answers are passed over."""
         while True:
             try:
-                event, raw = self.received.response()
+                event, raw = self.received.read_response()
             except h11.LocalProtocolError as error:
                 raise self.failed(f"The answer is not valid HTTP: {error}.") from error
             if max(len(raw), 0 if event else len(self.received)) > max_head:
@@ -145,12 +145,12 @@
             raise self.failed("It closed the connection before its answer was whole.")
         return None
 
-    async def body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage:
+    async def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage:
         """Wait for the next part of the answer's body."""
         try:
-            while (event := self.received.body_event(reader)) is None:
+            while (event := self.received.read_body_event(reader)) is None:
                 if self.received.closed and type(reader) is UntilCloseReader:
-                    return END
+                    return END_OF_MESSAGE
                 if self.received.closed:
                     raise self.failed("It closed the connection within its answer.")
                 await self.receive()
