--- a/sequoiabridge/benchmarks/observation.py
+++ b/sequoiabridge/benchmarks/observation.py
@@ -96,7 +96,7 @@
         "library, labels looked up": microseconds(looked_up),
         "library, children cached": microseconds(cached),
         "Metrics.answered": microseconds(
-            lambda: metrics.answered("spendview", "read", 200, 0.012, True)
+            lambda: metrics.record_call("spendview", "read", 200, 0.012, True)
         ),
         "Journal.record": microseconds(
             lambda: journal.record("id", "spendview", "read", "u1", 200, 0.012, 5.0)
@@ -105,7 +105,9 @@
     for name, cost in costs.items():
         print(f"{name}: {cost:.2f} us a call")
     for number in range(SERVICES * KINDS):
-        metrics.answered(f"service-{number // KINDS}", f"kind-{number % KINDS}", 200, 0.012, True)
+        metrics.record_call(
+            f"service-{number // KINDS}", f"kind-{number % KINDS}", 200, 0.012, True
+        )
     whole, cut = scrapes(metrics)
     print(f"scrape of {SERVICES * KINDS} series at once: {whole[0]:.1f} ms, gap {whole[1]:.1f} ms")
     print(f"scrape of {SERVICES * KINDS} series in pieces: {cut[0]:.1f} ms, gap {cut[1]:.1f} ms")
--- a/sequoiabridge/exposition.py
+++ b/sequoiabridge/exposition.py
@@ -13,7 +13,7 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
-PIECE_SAMPLES = 100
+MAX_PIECE_SAMPLES = 100
 """Samples that are formatted before other tasks may run."""
 
 HEADER_LINES = 2
@@ -25,7 +25,7 @@
 SimpleFamily = type[GaugeMetricFamily] | type[CounterMetricFamily]
 
 
-class OnePiece:
+class SingleMetricRegistry:
     """What `generate_latest` takes for a registry, holding one piece of a family."""
 
     __slots__ = ("metric",)
@@ -38,21 +38,21 @@
         return iter((self.metric,))
 
 
-def pieces(
+def split_family(
     kind: SimpleFamily, name: str, help_text: str, labels: Sequence[str], samples: Samples
 ) -> Iterator[Metric]:
     """Yield a metric family in pieces, one even if there are no samples."""
     rest = iter(samples)
     while True:
         piece = kind(name, help_text, labels=labels)
-        for label_values, value in islice(rest, PIECE_SAMPLES):
+        for label_values, value in islice(rest, MAX_PIECE_SAMPLES):
             piece.add_metric(label_values, value)
         yield piece
-        if len(piece.samples) < PIECE_SAMPLES:
+        if len(piece.samples) < MAX_PIECE_SAMPLES:
             return
 
 
-def cumulative(names: Sequence[str], buckets: Sequence[int]) -> list[tuple[str, float]]:
+def cumulative_buckets(names: Sequence[str], buckets: Sequence[int]) -> list[tuple[str, float]]:
     """Return a histogram's buckets as Prometheus wants them: each with all below it."""
     total = 0
     result = []
@@ -67,7 +67,7 @@
     texts: list[bytes] = []
     last = ""
     for metric in registry.collect():
-        text = generate_latest(OnePiece(metric))
+        text = generate_latest(SingleMetricRegistry(metric))
         if metric.name == last:
             text = text.split(b"\n", HEADER_LINES)[HEADER_LINES]
         texts.append(text)
--- a/sequoiabridge/metrics.py
+++ b/sequoiabridge/metrics.py
@@ -20,7 +20,7 @@
 )
 
 from .component import Component
-from .exposition import Samples, SimpleFamily, cumulative, pieces, render
+from .exposition import Samples, SimpleFamily, cumulative_buckets, render, split_family
 from .logs import get_log
 from .outcome import Outcome, Reason
 
@@ -38,7 +38,7 @@
 
 CALL_LABELS = ("service", "kind")
 
-CALLS_PER_COST = 1000
+COST_UNIT_CALLS = 1000
 """The cost of measuring is given per so many calls."""
 
 
@@ -59,7 +59,7 @@
 """All series of calls, each with its service and kind."""
 
 
-class Count:
+class Counter:
     """A counter with labels; `add` costs one dictionary update."""
 
     __slots__ = ("name", "help", "labels", "values")
@@ -87,7 +87,7 @@
         return list(self.values.items())
 
 
-class Reading:
+class CallbackMetric:
     """Values that another part gives when somebody scrapes."""
 
     __slots__ = ("family", "name", "help", "labels", "read")
@@ -119,15 +119,15 @@
 
     def __init__(self) -> None:
         self.calls: dict[tuple[str, str], CallSeries] = {}
-        self.counts: list[Count] = []
-        self.readings: list[Reading] = []
-        self._declare()
+        self.counters: list[Counter] = []
+        self.callback_metrics: list[CallbackMetric] = []
+        self._declare_counters()
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(self)
         ProcessCollector(registry=self.registry)
         GCCollector(registry=self.registry)
 
-    def answered(
+    def record_call(
         self, service: str, kind: str, status: int, seconds: float, in_window: bool
     ) -> None:
         """Count one call; the only method that every call pays for."""
@@ -143,11 +143,13 @@
         else:
             series.late += 1
 
-    def refused(self, service: str, reason: Reason, outcome: Outcome) -> None:
+    def record_refusal(self, service: str, reason: Reason, outcome: Outcome) -> None:
         """Count one answer that the daemon made itself."""
         self.refusals.add(service, reason.value, outcome.value)
 
-    def measured(self, service: str, source: str, sent_bytes: int, upstream_seconds: float) -> None:
+    def record_measurement(
+        self, service: str, source: str, sent_bytes: int, upstream_seconds: float
+    ) -> None:
         """Count one measurement of an upstream's load and what it cost.
 
         `source` says what measured, such as `probe`; `upstream_seconds` is the time that the
@@ -165,7 +167,9 @@
         labels: tuple[str, ...] = (),
     ) -> None:
         """Show what `read` returns at the time of each scrape."""
-        self.readings.append(Reading(GaugeMetricFamily, name, help_text, labels, read))
+        self.callback_metrics.append(
+            CallbackMetric(GaugeMetricFamily, name, help_text, labels, read)
+        )
 
     def counter(
         self,
@@ -175,7 +179,9 @@
         labels: tuple[str, ...] = (),
     ) -> None:
         """Show a counter that another part keeps; `name` without `_total`."""
-        self.readings.append(Reading(CounterMetricFamily, name, help_text, labels, read))
+        self.callback_metrics.append(
+            CallbackMetric(CounterMetricFamily, name, help_text, labels, read)
+        )
 
     async def text(self) -> bytes:
         """Return everything in Prometheus' text format; other tasks run in between."""
@@ -184,13 +190,13 @@
     def collect(self) -> Iterator[Metric]:
         """Build the metric families in pieces; called by the registry for each scrape."""
         yield from self._call_families()
-        for count in self.counts:
-            yield from pieces(
-                CounterMetricFamily, count.name, count.help, count.labels, count.samples()
+        for counter in self.counters:
+            yield from split_family(
+                CounterMetricFamily, counter.name, counter.help, counter.labels, counter.samples()
             )
-        yield from self._cost_families()
-        for reading in self.readings:
-            yield from self._read(reading)
+        yield from self._measuring_cost_families()
+        for metric in self.callback_metrics:
+            yield from self._collect_callback(metric)
 
     def dump(self) -> dict:
         """Describe the calls for the state dump; everything else is on the metrics page."""
@@ -204,38 +210,38 @@
             for (service, kind), series in self.calls.items()
         }
 
-    def _declare(self) -> None:
-        count = self._count
-        self.retries = count("retries", "Attempts after the first.", "service", "why")
-        self.refusals = count(
+    def _declare_counters(self) -> None:
+        counter = self._add_counter
+        self.retries = counter("retries", "Attempts after the first.", "service", "why")
+        self.refusals = counter(
             "refusals", "Answers the daemon made itself.", "service", "reason", "outcome"
         )
-        self.measurements = count(
+        self.measurements = counter(
             "measurements", "Load reports, by where from.", "service", "source"
         )
-        self.measuring_bytes = count(
+        self.measuring_bytes = counter(
             "measuring_bytes", "Bytes spent on measuring load.", "service", "source"
         )
-        self.measuring_seconds = count(
+        self.measuring_seconds = counter(
             "measuring_upstream_seconds", "Upstream time spent on measuring.", "service", "source"
         )
-        self.failures = count("collect_failures", "Metrics that could not be read.", "metric")
+        self.failures = counter("collect_failures", "Metrics that could not be read.", "metric")
 
-    def _count(self, name: str, help_text: str, *labels: str) -> Count:
-        count = Count(f"sequoia_{name}", help_text, labels)
-        self.counts.append(count)
-        return count
+    def _add_counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        counter = Counter(f"sequoia_{name}", help_text, labels)
+        self.counters.append(counter)
+        return counter
 
-    def _read(self, reading: Reading) -> Iterator[Metric]:
+    def _collect_callback(self, metric: CallbackMetric) -> Iterator[Metric]:
         try:
-            yield from pieces(
-                reading.family, reading.name, reading.help, reading.labels, reading.samples()
+            yield from split_family(
+                metric.family, metric.name, metric.help, metric.labels, metric.samples()
             )
         except Exception as error:
             # One part's failure must not hide the metrics of all others.
-            if (reading.name,) not in self.failures.values:
-                log.warning("could not read %s: %s", reading.name, error)
-            self.failures.add(reading.name)
+            if (metric.name,) not in self.failures.values:
+                log.warning("could not read %s: %s", metric.name, error)
+            self.failures.add(metric.name)
 
     def _call_families(self) -> Iterator[Metric]:
         calls = list(self.calls.items())
@@ -247,7 +253,9 @@
                 "Time from head to last byte of the answer.",
                 labels=CALL_LABELS,
             )
-            latency.add_metric(key, cumulative(BUCKET_NAMES, series.buckets), series.seconds)
+            latency.add_metric(
+                key, cumulative_buckets(BUCKET_NAMES, series.buckets), series.seconds
+            )
             yield latency
 
     def _status_family(self, calls: Calls) -> Iterator[Metric]:
@@ -257,7 +265,7 @@
             for status, number in zip(STATUS_CLASSES, series.statuses, strict=True)
             if number
         )
-        yield from pieces(
+        yield from split_family(
             CounterMetricFamily,
             "sequoia_calls",
             "Calls answered.",
@@ -271,7 +279,7 @@
             for key, series in calls
             for answer, number in (("yes", series.in_window), ("no", series.late))
         )
-        yield from pieces(
+        yield from split_family(
             CounterMetricFamily,
             "sequoia_calls_by_window",
             "Calls answered in their window or late.",
@@ -279,18 +287,18 @@
             windows,
         )
 
-    def _cost_families(self) -> Iterator[Metric]:
+    def _measuring_cost_families(self) -> Iterator[Metric]:
         calls: defaultdict[str, int] = defaultdict(int)
         for (service, _), series in self.calls.items():
             calls[service] += sum(series.statuses)
-        for name, help_text, count, source in (
+        for name, help_text, counter, source in (
             ("probes", "Probes for each 1,000 calls.", self.measurements, "probe"),
             ("measuring_bytes", "Bytes likewise.", self.measuring_bytes, None),
             ("measuring_upstream_seconds", "Time likewise.", self.measuring_seconds, None),
         ):
             samples = [
-                ((service,), count.total(service, source) * CALLS_PER_COST / number)
+                ((service,), counter.total(service, source) * COST_UNIT_CALLS / number)
                 for service, number in calls.items()
             ]
             full_name = f"sequoia_{name}_per_1000_calls"
-            yield from pieces(GaugeMetricFamily, full_name, help_text, ("service",), samples)
+            yield from split_family(GaugeMetricFamily, full_name, help_text, ("service",), samples)
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -67,7 +67,7 @@
             state.probing.record_answer(probe.latency, probe.size, probe.latency)
         else:
             state.probing.record_cost(probe.size, probe.latency)
-        self.metrics.measured(state.service.name, SOURCE, probe.size, probe.latency)
+        self.metrics.record_measurement(state.service.name, SOURCE, probe.size, probe.latency)
         self._take_in(state, name, probe)
 
     def _take_in(self, state: ServiceState, name: str, probe: Probe) -> None:
--- a/sequoiabridge/pipeline/record.py
+++ b/sequoiabridge/pipeline/record.py
@@ -35,9 +35,9 @@
         seconds = now - exchange.arrived
         refusal = exchange.refusal
         good = clean and refusal is None and now <= exchange.deadline
-        self.metrics.answered(service, kind, status, seconds, good)
+        self.metrics.record_call(service, kind, status, seconds, good)
         if refusal is not None:
-            self.metrics.refused(service, refusal.reason, refusal.outcome)
+            self.metrics.record_refusal(service, refusal.reason, refusal.outcome)
         self.journal.record(
             exchange.id,
             service,
--- a/sequoiabridge/tests/test_daemon_metrics.py
+++ b/sequoiabridge/tests/test_daemon_metrics.py
@@ -58,7 +58,7 @@
 
 
 def test_the_page_names_every_metric_of_the_daemon_and_no_other(daemon):
-    daemon.metrics.answered("mottag", "image", 202, 0.1, True)
+    daemon.metrics.record_call("mottag", "image", 202, 0.1, True)
     named = set(re.findall(r"^\| `(sequoia_\w+)`", PAGE.read_text(encoding="utf-8"), re.M))
     has = {
         f"{metric.name}_total" if metric.type == "counter" else metric.name
--- a/sequoiabridge/tests/test_metrics.py
+++ b/sequoiabridge/tests/test_metrics.py
@@ -18,9 +18,9 @@
 
 def test_calls_latency_and_window():
     metrics = Metrics()
-    metrics.answered("spendview", "read", 200, 0.004, True)
-    metrics.answered("spendview", "read", 503, 45.0, False)
-    metrics.answered("spendview", "read", 777, 0.005, True)
+    metrics.record_call("spendview", "read", 200, 0.004, True)
+    metrics.record_call("spendview", "read", 503, 45.0, False)
+    metrics.record_call("spendview", "read", 777, 0.005, True)
     one = {"service": "spendview", "kind": "read"}
     assert sample(metrics, "sequoia_calls_total", status="5xx", **one) == 1
     assert sample(metrics, "sequoia_calls_total", status="other", **one) == 1
@@ -33,9 +33,9 @@
 def test_the_cost_of_measuring_per_1000_calls():
     metrics = Metrics()
     for _ in range(500):
-        metrics.answered("katalog", "manifest", 200, 0.01, True)
-    metrics.measured("katalog", "probe", 120, 0.001)
-    metrics.measured("katalog", "fleet", 80, 0.0)
+        metrics.record_call("katalog", "manifest", 200, 0.01, True)
+    metrics.record_measurement("katalog", "probe", 120, 0.001)
+    metrics.record_measurement("katalog", "fleet", 80, 0.0)
     assert sample(metrics, "sequoia_probes_per_1000_calls", service="katalog") == 2
     assert sample(metrics, "sequoia_measuring_bytes_per_1000_calls", service="katalog") == 400
 
@@ -44,7 +44,7 @@
     metrics = Metrics()
     metrics.gauge("sequoia_ready", "Ready.", lambda: 1 // 0)
     metrics.gauge("sequoia_queue_length", "Queue.", lambda: [(("mottag",), 3)], ("service",))
-    metrics.refused("mottag", Reason.QUEUE_FULL, Outcome.NOT_RUN)
+    metrics.record_refusal("mottag", Reason.QUEUE_FULL, Outcome.NOT_RUN)
     curio.run(metrics.text)
     text = curio.run(metrics.text).decode()
     assert 'sequoia_queue_length{service="mottag"} 3.0' in text
@@ -55,7 +55,7 @@
 def test_a_family_cut_into_pieces_is_one_family_in_the_text():
     metrics = Metrics()
     for number in range(250):
-        metrics.answered(f"service-{number}", "read", 200, 0.004, True)
+        metrics.record_call(f"service-{number}", "read", 200, 0.004, True)
     text = curio.run(metrics.text).decode()
     assert text.count("# TYPE sequoia_call_seconds histogram") == 1
     families = list(text_string_to_metric_families(text))
