--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -85,7 +85,9 @@
 def declare_store_metrics(metrics: Metrics, store: StoreClient, claims: Claims) -> None:
     """Show what became of calls to the platform, and of claims."""
     metrics.gauge("sequoia_store_down", "1 while no call goes out.", lambda: store.is_down)
-    metrics.counter("sequoia_store_outages", "Outages noticed.", lambda: store.gate.breaker.opened)
+    metrics.counter(
+        "sequoia_store_outages", "Outages noticed.", lambda: store.gate.breaker.outage_count
+    )
     metrics.counter(
         "sequoia_store_events",
         "Calls to the platform and what became of them.",
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -87,7 +87,7 @@
     async def probe(self) -> None:
         """Make one small read if the service is down and a try is due."""
         breaker = self.gate.breaker
-        if not breaker.is_open or not breaker.allows(self.clock.now()):
+        if not breaker.is_open or not breaker.allow_call(self.clock.now()):
             return
         result = await self.tables.read("probe", "probe", PROBE_TIMEOUT)
         self.gate.judge(result, self.gate.reads, PROBE_TIMEOUT)
@@ -201,7 +201,7 @@
         counts = {name: getattr(self.counts, name) for name in self.counts.__slots__}
         return {
             "down": gate.breaker.is_open,
-            "outages": gate.breaker.opened,
+            "outages": gate.breaker.outage_count,
             "waiting": len(self.committer.waiting),
             "write_tokens": round(gate.writes.tokens, 1),
             "read_tokens": round(gate.reads.tokens, 1),
--- a/sequoiabridge/store/gate.py
+++ b/sequoiabridge/store/gate.py
@@ -8,7 +8,7 @@
 from ..logs import get_log
 from ..timers import Clock
 from .base import StoreError, StoreErrorKind
-from .breaker import Breaker
+from .breaker import CircuitBreaker
 from .rates import Priority, RateShare
 
 log = get_log("store")
@@ -66,7 +66,7 @@
         self.count_rows = count_rows
         self.writes = RateShare(fleet_writes, clock.now())
         self.reads = RateShare(fleet_reads, clock.now())
-        self.breaker = Breaker()
+        self.breaker = CircuitBreaker()
         self.counts = Counts()
         self.probed_apart = False
 
@@ -75,7 +75,7 @@
         now = self.clock.now()
         if not self.breaker.is_open:
             return None
-        if not self.probed_apart and self.breaker.allows(now):
+        if not self.probed_apart and self.breaker.allow_call(now):
             return None
         self.counts.refused += 1
         wait = self.breaker.retry_after(now)
@@ -129,7 +129,7 @@
             return
         if self.breaker.is_open:
             log.info("Store answers again.")
-        self.breaker.succeeded()
+        self.breaker.record_success()
         if kind is StoreErrorKind.REJECTED:
             self.counts.rejected += 1
             share.pressed()
@@ -137,6 +137,6 @@
     def _failed(self, error: StoreError) -> None:
         self.counts.unanswered += 1
         was_open = self.breaker.is_open
-        self.breaker.failed(self.clock.now())
+        self.breaker.record_failure(self.clock.now())
         if self.breaker.is_open and not was_open:
             log.warning("Store is down: %s.", error.message)
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -21,7 +21,7 @@
 from ...readiness import DaemonReadiness
 from ...store import claims, upload_writer, versions
 from ...store.base import StoreErrorKind
-from ...store.breaker import Breaker
+from ...store.breaker import CircuitBreaker
 from ...store.claim_rows import ClaimState, Standing, standing
 from ...store.upload_delivery import ChunkBody, Deliveries, Delivery, Sent
 from ...store.upload_writer import Received, Writer
@@ -295,4 +295,4 @@
 
 
 def store_given_up() -> list[Patch]:
-    return [(Breaker, "allows", lambda self, now: not self.is_open)]
+    return [(CircuitBreaker, "allow_call", lambda self, now: not self.is_open)]
--- a/sequoiabridge/tests/store/test_client.py
+++ b/sequoiabridge/tests/store/test_client.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ...store.base import Condition, StoreErrorKind, Write
-from ...store.breaker import FAILURES_TO_OPEN, FIRST_PROBE
+from ...store.breaker import FAILURES_TO_OPEN, MIN_PROBE_DELAY
 from ...store.rates import Priority, RateShare
 from ..standins.memory import ALWAYS
 from .store_fakes import Bench, real_time
@@ -77,7 +77,7 @@
     assert kinds == unknown * FAILURES_TO_OPEN + refused * (5 - FAILURES_TO_OPEN)
     assert len(bench.tables.log) == FAILURES_TO_OPEN
     bench.faults.lose_writes = bench.faults.lose_reads = 0
-    bench.clock.advance(FIRST_PROBE)
+    bench.clock.advance(MIN_PROBE_DELAY)
     curio.run(client.probe)
     assert curio.run(client.transact, *insert("a"), 1.0).is_ok()
 
