--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -86,7 +86,7 @@
     """Show what became of calls to the platform, and of claims."""
     metrics.gauge("sequoia_store_down", "1 while no call goes out.", lambda: store.is_down)
     metrics.counter(
-        "sequoia_store_outages", "Outages noticed.", lambda: store.gate.breaker.outage_count
+        "sequoia_store_outages", "Outages noticed.", lambda: store.admission.breaker.outage_count
     )
     metrics.counter(
         "sequoia_store_events",
--- a/sequoiabridge/store/gate.py
+++ b/sequoiabridge/store/admission.py
@@ -50,7 +50,7 @@
             setattr(self, name, 0)
 
 
-class Gate:
+class AdmissionControl:
     """Lets calls out at this daemon's share of the rates, and none while the store is down."""
 
     def __init__(
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -11,6 +11,7 @@
 
 from ..component import Component
 from ..timers import Clock, Timers
+from .admission import AdmissionControl, store_error
 from .base import (
     Condition,
     ObjectStore,
@@ -21,7 +22,6 @@
     Write,
 )
 from .committer import Committer
-from .gate import Gate, store_error
 from .metered_objects import MeteredObjects
 from .rates import Priority
 
@@ -74,28 +74,28 @@
         self.tables = tables
         self.clock = clock
         self.sleep = sleep
-        self.gate = Gate(clock, live_count, fleet_writes, fleet_reads, count_rows)
-        self.committer = Committer(self.gate, tables, grouping)
-        self.objects = MeteredObjects(self.gate, objects)
-        self.counts = self.gate.counts
+        self.admission = AdmissionControl(clock, live_count, fleet_writes, fleet_reads, count_rows)
+        self.committer = Committer(self.admission, tables, grouping)
+        self.objects = MeteredObjects(self.admission, objects)
+        self.counts = self.admission.counts
 
     def subscribe(self, timers: Timers) -> None:
         """Try the service again from time to time while it is down, apart from callers' work."""
-        self.gate.probed_apart = True
+        self.admission.probed_apart = True
         timers.every(PROBE_PERIOD, "store probe", self.probe)
 
     async def probe(self) -> None:
         """Make one small read if the service is down and a try is due."""
-        breaker = self.gate.breaker
+        breaker = self.admission.breaker
         if not breaker.is_open or not breaker.allow_call(self.clock.now()):
             return
         result = await self.tables.read("probe", "probe", PROBE_TIMEOUT)
-        self.gate.judge(result, self.gate.reads, PROBE_TIMEOUT)
+        self.admission.judge(result, self.admission.reads, PROBE_TIMEOUT)
 
     @property
     def is_down(self) -> bool:
         """True while calls are refused because the store gave no answers."""
-        return self.gate.breaker.is_open
+        return self.admission.breaker.is_open
 
     async def transact(
         self,
@@ -105,7 +105,7 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[None, StoreError]:
         """Make all writes if all conditions hold, perhaps together with other transactions."""
-        refusal = self.gate.closed()
+        refusal = self.admission.closed()
         if refusal is not None:
             return refusal
         return await self.committer.transact(conditions, writes, timeout, priority)
@@ -174,8 +174,8 @@
         self, table: str, key: str, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[Row | None, StoreError]:
         """Return the row as last committed, or None if there is none."""
-        return await self.gate.paid(
-            self.gate.reads, priority, timeout, lambda left: self.tables.read(table, key, left)
+        return await self.admission.paid(
+            self.admission.reads, priority, timeout, lambda left: self.tables.read(table, key, left)
         )
 
     async def scan(
@@ -188,8 +188,8 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[Row], StoreError]:
         """Return up to `limit` rows by key; counts as one read."""
-        return await self.gate.paid(
-            self.gate.reads,
+        return await self.admission.paid(
+            self.admission.reads,
             priority,
             timeout,
             lambda left: self.tables.scan(table, prefix, after, limit, left),
@@ -197,15 +197,15 @@
 
     def dump(self) -> dict:
         """Describe the breaker, the rates and the counters."""
-        gate = self.gate
+        admission = self.admission
         counts = {name: getattr(self.counts, name) for name in self.counts.__slots__}
         return {
-            "down": gate.breaker.is_open,
-            "outages": gate.breaker.outage_count,
+            "down": admission.breaker.is_open,
+            "outages": admission.breaker.outage_count,
             "waiting": len(self.committer.waiting),
-            "write_tokens": round(gate.writes.tokens, 1),
-            "read_tokens": round(gate.reads.tokens, 1),
-            "share_scale": round(gate.writes.scale, 2),
-            "live_vms": gate.live_count(),
+            "write_tokens": round(admission.writes.tokens, 1),
+            "read_tokens": round(admission.reads.tokens, 1),
+            "share_scale": round(admission.writes.scale, 2),
+            "live_vms": admission.live_count(),
             **counts,
         }
--- a/sequoiabridge/store/committer.py
+++ b/sequoiabridge/store/committer.py
@@ -3,8 +3,8 @@
 import curio
 from expression import Result
 
+from .admission import FAIR_WAIT, AdmissionControl, store_error
 from .base import Condition, StoreError, StoreErrorKind, TableService, Write
-from .gate import FAIR_WAIT, Gate, store_error
 from .groups import MAX_ROWS, Waiting, merged, take_group
 from .rates import Priority
 
@@ -20,9 +20,9 @@
     settles by its own token.
     """
 
-    def __init__(self, gate: Gate, tables: TableService, grouping: bool = True):
-        self.gate = gate
-        self.clock = gate.clock
+    def __init__(self, admission: AdmissionControl, tables: TableService, grouping: bool = True):
+        self.admission = admission
+        self.clock = admission.clock
         self.tables = tables
         self.grouping = grouping
         self.waiting: list[Waiting] = []
@@ -38,7 +38,7 @@
         priority: Priority,
     ) -> Result[None, StoreError]:
         """Make all writes if all conditions hold; at most `timeout` seconds."""
-        self.gate.counts.asked += 1
+        self.admission.counts.asked += 1
         entry = Waiting(conditions, writes, priority, self.clock.now() + timeout)
         self.waiting.append(entry)
         try:
@@ -74,7 +74,7 @@
                     await self.flights.release()
                     return
                 group = take_group(self.waiting, self.grouping, self._room())
-                self.gate.writes.tokens -= self._cost(group) - 1
+                self.admission.writes.tokens -= self._cost(group) - 1
                 await curio.spawn(self._fly, group, daemon=True)
         finally:
             self.dispatching = False
@@ -83,8 +83,8 @@
         # The most urgent that waits pays; a claim that arrives later need not wait behind others.
         while self.waiting:
             urgent = min(entry.priority for entry in self.waiting)
-            gate = self.gate
-            wait = gate.writes.take(self.clock.now(), gate.live_count(), urgent)
+            admission = self.admission
+            wait = admission.writes.take(self.clock.now(), admission.live_count(), urgent)
             if wait <= 0:
                 return True
             self.arrived.clear()
@@ -94,11 +94,11 @@
 
     def _room(self) -> int:
         # Where each row counts, a group is no larger than what is paid for already.
-        paid = 1 + int(max(0.0, self.gate.writes.tokens))
-        return min(MAX_ROWS, paid) if self.gate.count_rows else MAX_ROWS
+        paid = 1 + int(max(0.0, self.admission.writes.tokens))
+        return min(MAX_ROWS, paid) if self.admission.count_rows else MAX_ROWS
 
     def _cost(self, group: list[Waiting]) -> int:
-        return sum(len(entry.writes) for entry in group) if self.gate.count_rows else 1
+        return sum(len(entry.writes) for entry in group) if self.admission.count_rows else 1
 
     async def _fly(self, group: list[Waiting]) -> None:
         try:
@@ -112,10 +112,10 @@
     async def _commit(self, group: list[Waiting]) -> None:
         left = max(entry.deadline for entry in group) - self.clock.now()
         left = max(left, FAIR_WAIT)
-        self.gate.counts.writes += 1
-        self.gate.counts.grouped += len(group) if len(group) > 1 else 0
+        self.admission.counts.writes += 1
+        self.admission.counts.grouped += len(group) if len(group) > 1 else 0
         result = await self.tables.transact(*merged(group), left)
-        self.gate.judge(result, self.gate.writes, left)
+        self.admission.judge(result, self.admission.writes, left)
         if len(group) > 1 and _condition_failed(result):
             await self._split(group)
             return
@@ -124,7 +124,7 @@
         await self._refuse_waiting()
 
     async def _split(self, group: list[Waiting]) -> None:
-        self.gate.counts.splits += 1
+        self.admission.counts.splits += 1
         half = len(group) // 2
         for part in (group[:half], group[half:]):
             wanted = [entry for entry in part if not entry.given_up]
@@ -132,13 +132,13 @@
                 continue
             urgent = min(entry.priority for entry in wanted)
             deadline = max(entry.deadline for entry in wanted)
-            share, cost = self.gate.writes, self._cost(wanted)
-            if await self.gate.pay(share, urgent, deadline, cost):
+            share, cost = self.admission.writes, self._cost(wanted)
+            if await self.admission.pay(share, urgent, deadline, cost):
                 await self._commit(wanted)
 
     async def _refuse_waiting(self) -> None:
         # Those who wait when the breaker opens learn it at once; nothing of them was sent.
-        if not self.gate.breaker.is_open:
+        if not self.admission.breaker.is_open:
             return
         text = "the platform's store does not answer; try again later"
         refusal = store_error(StoreErrorKind.NOT_SENT, text)
--- a/sequoiabridge/store/metered_objects.py
+++ b/sequoiabridge/store/metered_objects.py
@@ -2,8 +2,8 @@
 
 from expression import Result
 
+from .admission import AdmissionControl
 from .base import ObjectStore, StoreError
-from .gate import Gate
 from .rates import Priority
 
 
@@ -13,32 +13,35 @@
     Puts and deletes count as writes, gets and lists as reads.
     """
 
-    def __init__(self, gate: Gate, objects: ObjectStore):
-        self.gate = gate
+    def __init__(self, admission: AdmissionControl, objects: ObjectStore):
+        self.admission = admission
         self.objects = objects
 
     async def put(
         self, name: str, data: bytes, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[None, StoreError]:
         """Store an object; `CONDITION_FAILED` if the name is taken."""
-        return await self.gate.paid(
-            self.gate.writes, priority, timeout, lambda left: self.objects.put(name, data, left)
+        return await self.admission.paid(
+            self.admission.writes,
+            priority,
+            timeout,
+            lambda left: self.objects.put(name, data, left),
         )
 
     async def get(
         self, name: str, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[bytes | None, StoreError]:
         """Return the object, or None if there is none of that name."""
-        return await self.gate.paid(
-            self.gate.reads, priority, timeout, lambda left: self.objects.get(name, left)
+        return await self.admission.paid(
+            self.admission.reads, priority, timeout, lambda left: self.objects.get(name, left)
         )
 
     async def delete(
         self, name: str, timeout: float, priority: Priority = Priority.BACKGROUND
     ) -> Result[None, StoreError]:
         """Remove the object; fine if there is none. Nobody waits for it, so it goes last."""
-        return await self.gate.paid(
-            self.gate.writes, priority, timeout, lambda left: self.objects.delete(name, left)
+        return await self.admission.paid(
+            self.admission.writes, priority, timeout, lambda left: self.objects.delete(name, left)
         )
 
     async def names(
@@ -50,8 +53,8 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[str], StoreError]:
         """Return up to `limit` names in order."""
-        return await self.gate.paid(
-            self.gate.reads,
+        return await self.admission.paid(
+            self.admission.reads,
             priority,
             timeout,
             lambda left: self.objects.names(prefix, after, limit, left),
--- a/sequoiabridge/tests/test_daemon_metrics.py
+++ b/sequoiabridge/tests/test_daemon_metrics.py
@@ -27,7 +27,7 @@
     [
         ('claims_total{result="busy"} 3', lambda d: setattr(d.claims.counts, "busy", 3)),
         ('store_events_total{event="settled"} 3', lambda d: setattr(d.store.counts, "settled", 3)),
-        ("store_outages_total 3", lambda d: setattr(d.store.gate.breaker, "outage_count", 3)),
+        ("store_outages_total 3", lambda d: setattr(d.store.admission.breaker, "outage_count", 3)),
         ('uploads_total{result="accepted"} 3', lambda d: d.uploads.counts.update(accepted=3)),
         ('deliveries_total{result="confirmed"} 3', lambda d: setattr(d.deliveries, "confirmed", 3)),
         (
