--- a/sequoiabridge/assembly/stopping.py
+++ b/sequoiabridge/assembly/stopping.py
@@ -50,4 +50,4 @@
 
 async def _open_claims(daemon: Daemon) -> int:
     """Try to report outcomes; return how many claims still lack a proven one."""
-    return await daemon.claims.settle() + len(daemon.claims.held)
+    return await daemon.claims.retry_reports() + len(daemon.claims.held)
--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -103,7 +103,7 @@
     metrics.gauge(
         "sequoia_unproven_reports",
         "Reports on claims that wait for the store.",
-        lambda: len(claims.reports.kept),
+        lambda: len(claims.reports.pending),
     )
 
 
--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -80,7 +80,7 @@
         return Ok(f"Request {name} may run again, on all VMs within seconds.")
 
     async def _held_claim(self, name: str) -> Result[str, SequoiaError]:
-        found = await self.claims.listed(LISTED)
+        found = await self.claims.list_open(LISTED)
         if found.is_error():
             return Error(NotFound(found.error.message))
         for claim in found.ok.claims:
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -208,7 +208,7 @@
         ]
 
     async def _claims(self) -> Rows:
-        found = await self.claims.listed(LISTED)
+        found = await self.claims.list_open(LISTED)
         if found.is_error():
             return Error(unread("claims", found.error.message))
         return Ok(
@@ -220,7 +220,7 @@
                     key=claim.row.key,
                     vm=claim.row.vm,
                     state=claim.row.state.value,
-                    age=round(claim.open_for, 1),
+                    age=round(claim.open_seconds, 1),
                 )
                 for claim in found.ok.claims
             ]
--- a/sequoiabridge/pipeline/claiming.py
+++ b/sequoiabridge/pipeline/claiming.py
@@ -68,7 +68,7 @@
         if not exchange.unproven:
             await self.claims.release(claim)
         elif exchange.refusal is not None or not exchange.upstream:
-            await self.claims.unknown(claim)
+            await self.claims.mark_unknown(claim)
         else:
             await self._complete(exchange, claim)
 
--- a/sequoiabridge/store/claim_admin.py
+++ b/sequoiabridge/store/claim_admin.py
@@ -9,18 +9,18 @@
 from ..timers import Clock, Timers
 from .base import Condition, Row, StoreError, StoreErrorKind, Write
 from .claim_rows import (
-    AUDIT,
     AUDIT_DECODER,
-    CLAIMS,
+    AUDIT_TABLE,
+    CLAIMS_TABLE,
     ENCODER,
     KEY_BYTES,
     REPORT_GRACE,
     AuditRow,
     ClaimRow,
     ClaimState,
-    finished,
+    decode_claim,
     new_token,
-    read_claim,
+    with_outcome,
 )
 from .client import CALL_TIMEOUT, StoreClient
 from .rates import Priority
@@ -53,15 +53,15 @@
     """An operator's release was refused and nothing was changed; the message says why."""
 
 
-class ListedClaim:
+class OpenClaim:
     """An open claim for the operator: the row's key, the row, and for how long it is open."""
 
-    __slots__ = ("row_key", "row", "open_for")
+    __slots__ = ("row_key", "row", "open_seconds")
 
-    def __init__(self, row_key: str, row: ClaimRow, open_for: float):
+    def __init__(self, row_key: str, row: ClaimRow, open_seconds: float):
         self.row_key = row_key
         self.row = row
-        self.open_for = open_for
+        self.open_seconds = open_seconds
 
 
 class ClaimList:
@@ -69,7 +69,7 @@
 
     __slots__ = ("claims", "next_after")
 
-    def __init__(self, claims: list[ListedClaim], next_after: str | None):
+    def __init__(self, claims: list[OpenClaim], next_after: str | None):
         self.claims = claims
         self.next_after = next_after
 
@@ -88,11 +88,11 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Remove old claims step by step."""
-        timers.every(SWEEP_PERIOD, "claims sweep", self.sweep)
+        timers.every(SWEEP_PERIOD, "claims sweep", self.remove_expired)
 
-    async def listed(self, limit: int, after: str = "") -> Result[ClaimList, StoreError]:
+    async def list_open(self, limit: int, after: str = "") -> Result[ClaimList, StoreError]:
         """Return up to `limit` claims whose outcome nobody has reported by their deadline."""
-        found: list[ListedClaim] = []
+        found: list[OpenClaim] = []
         for _ in range(MAX_PAGES):
             page = await self._page(after)
             if page.is_error():
@@ -117,26 +117,28 @@
         Errors: `ClaimNotReleased`; `ConflictError` if the claim changed meanwhile;
         `StoreUnavailable` if the store does not answer, the release is then not proven.
         """
-        found = await self.store.read(CLAIMS, row_key, timeout)
+        found = await self.store.read(CLAIMS_TABLE, row_key, timeout)
         if found.is_error():
             return Error(
                 StoreUnavailable(f"Claim {row_key} cannot be read: {found.error.message}.")
             )
         if found.ok is None:
             return Error(ClaimNotReleased(f"There is no claim {row_key}; see show claims."))
-        row = read_claim(found.ok.value)
+        row = decode_claim(found.ok.value)
         problem = self._not_releasable(row)
         if problem:
             return Error(ClaimNotReleased(problem))
         audit = AuditRow(row_key, author, reason, self.clock.wall(), new_token(), row)
         return await self._release(found.ok, row, audit, timeout)
 
-    async def audit(self, limit: int, after: str = "") -> Result[list[AuditRow], StoreError]:
+    async def list_releases(
+        self, limit: int, after: str = ""
+    ) -> Result[list[AuditRow], StoreError]:
         """Return releases by operators, oldest first."""
-        rows = await self.store.scan(AUDIT, "", after, limit, CALL_TIMEOUT)
+        rows = await self.store.scan(AUDIT_TABLE, "", after, limit, CALL_TIMEOUT)
         return rows.map(lambda found: [AUDIT_DECODER.decode(row.value) for row in found])
 
-    async def sweep(self) -> int:
+    async def remove_expired(self) -> int:
         """Look at one page of claims and remove the finished ones past their age."""
         page = await self._page(self.cursor)
         if page.is_error():
@@ -146,15 +148,17 @@
         old = old[:DELETE_BATCH]
         if not old:
             return 0
-        conditions = [Condition(CLAIMS, row.key, row.version) for row in old]
-        writes = [Write(CLAIMS, row.key, None) for row in old]
+        conditions = [Condition(CLAIMS_TABLE, row.key, row.version) for row in old]
+        writes = [Write(CLAIMS_TABLE, row.key, None) for row in old]
         result = await self.store.transact(conditions, writes, CALL_TIMEOUT, Priority.BACKGROUND)
         removed = len(old) if result.is_ok() else 0
         self.removed += removed
         return removed
 
     async def _page(self, after: str) -> Result[list[Row], StoreError]:
-        return await self.store.scan(CLAIMS, "", after, PAGE, CALL_TIMEOUT, Priority.BACKGROUND)
+        return await self.store.scan(
+            CLAIMS_TABLE, "", after, PAGE, CALL_TIMEOUT, Priority.BACKGROUND
+        )
 
     def _next_cursor(self, page: list[Row], old: list[Row]) -> str:
         if len(old) > DELETE_BATCH:
@@ -162,20 +166,20 @@
         return page[-1].key if len(page) == PAGE else ""
 
     def _is_old(self, row: Row) -> bool:
-        claim = read_claim(row.value)
+        claim = decode_claim(row.value)
         if claim is None or claim.state in OPEN_STATES:
             return False
         age = self.clock.wall() - max(claim.at, claim.until)
         return age > self.retention
 
-    def _add_open(self, found: list[ListedClaim], row: Row) -> None:
-        claim = read_claim(row.value)
+    def _add_open(self, found: list[OpenClaim], row: Row) -> None:
+        claim = decode_claim(row.value)
         if claim is None:
             return
         wall = self.clock.wall()
         overdue = claim.state is ClaimState.UNKNOWN or wall > claim.until + REPORT_GRACE
         if claim.state in OPEN_STATES and overdue:
-            found.append(ListedClaim(row.key, claim, wall - claim.at))
+            found.append(OpenClaim(row.key, claim, wall - claim.at))
 
     def _not_releasable(self, row: ClaimRow | None) -> str | None:
         if row is None:
@@ -190,10 +194,13 @@
     async def _release(
         self, found: Row, row: ClaimRow, audit: AuditRow, timeout: float
     ) -> Result[ClaimRow, SequoiaError]:
-        released = finished(row, ClaimState.RELEASED)
-        entry = Write(AUDIT, f"{audit.at:017.6f}-{audit.token}", ENCODER.encode(audit))
-        conditions = [Condition(CLAIMS, found.key, found.version), Condition(AUDIT, entry.key, 0)]
-        writes = [Write(CLAIMS, found.key, ENCODER.encode(released)), entry]
+        released = with_outcome(row, ClaimState.RELEASED)
+        entry = Write(AUDIT_TABLE, f"{audit.at:017.6f}-{audit.token}", ENCODER.encode(audit))
+        conditions = [
+            Condition(CLAIMS_TABLE, found.key, found.version),
+            Condition(AUDIT_TABLE, entry.key, 0),
+        ]
+        writes = [Write(CLAIMS_TABLE, found.key, ENCODER.encode(released)), entry]
         deadline = self.clock.now() + timeout
         result = await self.store.transact_settled(conditions, writes, entry, deadline)
         if result.is_ok():
--- a/sequoiabridge/store/claim_reports.py
+++ b/sequoiabridge/store/claim_reports.py
@@ -6,7 +6,7 @@
 
 from ..logs import get_log
 from .base import Condition, Row, StoreErrorKind, Write
-from .claim_rows import CLAIMS, ENCODER, ClaimRow, ClaimState, finished, read_claim
+from .claim_rows import CLAIMS_TABLE, ENCODER, ClaimRow, ClaimState, decode_claim, with_outcome
 from .client import CALL_TIMEOUT, StoreClient
 from .rates import Priority
 
@@ -42,25 +42,25 @@
 
     def __init__(self, store: StoreClient):
         self.store = store
-        self.kept: OrderedDict[str, Report] = OrderedDict()
+        self.pending: OrderedDict[str, Report] = OrderedDict()
         self.proven = 0
         self.overtaken = 0
 
     @property
     def is_full(self) -> bool:
         """True if no further claim may be made before some reports are proven."""
-        return len(self.kept) >= MAX_REPORTS
+        return len(self.pending) >= MAX_REPORTS
 
     def has_abandoned(self, token: str) -> bool:
         """True if nothing was sent, and nothing will be, under the claim with this token."""
-        report = self.kept.get(token)
+        report = self.pending.get(token)
         return report is not None and report.row.state is ClaimState.RELEASED
 
     def keep(self, report: Report) -> None:
         """Keep a report for another try; of many, only the first keep their answers."""
-        if len(self.kept) >= MAX_BODIES and report.row.body is not None:
-            report.row = finished(report.row, report.row.state, report.row.status)
-        self.kept[report.row.token] = report
+        if len(self.pending) >= MAX_BODIES and report.row.body is not None:
+            report.row = with_outcome(report.row, report.row.state, report.row.status)
+        self.pending[report.row.token] = report
 
     async def write(self, report: Report, priority: Priority = Priority.CLAIM) -> bool:
         """Try to write a report now; true if it is proven, else it is kept.
@@ -74,37 +74,37 @@
             if settled is None:
                 continue
             if settled:
-                self.kept.pop(report.row.token, None)
+                self.pending.pop(report.row.token, None)
                 self.proven += 1
             return settled
         return False
 
-    async def settle(self, limit: int) -> int:
+    async def retry_pending(self, limit: int) -> int:
         """Try up to `limit` kept reports again, oldest first; return how many are left.
 
         They are tried at the same time, so that they share transactions.
         """
         if self.store.is_down:
-            return len(self.kept)
-        batch = list(self.kept.values())[:limit]
+            return len(self.pending)
+        batch = list(self.pending.values())[:limit]
         async with curio.TaskGroup() as group:
             for report in batch:
                 await group.spawn(self.write, report, Priority.BACKGROUND)
         for report in batch:
-            if report.row.token in self.kept:
-                self.kept.move_to_end(report.row.token)
-        return len(self.kept)
+            if report.row.token in self.pending:
+                self.pending.move_to_end(report.row.token)
+        return len(self.pending)
 
     async def _step(self, report: Report, priority: Priority) -> bool | None:
         """Make one try: true if settled, false if unproven, None to try at once again."""
-        condition = Condition(CLAIMS, report.row_key, report.version)
-        write = Write(CLAIMS, report.row_key, ENCODER.encode(report.row))
+        condition = Condition(CLAIMS_TABLE, report.row_key, report.version)
+        write = Write(CLAIMS_TABLE, report.row_key, ENCODER.encode(report.row))
         result = await self.store.transact([condition], [write], CALL_TIMEOUT, priority)
         if result.is_ok():
             return True
         if result.error.kind is not StoreErrorKind.CONDITION_FAILED:
             return False
-        found = await self.store.read(CLAIMS, report.row_key, CALL_TIMEOUT, priority)
+        found = await self.store.read(CLAIMS_TABLE, report.row_key, CALL_TIMEOUT, priority)
         if found.is_error():
             return False
         return self._compare(report, found.ok)
@@ -112,7 +112,7 @@
     def _compare(self, report: Report, found: Row | None) -> bool | None:
         if found is None:
             return self._without_row(report)
-        row = read_claim(found.value)
+        row = decode_claim(found.value)
         if row is None:
             return False
         if row.token != report.row.token or row.state is not ClaimState.HELD:
--- a/sequoiabridge/store/claim_rows.py
+++ b/sequoiabridge/store/claim_rows.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-CLAIMS = "claims"
+CLAIMS_TABLE = "claims"
 """Table of the claims."""
 
-AUDIT = "claims-audit"
+AUDIT_TABLE = "claims-audit"
 """Table of what operators released."""
 
 STORED_BODY_LIMIT = 16 * 1024
@@ -83,7 +83,7 @@
 AUDIT_DECODER = msgspec.msgpack.Decoder(AuditRow)
 
 
-def read_claim(value: bytes) -> ClaimRow | None:
+def decode_claim(value: bytes) -> ClaimRow | None:
     """Return the claim in a row's value, None if a newer version of the daemon wrote it."""
     try:
         return CLAIM_DECODER.decode(value)
@@ -102,7 +102,7 @@
     return hashlib.blake2b(name, digest_size=KEY_BYTES).hexdigest()
 
 
-def finished(
+def with_outcome(
     row: ClaimRow,
     state: ClaimState,
     status: int = 0,
@@ -118,7 +118,7 @@
     )
 
 
-class Standing(Enum):
+class KeyStatus(Enum):
     """What the row in the way means for a new attempt with the same key."""
 
     FREE = "free"
@@ -128,14 +128,14 @@
     DONE = "done"
 
 
-def standing(row: ClaimRow, digest: str, wall: float) -> Standing:
+def key_status(row: ClaimRow, digest: str, wall: float) -> KeyStatus:
     """Judge the row in the way. Time never frees a held claim: its holder may only be paused."""
     if row.state is ClaimState.RELEASED:
-        return Standing.FREE
+        return KeyStatus.FREE
     if row.digest != digest:
-        return Standing.MISMATCH
+        return KeyStatus.MISMATCH
     if row.state is ClaimState.DONE:
-        return Standing.DONE
+        return KeyStatus.DONE
     if row.state is ClaimState.HELD and wall < row.until + REPORT_GRACE:
-        return Standing.BUSY
-    return Standing.UNKNOWN
+        return KeyStatus.BUSY
+    return KeyStatus.UNKNOWN
--- a/sequoiabridge/store/claims.py
+++ b/sequoiabridge/store/claims.py
@@ -21,16 +21,16 @@
     ClaimUnknown,
 )
 from .claim_rows import (
-    CLAIMS,
+    CLAIMS_TABLE,
     ENCODER,
     ClaimRow,
     ClaimState,
-    Standing,
+    KeyStatus,
     claim_key,
-    finished,
+    decode_claim,
+    key_status,
     new_token,
-    read_claim,
-    standing,
+    with_outcome,
 )
 from .client import CALL_TIMEOUT, StoreClient
 from .rates import Priority
@@ -78,7 +78,7 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Settle unproven reports in the background."""
-        timers.every(SETTLE_PERIOD, "claims settle", self.settle)
+        timers.every(SETTLE_PERIOD, "claims settle", self.retry_reports)
 
     async def acquire(
         self, service: str, caller: str, key: str, body_digest: str, deadline: float
@@ -116,27 +116,27 @@
         True if the report is proven; otherwise it is tried again in the background.
         """
         return await self._report(
-            claim, finished(claim.row, ClaimState.DONE, status, headers, body)
+            claim, with_outcome(claim.row, ClaimState.DONE, status, headers, body)
         )
 
-    async def unknown(self, claim: ClaimGranted) -> bool:
+    async def mark_unknown(self, claim: ClaimGranted) -> bool:
         """Report that the request was sent, and that nobody knows whether it ran."""
-        return await self._report(claim, finished(claim.row, ClaimState.UNKNOWN))
+        return await self._report(claim, with_outcome(claim.row, ClaimState.UNKNOWN))
 
     async def release(self, claim: ClaimGranted) -> bool:
         """Report that the request is proven not to have run; the key may be claimed again."""
-        return await self._report(claim, finished(claim.row, ClaimState.RELEASED))
+        return await self._report(claim, with_outcome(claim.row, ClaimState.RELEASED))
 
-    async def settle(self) -> int:
+    async def retry_reports(self) -> int:
         """Try unproven reports again; return how many are left. Called until 0 before a stop."""
-        return await self.reports.settle(SETTLE_BATCH)
+        return await self.reports.retry_pending(SETTLE_BATCH)
 
     def dump(self) -> dict:
         """Describe held claims, unproven reports and counters."""
         counts = {name: getattr(self.counts, name) for name in self.counts.__slots__}
         return {
             "held": len(self.held),
-            "unproven_reports": len(self.reports.kept),
+            "unproven_reports": len(self.reports.pending),
             "overtaken": self.reports.overtaken,
             **counts,
         }
@@ -161,8 +161,8 @@
         return self._unavailable("the claim is contended; try again")
 
     async def _insert(self, row_key: str, row: ClaimRow, version: int, deadline: float) -> Result:
-        condition = Condition(CLAIMS, row_key, version)
-        write = Write(CLAIMS, row_key, ENCODER.encode(row))
+        condition = Condition(CLAIMS_TABLE, row_key, version)
+        write = Write(CLAIMS_TABLE, row_key, ENCODER.encode(row))
         try:
             return await self.store.transact_settled(
                 [condition], [write], write, deadline, Priority.CLAIM
@@ -173,27 +173,27 @@
 
     async def _read(self, row_key: str, deadline: float) -> Result:
         left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        return await self.store.read(CLAIMS, row_key, left, Priority.CLAIM)
+        return await self.store.read(CLAIMS_TABLE, row_key, left, Priority.CLAIM)
 
     def _judge(self, found: Row | None, row: ClaimRow) -> ClaimResult | None:
         """Return the answer for the row in the way, None if it may be claimed."""
         if found is None:
             return None
-        other = read_claim(found.value)
+        other = decode_claim(found.value)
         if other is None:
             return self._unavailable("the claim's row is of a newer version; replace this VM")
         if self.reports.has_abandoned(other.token):
             return None
-        kind = standing(other, row.digest, self.clock.wall())
-        if kind is Standing.FREE:
+        kind = key_status(other, row.digest, self.clock.wall())
+        if kind is KeyStatus.FREE:
             return None
-        if kind is Standing.MISMATCH:
+        if kind is KeyStatus.MISMATCH:
             self.counts.mismatched += 1
             return ClaimMismatch()
-        if kind is Standing.DONE:
+        if kind is KeyStatus.DONE:
             self.counts.replayed += 1
             return ClaimReplay(other.status, other.headers, other.body)
-        if kind is Standing.BUSY:
+        if kind is KeyStatus.BUSY:
             self.counts.busy += 1
             return ClaimBusy(other.vm, other.at)
         self.counts.unknown += 1
@@ -204,7 +204,7 @@
     ) -> ClaimGranted | ClaimUnavailable:
         claim = ClaimGranted(row_key, row, version + 1, deadline)
         if self.clock.now() >= deadline:
-            self.reports.keep(Report(row_key, finished(row, ClaimState.RELEASED), version + 1))
+            self.reports.keep(Report(row_key, with_outcome(row, ClaimState.RELEASED), version + 1))
             self.counts.abandoned += 1
             return self._unavailable("the claim came too late; try again")
         self.held[row.token] = claim
@@ -213,7 +213,7 @@
 
     def _abandoned(self, row_key: str, row: ClaimRow, version: int) -> ClaimUnavailable:
         # Nothing is ever sent under this token: this object is the only one that knew it.
-        self.reports.keep(Report(row_key, finished(row, ClaimState.RELEASED), version))
+        self.reports.keep(Report(row_key, with_outcome(row, ClaimState.RELEASED), version))
         self.counts.abandoned += 1
         return self._unavailable("the store did not confirm the claim in time; try again")
 
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -22,7 +22,7 @@
 from ...store import claims, upload_writer, versions
 from ...store.base import StoreErrorKind
 from ...store.breaker import CircuitBreaker
-from ...store.claim_rows import ClaimState, Standing, standing
+from ...store.claim_rows import ClaimState, KeyStatus, key_status
 from ...store.upload_delivery import ChunkBody, Deliveries, Delivery, Sent
 from ...store.upload_writer import Received, Writer
 from ...store.uploads import Uploads
@@ -47,9 +47,9 @@
 def take_over_lapsed_claim() -> list[Patch]:
     def lapsing(row, digest, wall):
         lapsed = row.state is ClaimState.HELD and wall >= row.until
-        return Standing.FREE if lapsed else standing(row, digest, wall)
+        return KeyStatus.FREE if lapsed else key_status(row, digest, wall)
 
-    return [(claims, "standing", lapsing)]
+    return [(claims, "key_status", lapsing)]
 
 
 def claim_after_sending() -> list[Patch]:
--- a/sequoiabridge/tests/matrix/world.py
+++ b/sequoiabridge/tests/matrix/world.py
@@ -18,7 +18,7 @@
 from ...fleet import fleet as fleet_module
 from ...pipeline import probing
 from ...store import upload_delivery
-from ...store.claim_rows import CLAIM_DECODER, CLAIMS, ClaimState
+from ...store.claim_rows import CLAIM_DECODER, CLAIMS_TABLE, ClaimState
 from ...store.upload_index import MANIFESTS
 from ...store.upload_manifest import Manifest, UploadState
 from ...store.version_rows import CHANGES, change_key
@@ -86,7 +86,7 @@
     for write in writes:
         if write.value is None:
             continue
-        if write.table == CLAIMS:
+        if write.table == CLAIMS_TABLE:
             held = CLAIM_DECODER.decode(write.value).state is ClaimState.HELD
             step = Step.CLAIM if held else Step.RECORD
             return step, step
--- a/sequoiabridge/tests/store/test_claims.py
+++ b/sequoiabridge/tests/store/test_claims.py
@@ -62,8 +62,8 @@
     claim = acquire(claims(bench))
     bench.tables.put(Write("claims", claim.row_key, b"\xc1 newer"))
     assert isinstance(acquire(claims(bench, "vm2")), ClaimUnavailable)
-    assert curio.run(admin(bench).listed, 9).ok.claims == []
-    assert curio.run(admin(bench).sweep) == 0
+    assert curio.run(admin(bench).list_open, 9).ok.claims == []
+    assert curio.run(admin(bench).remove_expired) == 0
     refused = curio.run(admin(bench).release_by_operator, claim.row_key, "anna", "checked", 5.0)
     assert "newer version" in str(refused.error)
 
@@ -106,7 +106,7 @@
     setattr(bench.faults, fault, 1)
     store = claims(bench)
     assert isinstance(acquire(store), ClaimUnavailable)
-    assert not bench.tables.rows and not store.reports.kept
+    assert not bench.tables.rows and not store.reports.pending
 
 
 def test_slow_store_is_refused_and_its_effect_is_undone_later():
@@ -118,7 +118,7 @@
     bench.faults.slow = 0.0
     bench.clock.advance(WINDOW)
     curio.run(store.store.probe)
-    assert curio.run(store.settle) == 0
+    assert curio.run(store.retry_reports) == 0
     assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
 
 
@@ -133,7 +133,7 @@
     bench.tables.sleep = pause
     assert isinstance(acquire(store), ClaimUnavailable)
     bench.faults.slow = 0.0
-    assert curio.run(store.settle) == 0
+    assert curio.run(store.retry_reports) == 0
     assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
 
 
@@ -145,7 +145,7 @@
     assert isinstance(acquire(first), ClaimUnavailable)
     bench.faults.late = 0
     bench.clock.advance(WINDOW)
-    steps = [bench.tables.land_late, lambda: curio.run(first.settle)]
+    steps = [bench.tables.land_late, lambda: curio.run(first.retry_reports)]
     for step in steps if order == "lands-then-settles" else steps[::-1]:
         step()
     granted = acquire(second)
@@ -164,7 +164,7 @@
     bench.clock.advance(WINDOW)
     assert curio.run(second.release, acquire(second))
     assert bench.tables.land_late() == 0
-    assert curio.run(first.settle) == 0
+    assert curio.run(first.retry_reports) == 0
     assert isinstance(acquire(second), ClaimGranted)
 
 
@@ -180,7 +180,7 @@
             await curio.sleep(0)
         await task.cancel()
         bench.tables.land_late()
-        return await store.settle()
+        return await store.retry_reports()
 
     assert curio.run(cancelled) == 0
     assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
@@ -204,7 +204,7 @@
     setattr(bench.faults, lost, 1)
     assert not curio.run(store.complete, claim, 200, [], b"ok")
     setattr(bench.faults, lost, 0)
-    assert curio.run(store.settle) == 0
+    assert curio.run(store.retry_reports) == 0
     bench.tables.land_late()
     assert isinstance(acquire(claims(bench, "vm2")), ClaimReplay)
 
@@ -216,7 +216,7 @@
     early = curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0)
     assert "may still send" in str(early.error)
     bench.clock.advance(WINDOW + RELEASE_GRACE)
-    listed = curio.run(operator.listed, 10).ok
+    listed = curio.run(operator.list_open, 10).ok
     assert [(c.row.vm, c.row.key) for c in listed.claims] == [("vm1", "k")]
     bench.faults.lose_reads = ALWAYS
     unread = curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0)
@@ -226,7 +226,7 @@
     assert isinstance(missing.error, ClaimNotReleased) and "show claims" in str(missing.error)
     bench.faults.lose_answers = 1
     assert curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0).is_ok()
-    assert [entry.author for entry in curio.run(operator.audit, 10).ok] == ["anna"]
+    assert [entry.author for entry in curio.run(operator.list_releases, 10).ok] == ["anna"]
     assert isinstance(acquire(other), ClaimGranted)
     curio.run(dead.complete, claim, 200, [], b"old")
     assert dead.reports.overtaken == 1
@@ -237,10 +237,10 @@
     bench = Bench()
     store, operator = claims(bench), admin(bench, retention=60.0)
     curio.run(store.complete, acquire(store, "done"), 200, [], b"")
-    curio.run(store.unknown, acquire(store, "unknown"))
+    curio.run(store.mark_unknown, acquire(store, "unknown"))
     acquire(store, "held")
     bench.clock.advance(WINDOW + 59.0)
-    assert sum(curio.run(operator.sweep) for _ in range(2)) == 0
+    assert sum(curio.run(operator.remove_expired) for _ in range(2)) == 0
     bench.clock.advance(2.0)
-    assert sum(curio.run(operator.sweep) for _ in range(2)) == 1
+    assert sum(curio.run(operator.remove_expired) for _ in range(2)) == 1
     assert len(bench.tables.find("claims", "", "", 9)) == 2
--- a/sequoiabridge/tests/store/test_claims_stateful.py
+++ b/sequoiabridge/tests/store/test_claims_stateful.py
@@ -73,15 +73,15 @@
         elif known:
             self.run(self.vms[vm].complete, claim, 200, [], b"ok")
         else:
-            self.run(self.vms[vm].unknown, claim)
+            self.run(self.vms[vm].mark_unknown, claim)
 
     @rule()
     def land_late(self):
         self.bench.tables.land_late()
 
     @rule(vm=VMS)
-    def settle(self, vm):
-        self.run(self.vms[vm].settle)
+    def retry_reports(self, vm):
+        self.run(self.vms[vm].retry_reports)
 
     @rule(seconds=st.sampled_from([0.3, 1.0, 3.0, WINDOW + RELEASE_GRACE]))
     def pause(self, seconds):
@@ -89,7 +89,7 @@
 
     @rule(vm=VMS)
     def kill(self, vm):
-        self.orphans |= {report.row.key for report in self.vms[vm].reports.kept.values()}
+        self.orphans |= {report.row.key for report in self.vms[vm].reports.pending.values()}
         self.orphans |= {holding[1] for holding in self.holdings if holding[0] == vm}
         self.holdings = [holding for holding in self.holdings if holding[0] != vm]
         self.vms[vm] = self.new_vm(vm)
@@ -117,7 +117,7 @@
             self.bench.tables.land_late()
             for vm in range(3):
                 self.run(self.vms[vm].store.probe)
-                self.run(self.vms[vm].settle)
+                self.run(self.vms[vm].retry_reports)
         held = {holding[1] for holding in self.holdings}
         for key in {"a", "b"} - held - self.orphans:
             result = self.acquire(0, key)
