--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -29,8 +29,8 @@
     Accepted,
     ChangeRow,
     Conflict,
-    Loaded,
-    Proposal,
+    LoadedConfiguration,
+    ProposalResult,
     Unproven,
 )
 from .store.versions import Versions
@@ -206,7 +206,7 @@
             for row in rows.ok:
                 self._apply(row)
 
-    def _load(self, loaded: Loaded) -> None:
+    def _load(self, loaded: LoadedConfiguration) -> None:
         document = _from_snapshot(loaded.snapshot.version, loaded.snapshot.data)
         if loaded.snapshot.version > self.in_force.version:
             self._put_in_force(document)
@@ -239,7 +239,7 @@
 
     async def save_snapshot(self, version: int) -> None:
         """Store the document as of `version`, if one is due and it is still in force."""
-        if self.versions.snapshot_due(version) and self.in_force.version == version:
+        if self.versions.is_snapshot_due(version) and self.in_force.version == version:
             await self.versions.save_snapshot(version, self.in_force.encode())
 
 
@@ -255,7 +255,7 @@
     return changed.ok
 
 
-def _not_accepted(outcome: Proposal) -> SequoiaError:
+def _not_accepted(outcome: ProposalResult) -> SequoiaError:
     if isinstance(outcome, Conflict):
         return ConflictError(
             f"Version {outcome.version} by {outcome.author} came first, at {outcome.at:.0f}; "
--- a/sequoiabridge/store/claim_admin.py
+++ b/sequoiabridge/store/claim_admin.py
@@ -202,7 +202,7 @@
         ]
         writes = [Write(CLAIMS_TABLE, found.key, ENCODER.encode(released)), entry]
         deadline = self.clock.now() + timeout
-        result = await self.store.transact_settled(conditions, writes, entry, deadline)
+        result = await self.store.transact_verified(conditions, writes, entry, deadline)
         if result.is_ok():
             log.info("Claim %s released by %s.", found.key, audit.author)
             return Ok(released)
--- a/sequoiabridge/store/claims.py
+++ b/sequoiabridge/store/claims.py
@@ -164,7 +164,7 @@
         condition = Condition(CLAIMS_TABLE, row_key, version)
         write = Write(CLAIMS_TABLE, row_key, ENCODER.encode(row))
         try:
-            return await self.store.transact_settled(
+            return await self.store.transact_verified(
                 [condition], [write], write, deadline, Priority.CLAIM
             )
         except curio.CancelledError:
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -110,7 +110,7 @@
             return refusal
         return await self.committer.transact(conditions, writes, timeout, priority)
 
-    async def transact_settled(
+    async def transact_verified(
         self,
         conditions: list[Condition],
         writes: list[Write],
--- a/sequoiabridge/store/version_rows.py
+++ b/sequoiabridge/store/version_rows.py
@@ -2,19 +2,19 @@
 
 import msgspec
 
-TABLE = "configuration"
+CONFIGURATION_TABLE = "configuration"
 """Table of the head row and of the changes."""
 
-HEAD = "head"
+HEAD_KEY = "head"
 """Key of the one row that says which version is the newest."""
 
-CHANGES = "change/"
+CHANGE_PREFIX = "change/"
 """Prefix of the keys of the changes; the version follows in decimal, padded to sort."""
 
-SNAPSHOTS = "configuration-"
+SNAPSHOT_PREFIX = "configuration-"
 """Prefix of the names of the snapshots in the object store."""
 
-SNAPSHOT_EVERY = 50
+SNAPSHOT_INTERVAL = 50
 """Versions between two snapshots."""
 
 
@@ -48,7 +48,7 @@
     data: bytes
 
 
-class Loaded(msgspec.Struct, frozen=True):
+class LoadedConfiguration(msgspec.Struct, frozen=True):
     """The newest version: a snapshot and all changes after it up to `head`."""
 
     head: HeadRow
@@ -70,21 +70,21 @@
 
 def change_key(version: int) -> str:
     """Return the key of the change that made `version`."""
-    return f"{CHANGES}{version:012d}"
+    return f"{CHANGE_PREFIX}{version:012d}"
 
 
 def snapshot_name(version: int) -> str:
     """Return the object's name of the snapshot of `version`."""
-    return f"{SNAPSHOTS}{version:012d}"
+    return f"{SNAPSHOT_PREFIX}{version:012d}"
 
 
-class Proposal:
+class ProposalResult:
     """Base of all outcomes of `Versions.propose`."""
 
     __slots__ = ()
 
 
-class Accepted(Proposal):
+class Accepted(ProposalResult):
     """Proven committed as `version`; `row` is the change, so that it need not be read again."""
 
     __slots__ = ("version", "row")
@@ -94,7 +94,7 @@
         self.row = row
 
 
-class Conflict(Proposal):
+class Conflict(ProposalResult):
     """Proven not committed: `author` set the newer `version` first, at wall time `at`."""
 
     __slots__ = ("version", "author", "at")
@@ -105,7 +105,7 @@
         self.at = at
 
 
-class Unproven(Proposal):
+class Unproven(ProposalResult):
     """It may be committed, now or later; `Versions.resolve` finds out when the store is back."""
 
     __slots__ = ("version", "token", "message")
@@ -116,7 +116,7 @@
         self.message = message
 
 
-class NotAccepted(Proposal):
+class NotAccepted(ProposalResult):
     """Proven not committed and never will be, without a newer version known; propose again."""
 
     __slots__ = ("message",)
--- a/sequoiabridge/store/versions.py
+++ b/sequoiabridge/store/versions.py
@@ -13,22 +13,22 @@
 from .rates import Priority
 from .version_rows import (
     CHANGE_DECODER,
-    CHANGES,
+    CHANGE_PREFIX,
+    CONFIGURATION_TABLE,
     ENCODER,
-    HEAD,
     HEAD_DECODER,
+    HEAD_KEY,
     NO_SNAPSHOT,
     NO_VERSION,
-    SNAPSHOT_EVERY,
-    SNAPSHOTS,
-    TABLE,
+    SNAPSHOT_INTERVAL,
+    SNAPSHOT_PREFIX,
     Accepted,
     ChangeRow,
     Conflict,
     HeadRow,
-    Loaded,
+    LoadedConfiguration,
     NotAccepted,
-    Proposal,
+    ProposalResult,
     Snapshot,
     Unproven,
     change_key,
@@ -57,15 +57,17 @@
 class Versions:
     """The configuration's rows and snapshots; changes and snapshots are opaque bytes here."""
 
-    def __init__(self, store: StoreClient, clock: Clock, snapshot_every: int = SNAPSHOT_EVERY):
+    def __init__(
+        self, store: StoreClient, clock: Clock, snapshot_interval: int = SNAPSHOT_INTERVAL
+    ):
         self.store = store
         self.objects: ObjectStore = store.objects
         self.clock = clock
-        self.snapshot_every = snapshot_every
+        self.snapshot_interval = snapshot_interval
 
     async def propose(
         self, expected_version: int, change: bytes, author: str, timeout: float
-    ) -> Proposal:
+    ) -> ProposalResult:
         """Commit `change` as version `expected_version + 1` if that is still the next one."""
         deadline = self.clock.now() + timeout
         row = ChangeRow(expected_version + 1, author, self.clock.wall(), new_token(), bytes(change))
@@ -85,7 +87,7 @@
                 return NotAccepted(result.error.message)
         return NotAccepted("the head row changed each time; read it and propose again")
 
-    async def resolve(self, unproven: Unproven, timeout: float) -> Proposal:
+    async def resolve(self, unproven: Unproven, timeout: float) -> ProposalResult:
         """Find out what became of a proposal, and rule out that it is committed later.
 
         If its change row is not there, the head row is rewritten unchanged: its new version makes
@@ -108,14 +110,16 @@
 
     async def latest(self, timeout: float = CALL_TIMEOUT) -> Result[HeadRow, StoreError]:
         """Return the newest committed version; version 0 if there is none yet."""
-        found = await self.store.read(TABLE, HEAD, timeout)
+        found = await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, timeout)
         return found.map(_head)
 
     async def changes_since(
         self, version: int, limit: int = CHANGES_AT_ONCE
     ) -> Result[list[ChangeRow], StoreError]:
         """Return up to `limit` changes after `version`, in order and without a gap."""
-        rows = await self.store.scan(TABLE, CHANGES, change_key(version), limit, CALL_TIMEOUT)
+        rows = await self.store.scan(
+            CONFIGURATION_TABLE, CHANGE_PREFIX, change_key(version), limit, CALL_TIMEOUT
+        )
         return rows.map(lambda found: _without_gap(version, found))
 
     async def history(self, limit: int) -> Result[list[ChangeRow], StoreError]:
@@ -126,9 +130,9 @@
         rows = await self.changes_since(max(0, head.ok.version - limit), limit)
         return rows.map(lambda changes: changes[::-1])
 
-    def snapshot_due(self, version: int) -> bool:
+    def is_snapshot_due(self, version: int) -> bool:
         """True if whoever had `version` accepted is to save a snapshot of it."""
-        return version > 0 and version % self.snapshot_every == 0
+        return version > 0 and version % self.snapshot_interval == 0
 
     async def save_snapshot(self, version: int, data: bytes) -> Result[None, StoreError]:
         """Store the whole configuration as of `version`; fine if another VM has done so."""
@@ -139,9 +143,9 @@
 
     async def snapshot(self, version: int) -> Result[Snapshot, StoreError]:
         """Return the newest snapshot up to `version` of the last `SNAPSHOTS_SEEN`, 0 if none."""
-        oldest = max(0, version - SNAPSHOTS_SEEN * self.snapshot_every)
+        oldest = max(0, version - SNAPSHOTS_SEEN * self.snapshot_interval)
         names = await self.objects.names(
-            SNAPSHOTS, snapshot_name(oldest), SNAPSHOTS_SEEN + 1, SNAPSHOT_TIMEOUT
+            SNAPSHOT_PREFIX, snapshot_name(oldest), SNAPSHOTS_SEEN + 1, SNAPSHOT_TIMEOUT
         )
         if names.is_error():
             return names
@@ -149,10 +153,10 @@
         if not wanted:
             return Ok(NO_SNAPSHOT)
         data = await self.objects.get(wanted[-1], SNAPSHOT_TIMEOUT)
-        at = int(wanted[-1].removeprefix(SNAPSHOTS))
+        at = int(wanted[-1].removeprefix(SNAPSHOT_PREFIX))
         return data.map(lambda found: NO_SNAPSHOT if found is None else Snapshot(at, found))
 
-    async def load(self) -> Result[Loaded, StoreError]:
+    async def load(self) -> Result[LoadedConfiguration, StoreError]:
         """Read what a new VM needs to be at the newest version."""
         head = await self.latest()
         if head.is_error():
@@ -171,7 +175,7 @@
                 return Error(StoreError(StoreErrorKind.REJECTED, text))
             changes += batch.ok
             version = batch.ok[-1].version
-        return Ok(Loaded(head.ok, snapshot.ok, changes))
+        return Ok(LoadedConfiguration(head.ok, snapshot.ok, changes))
 
     async def prune(self, keep: int = CHANGES_KEPT) -> int:
         """Remove some of the changes that are older than the last `keep`; return how many.
@@ -185,32 +189,34 @@
         snapshot = await self.snapshot(head.ok.version)
         if snapshot.is_error() or snapshot.ok.version <= cut:
             return 0
-        rows = await self.store.scan(TABLE, CHANGES, "", PRUNE_BATCH, CALL_TIMEOUT)
+        rows = await self.store.scan(
+            CONFIGURATION_TABLE, CHANGE_PREFIX, "", PRUNE_BATCH, CALL_TIMEOUT
+        )
         old = [row for row in rows.default_value([]) if row.key <= change_key(cut)]
         if not old:
             return 0
-        writes = [Write(TABLE, row.key, None) for row in old]
+        writes = [Write(CONFIGURATION_TABLE, row.key, None) for row in old]
         result = await self.store.transact([], writes, CALL_TIMEOUT, Priority.BACKGROUND)
         return len(old) if result.is_ok() else 0
 
     async def _head_row(self, deadline: float) -> Result[Row | None, StoreError]:
         left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        return await self.store.read(TABLE, HEAD, left)
+        return await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, left)
 
     async def _commit(self, row: ChangeRow, found: Row | None, deadline: float) -> Result:
         head = HeadRow(row.version, row.author, row.at, row.token)
-        change = Write(TABLE, change_key(row.version), ENCODER.encode(row))
+        change = Write(CONFIGURATION_TABLE, change_key(row.version), ENCODER.encode(row))
         conditions = [
-            Condition(TABLE, HEAD, found.version if found else 0),
-            Condition(TABLE, change.key, 0),
+            Condition(CONFIGURATION_TABLE, HEAD_KEY, found.version if found else 0),
+            Condition(CONFIGURATION_TABLE, change.key, 0),
         ]
-        writes = [Write(TABLE, HEAD, ENCODER.encode(head)), change]
-        return await self.store.transact_settled(conditions, writes, change, deadline)
+        writes = [Write(CONFIGURATION_TABLE, HEAD_KEY, ENCODER.encode(head)), change]
+        return await self.store.transact_verified(conditions, writes, change, deadline)
 
-    async def _outcome(self, unproven: Unproven, deadline: float) -> Proposal | None:
+    async def _outcome(self, unproven: Unproven, deadline: float) -> ProposalResult | None:
         """Return what the change row proves, None if it is not there."""
         left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        found = await self.store.read(TABLE, change_key(unproven.version), left)
+        found = await self.store.read(CONFIGURATION_TABLE, change_key(unproven.version), left)
         if found.is_error():
             return Unproven(unproven.version, unproven.token, found.error.message)
         if found.ok is None:
@@ -226,8 +232,8 @@
             return found
         head = _head(found.ok)
         fence = HeadRow(head.version, head.author, head.at, head.token, head.fences + 1)
-        write = Write(TABLE, HEAD, ENCODER.encode(fence))
-        condition = Condition(TABLE, HEAD, found.ok.version if found.ok else 0)
+        write = Write(CONFIGURATION_TABLE, HEAD_KEY, ENCODER.encode(fence))
+        condition = Condition(CONFIGURATION_TABLE, HEAD_KEY, found.ok.version if found.ok else 0)
         left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
         return await self.store.transact([condition], [write], left, Priority.NORMAL)
 
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -170,8 +170,12 @@
     async def blind(self, row, found, deadline):
         head = versions.HeadRow(row.version, row.author, row.at, row.token)
         key = versions.change_key(row.version)
-        change = versions.Write(versions.TABLE, key, versions.ENCODER.encode(row))
-        writes = [versions.Write(versions.TABLE, versions.HEAD, versions.ENCODER.encode(head))]
+        change = versions.Write(versions.CONFIGURATION_TABLE, key, versions.ENCODER.encode(row))
+        writes = [
+            versions.Write(
+                versions.CONFIGURATION_TABLE, versions.HEAD_KEY, versions.ENCODER.encode(head)
+            )
+        ]
         return await self.store.transact([], [*writes, change], 1.0, versions.Priority.NORMAL)
 
     return [(Versions, "_commit", blind)]
--- a/sequoiabridge/tests/matrix/world.py
+++ b/sequoiabridge/tests/matrix/world.py
@@ -21,8 +21,8 @@
 from ...store.claim_rows import CLAIM_DECODER, CLAIMS_TABLE, ClaimState
 from ...store.upload_index import MANIFESTS
 from ...store.upload_manifest import Manifest, UploadState
-from ...store.version_rows import CHANGES, change_key
-from ...store.version_rows import TABLE as VERSIONS
+from ...store.version_rows import CHANGE_PREFIX, change_key
+from ...store.version_rows import CONFIGURATION_TABLE as VERSIONS
 from ...upstreams import connections
 from ..standins.memory import Faults, MemoryVmList
 from ..standins.upstream_record import Record
@@ -90,7 +90,7 @@
             held = CLAIM_DECODER.decode(write.value).state is ClaimState.HELD
             step = Step.CLAIM if held else Step.RECORD
             return step, step
-        if write.table == VERSIONS and write.key.startswith(CHANGES):
+        if write.table == VERSIONS and write.key.startswith(CHANGE_PREFIX):
             return Step.PROPOSED, Step.COMMITTED
         if write.table == MANIFESTS:
             manifest = msgspec.msgpack.decode(write.value, type=Manifest)
--- a/sequoiabridge/tests/store/test_client.py
+++ b/sequoiabridge/tests/store/test_client.py
@@ -98,7 +98,7 @@
     setattr(bench.faults, lost, 1)
     conditions, writes = insert("a", b"token")
     deadline = bench.clock.now() + 5.0
-    result = curio.run(client.transact_settled, conditions, writes, writes[0], deadline)
+    result = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
     bench.tables.land_late()
     assert result.is_ok()
     assert bench.tables.rows[("t", "a")].version == 1
@@ -110,7 +110,7 @@
     bench.faults.late = ALWAYS
     conditions, writes = insert("a", b"token")
     deadline = bench.clock.now() + 5.0
-    lost = curio.run(client.transact_settled, conditions, writes, writes[0], deadline)
+    lost = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
     assert lost.error.kind is StoreErrorKind.UNKNOWN
     bench.faults.late = 0
     assert curio.run(client.transact, conditions, [Write("t", "a", b"tombstone")], 1.0).is_ok()
--- a/sequoiabridge/tests/store/test_versions.py
+++ b/sequoiabridge/tests/store/test_versions.py
@@ -75,17 +75,17 @@
 
 def test_new_vm_loads_a_snapshot_and_the_changes_after_it():
     bench = Bench()
-    store = versions(bench, snapshot_every=4)
+    store = versions(bench, snapshot_interval=4)
     for version in range(10):
         assert propose(store, version, b"%d" % (version + 1)).version == version + 1
-        if store.snapshot_due(version + 1):
+        if store.is_snapshot_due(version + 1):
             assert curio.run(store.save_snapshot, version + 1, b"s%d" % (version + 1)).is_ok()
     assert curio.run(store.save_snapshot, 8, b"another VM's").is_ok()
     loaded = curio.run(store.load).ok
     assert (loaded.snapshot.version, loaded.snapshot.data) == (8, b"s8")
     assert [change.version for change in loaded.changes] == [9, 10]
     assert curio.run(store.prune, 3) == 7
-    assert [c.change for c in curio.run(versions(bench, snapshot_every=4).load).ok.changes] == [
+    assert [c.change for c in curio.run(versions(bench, snapshot_interval=4).load).ok.changes] == [
         b"9",
         b"10",
     ]
