--- a/sequoiabridge/tests/store/store_fakes.py
+++ b/sequoiabridge/tests/store/store_fakes.py
@@ -12,7 +12,7 @@
     await curio.sleep(0)
 
 
-class Bench:
+class FakePlatform:
     """One platform in memory, and clients of as many VMs as a test asks for."""
 
     def __init__(self, clock=None):
@@ -28,6 +28,6 @@
         )
 
 
-def real_time() -> Bench:
+def system_clock_platform() -> FakePlatform:
     """Return a bench on the system's clock, for tests in which waiting itself is the point."""
-    return Bench(SystemClock())
+    return FakePlatform(SystemClock())
--- a/sequoiabridge/tests/store/test_claims.py
+++ b/sequoiabridge/tests/store/test_claims.py
@@ -19,13 +19,13 @@
 from ...store.claim_rows import REPORT_GRACE, STORED_BODY_LIMIT
 from ...store.claims import Claims
 from ..standins.memory import ALWAYS
-from .store_fakes import Bench
+from .store_fakes import FakePlatform
 
 WINDOW = 2.0
 
 
-def claims(bench, vm="vm1"):
-    return Claims(bench.client(), bench.clock, vm)
+def claims(platform, vm="vm1"):
+    return Claims(platform.client(), platform.clock, vm)
 
 
 def acquire(of, key="k", digest="d", caller="c"):
@@ -33,49 +33,49 @@
     return curio.run(of.acquire, "s", caller, key, digest, deadline)
 
 
-def admin(bench, **options):
-    return ClaimAdmin(bench.client(), bench.clock, random.Random(1), **options)
+def admin(platform, **options):
+    return ClaimAdmin(platform.client(), platform.clock, random.Random(1), **options)
 
 
 def test_duplicate_gets_the_stored_answer_at_another_vm():
-    bench = Bench()
-    claim = acquire(claims(bench))
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimBusy)
-    assert curio.run(claims(bench).complete, claim, 201, [(b"x-po", b"7")], b"ok")
-    replay = acquire(claims(bench, "vm2"))
+    platform = FakePlatform()
+    claim = acquire(claims(platform))
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimBusy)
+    assert curio.run(claims(platform).complete, claim, 201, [(b"x-po", b"7")], b"ok")
+    replay = acquire(claims(platform, "vm2"))
     assert isinstance(replay, ClaimReplay)
     assert (replay.status, replay.headers, replay.body) == (201, [(b"x-po", b"7")], b"ok")
-    assert isinstance(acquire(claims(bench), digest="other"), ClaimMismatch)
-    assert isinstance(acquire(claims(bench), caller="c2"), ClaimGranted)
+    assert isinstance(acquire(claims(platform), digest="other"), ClaimMismatch)
+    assert isinstance(acquire(claims(platform), caller="c2"), ClaimGranted)
 
 
 def test_large_answer_is_done_but_not_kept():
-    bench = Bench()
-    store = claims(bench)
+    platform = FakePlatform()
+    store = claims(platform)
     curio.run(store.complete, acquire(store), 200, [], b"x" * (STORED_BODY_LIMIT + 1))
     replay = acquire(store)
     assert isinstance(replay, ClaimReplay) and replay.body is None
 
 
 def test_row_of_a_newer_version_is_left_alone():
-    bench = Bench()
-    claim = acquire(claims(bench))
-    bench.tables.put(Write("claims", claim.row_key, b"\xc1 newer"))
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimUnavailable)
-    assert curio.run(admin(bench).list_open, 9).ok.claims == []
-    assert curio.run(admin(bench).remove_expired) == 0
-    refused = curio.run(admin(bench).release_by_operator, claim.row_key, "anna", "checked", 5.0)
+    platform = FakePlatform()
+    claim = acquire(claims(platform))
+    platform.tables.put(Write("claims", claim.row_key, b"\xc1 newer"))
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimUnavailable)
+    assert curio.run(admin(platform).list_open, 9).ok.claims == []
+    assert curio.run(admin(platform).remove_expired) == 0
+    refused = curio.run(admin(platform).release_by_operator, claim.row_key, "anna", "checked", 5.0)
     assert "newer version" in str(refused.error)
 
 
 def test_two_claimers_at_once_one_is_granted():
-    bench = Bench()
-    deadline = bench.clock.now() + WINDOW
+    platform = FakePlatform()
+    deadline = platform.clock.now() + WINDOW
 
     async def race():
         async with curio.TaskGroup() as group:
             for vm in range(5):
-                of = claims(bench, f"vm{vm}")
+                of = claims(platform, f"vm{vm}")
                 await group.spawn(of.acquire, "s", "c", "k", "d", deadline)
         return group.results
 
@@ -85,112 +85,112 @@
 
 @pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
 def test_lost_answer_is_settled_by_the_token(lost):
-    bench = Bench()
-    setattr(bench.faults, lost, 1)
-    assert isinstance(acquire(claims(bench)), ClaimGranted)
-    bench.tables.land_late()
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimBusy)
+    platform = FakePlatform()
+    setattr(platform.faults, lost, 1)
+    assert isinstance(acquire(claims(platform)), ClaimGranted)
+    platform.tables.land_late()
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimBusy)
 
 
 @pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
 def test_another_vms_row_is_never_taken_for_the_own_one(lost):
-    bench = Bench()
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
-    setattr(bench.faults, lost, 1)
-    assert isinstance(acquire(claims(bench)), ClaimBusy)
+    platform = FakePlatform()
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
+    setattr(platform.faults, lost, 1)
+    assert isinstance(acquire(claims(platform)), ClaimBusy)
 
 
 @pytest.mark.parametrize("fault", ["down", "reject"])
 def test_refusing_store_is_not_run_without_a_trace(fault):
-    bench = Bench()
-    setattr(bench.faults, fault, 1)
-    store = claims(bench)
+    platform = FakePlatform()
+    setattr(platform.faults, fault, 1)
+    store = claims(platform)
     assert isinstance(acquire(store), ClaimUnavailable)
-    assert not bench.tables.rows and not store.reports.pending
+    assert not platform.tables.rows and not store.reports.pending
 
 
 def test_slow_store_is_refused_and_its_effect_is_undone_later():
-    bench = Bench()
-    store = claims(bench)
-    bench.faults.slow = 60.0
+    platform = FakePlatform()
+    store = claims(platform)
+    platform.faults.slow = 60.0
     assert isinstance(acquire(store), ClaimUnavailable)
-    assert len(bench.tables.rows) == 1
-    bench.faults.slow = 0.0
-    bench.clock.advance(WINDOW)
+    assert len(platform.tables.rows) == 1
+    platform.faults.slow = 0.0
+    platform.clock.advance(WINDOW)
     curio.run(store.store.probe)
     assert curio.run(store.retry_reports) == 0
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
 def test_vm_paused_while_it_claims_is_not_granted_after_its_deadline():
-    bench = Bench()
-    store = claims(bench)
-    bench.faults.slow = 0.1
+    platform = FakePlatform()
+    store = claims(platform)
+    platform.faults.slow = 0.1
 
     async def pause(_seconds):
-        bench.clock.advance(WINDOW + 1.0)
+        platform.clock.advance(WINDOW + 1.0)
 
-    bench.tables.sleep = pause
+    platform.tables.sleep = pause
     assert isinstance(acquire(store), ClaimUnavailable)
-    bench.faults.slow = 0.0
+    platform.faults.slow = 0.0
     assert curio.run(store.retry_reports) == 0
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
 @pytest.mark.parametrize("order", ["lands-then-settles", "settles-then-lands"])
 def test_insert_that_lands_after_not_run_neither_blocks_nor_doubles(order):
-    bench = Bench()
-    first, second = claims(bench), claims(bench, "vm2")
-    bench.faults.late = ALWAYS
+    platform = FakePlatform()
+    first, second = claims(platform), claims(platform, "vm2")
+    platform.faults.late = ALWAYS
     assert isinstance(acquire(first), ClaimUnavailable)
-    bench.faults.late = 0
-    bench.clock.advance(WINDOW)
-    steps = [bench.tables.land_late, lambda: curio.run(first.retry_reports)]
+    platform.faults.late = 0
+    platform.clock.advance(WINDOW)
+    steps = [platform.tables.land_late, lambda: curio.run(first.retry_reports)]
     for step in steps if order == "lands-then-settles" else steps[::-1]:
         step()
     granted = acquire(second)
     assert isinstance(granted, ClaimGranted)
-    bench.tables.land_late()
+    platform.tables.land_late()
     assert curio.run(second.complete, granted, 200, [], b"ok")
     assert isinstance(acquire(first), ClaimReplay)
 
 
 def test_late_insert_fails_once_another_vm_was_granted_and_had_released():
-    bench = Bench()
-    first, second = claims(bench), claims(bench, "vm2")
-    bench.faults.late = ALWAYS
+    platform = FakePlatform()
+    first, second = claims(platform), claims(platform, "vm2")
+    platform.faults.late = ALWAYS
     acquire(first)
-    bench.faults.late = 0
-    bench.clock.advance(WINDOW)
+    platform.faults.late = 0
+    platform.clock.advance(WINDOW)
     assert curio.run(second.release, acquire(second))
-    assert bench.tables.land_late() == 0
+    assert platform.tables.land_late() == 0
     assert curio.run(first.retry_reports) == 0
     assert isinstance(acquire(second), ClaimGranted)
 
 
 def test_caller_who_goes_away_meanwhile_leaves_a_claim_that_is_released():
-    bench = Bench()
-    store = claims(bench)
-    bench.faults.late = 1
+    platform = FakePlatform()
+    store = claims(platform)
+    platform.faults.late = 1
 
     async def cancelled():
-        deadline = bench.clock.now() + WINDOW
+        deadline = platform.clock.now() + WINDOW
         task = await curio.spawn(store.acquire, "s", "c", "k", "d", deadline)
-        while not bench.tables.waiting:
+        while not platform.tables.waiting:
             await curio.sleep(0)
         await task.cancel()
-        bench.tables.land_late()
+        platform.tables.land_late()
         return await store.retry_reports()
 
     assert curio.run(cancelled) == 0
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimGranted)
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
 def test_paused_holder_is_never_taken_over_and_reports_late():
-    bench = Bench()
-    holder, other = claims(bench), claims(bench, "vm2")
+    platform = FakePlatform()
+    holder, other = claims(platform), claims(platform, "vm2")
     claim = acquire(holder)
-    bench.clock.advance(WINDOW + REPORT_GRACE + 3600.0)
+    platform.clock.advance(WINDOW + REPORT_GRACE + 3600.0)
     assert isinstance(acquire(other), ClaimUnknown)
     assert curio.run(holder.complete, claim, 200, [], b"late")
     assert acquire(other).body == b"late"
@@ -198,49 +198,49 @@
 
 @pytest.mark.parametrize("lost", ["down", "lose_answers", "lose_writes", "late"])
 def test_report_that_gets_no_answer_is_proven_later(lost):
-    bench = Bench()
-    store = claims(bench)
+    platform = FakePlatform()
+    store = claims(platform)
     claim = acquire(store)
-    setattr(bench.faults, lost, 1)
+    setattr(platform.faults, lost, 1)
     assert not curio.run(store.complete, claim, 200, [], b"ok")
-    setattr(bench.faults, lost, 0)
+    setattr(platform.faults, lost, 0)
     assert curio.run(store.retry_reports) == 0
-    bench.tables.land_late()
-    assert isinstance(acquire(claims(bench, "vm2")), ClaimReplay)
+    platform.tables.land_late()
+    assert isinstance(acquire(claims(platform, "vm2")), ClaimReplay)
 
 
 def test_operator_frees_a_dead_vms_claim_and_its_late_report_changes_nothing():
-    bench = Bench()
-    dead, other, operator = claims(bench), claims(bench, "vm2"), admin(bench)
+    platform = FakePlatform()
+    dead, other, operator = claims(platform), claims(platform, "vm2"), admin(platform)
     claim = acquire(dead)
     early = curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0)
     assert "may still send" in str(early.error)
-    bench.clock.advance(WINDOW + RELEASE_GRACE)
+    platform.clock.advance(WINDOW + RELEASE_GRACE)
     listed = curio.run(operator.list_open, 10).ok
     assert [(c.row.vm, c.row.key) for c in listed.claims] == [("vm1", "k")]
-    bench.faults.lose_reads = ALWAYS
+    platform.faults.lose_reads = ALWAYS
     unread = curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0)
     assert isinstance(unread.error, StoreUnavailable)
-    bench.faults.lose_reads = 0
+    platform.faults.lose_reads = 0
     missing = curio.run(operator.release_by_operator, "no-claim", "anna", "checked", 5.0)
     assert isinstance(missing.error, ClaimNotReleased) and "show claims" in str(missing.error)
-    bench.faults.lose_answers = 1
+    platform.faults.lose_answers = 1
     assert curio.run(operator.release_by_operator, claim.row_key, "anna", "checked", 5.0).is_ok()
     assert [entry.author for entry in curio.run(operator.list_releases, 10).ok] == ["anna"]
     assert isinstance(acquire(other), ClaimGranted)
     curio.run(dead.complete, claim, 200, [], b"old")
     assert dead.reports.overtaken == 1
-    assert isinstance(acquire(claims(bench, "vm3")), ClaimBusy)
+    assert isinstance(acquire(claims(platform, "vm3")), ClaimBusy)
 
 
 def test_sweep_removes_finished_claims_by_age_and_never_open_ones():
-    bench = Bench()
-    store, operator = claims(bench), admin(bench, retention=60.0)
+    platform = FakePlatform()
+    store, operator = claims(platform), admin(platform, retention=60.0)
     curio.run(store.complete, acquire(store, "done"), 200, [], b"")
     curio.run(store.mark_unknown, acquire(store, "unknown"))
     acquire(store, "held")
-    bench.clock.advance(WINDOW + 59.0)
+    platform.clock.advance(WINDOW + 59.0)
     assert sum(curio.run(operator.remove_expired) for _ in range(2)) == 0
-    bench.clock.advance(2.0)
+    platform.clock.advance(2.0)
     assert sum(curio.run(operator.remove_expired) for _ in range(2)) == 1
-    assert len(bench.tables.find("claims", "", "", 9)) == 2
+    assert len(platform.tables.find("claims", "", "", 9)) == 2
--- a/sequoiabridge/tests/store/test_claims_stateful.py
+++ b/sequoiabridge/tests/store/test_claims_stateful.py
@@ -12,7 +12,7 @@
 from ...store.claim_results import ClaimGranted, ClaimReplay, ClaimUnavailable
 from ...store.claim_rows import claim_key
 from ...store.claims import Claims
-from .store_fakes import Bench
+from .store_fakes import FakePlatform
 
 VMS = st.integers(0, 2)
 KEYS = st.sampled_from(["a", "b"])
@@ -27,26 +27,26 @@
     def __init__(self):
         super().__init__()
         self.kernel = curio.Kernel()
-        self.bench = Bench()
+        self.platform = FakePlatform()
         self.vms = [self.new_vm(number) for number in range(3)]
-        self.admin = ClaimAdmin(self.bench.client(), self.bench.clock, random.Random(1))
+        self.admin = ClaimAdmin(self.platform.client(), self.platform.clock, random.Random(1))
         self.holdings: list[list] = []
         self.sends: Counter[str] = Counter()
         self.orphans: set[str] = set()
 
     def new_vm(self, number: int) -> Claims:
-        return Claims(self.bench.client(), self.bench.clock, f"vm{number}")
+        return Claims(self.platform.client(), self.platform.clock, f"vm{number}")
 
     def run(self, call, *args):
         return self.kernel.run(call, *args)
 
     def acquire(self, vm: int, key: str):
-        deadline = self.bench.clock.now() + WINDOW
+        deadline = self.platform.clock.now() + WINDOW
         return self.run(self.vms[vm].acquire, "s", "c", key, "d", deadline)
 
     @rule(fault=FAULTS, count=st.integers(1, 8))
     def fail(self, fault, count):
-        setattr(self.bench.faults, fault, count)
+        setattr(self.platform.faults, fault, count)
 
     @rule(vm=VMS, key=KEYS)
     def claim(self, vm, key):
@@ -60,7 +60,7 @@
     @rule(pick=PICK)
     def send(self, pick):
         holding = self.holdings[pick % len(self.holdings)]
-        if not holding[3] and self.bench.clock.now() < holding[2].deadline:
+        if not holding[3] and self.platform.clock.now() < holding[2].deadline:
             holding[3] = True
             self.sends[holding[1]] += 1
 
@@ -77,7 +77,7 @@
 
     @rule()
     def land_late(self):
-        self.bench.tables.land_late()
+        self.platform.tables.land_late()
 
     @rule(vm=VMS)
     def retry_reports(self, vm):
@@ -85,7 +85,7 @@
 
     @rule(seconds=st.sampled_from([0.3, 1.0, 3.0, WINDOW + RELEASE_GRACE]))
     def pause(self, seconds):
-        self.bench.clock.advance(seconds)
+        self.platform.clock.advance(seconds)
 
     @rule(vm=VMS)
     def kill(self, vm):
@@ -111,10 +111,10 @@
 
     def check_that_nothing_stays_blocked(self):
         for fault in ("lose_answers", "lose_writes", "late", "lose_reads"):
-            setattr(self.bench.faults, fault, 0)
-        self.bench.clock.advance(60.0)
+            setattr(self.platform.faults, fault, 0)
+        self.platform.clock.advance(60.0)
         for _ in range(2):
-            self.bench.tables.land_late()
+            self.platform.tables.land_late()
             for vm in range(3):
                 self.run(self.vms[vm].store.probe)
                 self.run(self.vms[vm].retry_reports)
--- a/sequoiabridge/tests/store/test_client.py
+++ b/sequoiabridge/tests/store/test_client.py
@@ -7,7 +7,7 @@
 from ...store.breaker import FAILURES_TO_OPEN, MIN_PROBE_DELAY
 from ...store.rates import Priority, RateShare
 from ..standins.memory import ALWAYS
-from .store_fakes import Bench, real_time
+from .store_fakes import FakePlatform, system_clock_platform
 
 
 def insert(key, value=b"v"):
@@ -22,21 +22,21 @@
 
 
 def test_waiting_transactions_go_as_one_and_a_failed_member_hurts_no_other():
-    bench = real_time()
-    client = bench.client(writes=50.0)
+    platform = system_clock_platform()
+    client = platform.client(writes=50.0)
     curio.run(client.transact, *insert("k7", b"first"), 5.0)
     results = curio.run(together, client, [insert(f"k{n}") for n in range(20)])
     failed = [n for n, result in enumerate(results) if result.is_error()]
     assert failed == [7]
     assert results[7].error.kind is StoreErrorKind.CONDITION_FAILED
-    assert bench.tables.rows[("t", "k7")].value == b"first"
-    assert len(bench.tables.rows) == 20
+    assert platform.tables.rows[("t", "k7")].value == b"first"
+    assert len(platform.tables.rows) == 20
     assert client.counts.splits >= 1 and client.counts.writes < 20
 
 
 def test_reads_and_objects_are_counted_like_transactions():
-    bench = real_time()
-    client = bench.client()
+    platform = system_clock_platform()
+    client = platform.client()
     curio.run(client.read, "t", "k", 5.0)
     curio.run(client.objects.put, "o", b"v", 5.0)
     curio.run(client.objects.get, "o", 5.0)
@@ -44,9 +44,9 @@
 
 
 def test_removals_of_objects_leave_room_in_the_share_for_writes():
-    bench = Bench()
-    client = bench.client(writes=100.0)
-    bench.clock.advance(10.0)
+    platform = FakePlatform()
+    client = platform.client(writes=100.0)
+    platform.clock.advance(10.0)
 
     def allowed(call):
         """Use the share up by one kind of call; the clock stands, so none waits."""
@@ -61,31 +61,31 @@
 
 
 def test_transactions_on_one_row_never_share_a_group():
-    bench = real_time()
-    client = bench.client(writes=50.0)
+    platform = system_clock_platform()
+    client = platform.client(writes=50.0)
     results = curio.run(together, client, [insert("same")] * 6)
     assert sum(result.is_ok() for result in results) == 1
-    assert bench.tables.rows[("t", "same")].version == 1
+    assert platform.tables.rows[("t", "same")].version == 1
 
 
 def test_outage_is_refused_at_once_and_ends_with_a_probe():
-    bench = Bench()
-    client = bench.client()
-    bench.faults.lose_writes = bench.faults.lose_reads = ALWAYS
+    platform = FakePlatform()
+    client = platform.client()
+    platform.faults.lose_writes = platform.faults.lose_reads = ALWAYS
     kinds = [curio.run(client.transact, *insert("a"), 1.0).error.kind for _ in range(5)]
     unknown, refused = [StoreErrorKind.UNKNOWN], [StoreErrorKind.NOT_SENT]
     assert kinds == unknown * FAILURES_TO_OPEN + refused * (5 - FAILURES_TO_OPEN)
-    assert len(bench.tables.log) == FAILURES_TO_OPEN
-    bench.faults.lose_writes = bench.faults.lose_reads = 0
-    bench.clock.advance(MIN_PROBE_DELAY)
+    assert len(platform.tables.log) == FAILURES_TO_OPEN
+    platform.faults.lose_writes = platform.faults.lose_reads = 0
+    platform.clock.advance(MIN_PROBE_DELAY)
     curio.run(client.probe)
     assert curio.run(client.transact, *insert("a"), 1.0).is_ok()
 
 
 def test_impatient_callers_do_not_open_the_breaker():
-    bench = Bench()
-    client = bench.client()
-    bench.faults.lose_reads = 10
+    platform = FakePlatform()
+    client = platform.client()
+    platform.faults.lose_reads = 10
     for _ in range(10):
         curio.run(client.read, "t", "a", 0.01)
     assert not client.is_down
@@ -93,28 +93,28 @@
 
 @pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
 def test_lost_answer_is_settled_and_written_once(lost):
-    bench = Bench()
-    client = bench.client()
-    setattr(bench.faults, lost, 1)
+    platform = FakePlatform()
+    client = platform.client()
+    setattr(platform.faults, lost, 1)
     conditions, writes = insert("a", b"token")
-    deadline = bench.clock.now() + 5.0
+    deadline = platform.clock.now() + 5.0
     result = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
-    bench.tables.land_late()
+    platform.tables.land_late()
     assert result.is_ok()
-    assert bench.tables.rows[("t", "a")].version == 1
+    assert platform.tables.rows[("t", "a")].version == 1
 
 
 def test_tombstone_under_the_same_condition_rules_out_the_late_write():
-    bench = Bench()
-    client = bench.client()
-    bench.faults.late = ALWAYS
+    platform = FakePlatform()
+    client = platform.client()
+    platform.faults.late = ALWAYS
     conditions, writes = insert("a", b"token")
-    deadline = bench.clock.now() + 5.0
+    deadline = platform.clock.now() + 5.0
     lost = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
     assert lost.error.kind is StoreErrorKind.UNKNOWN
-    bench.faults.late = 0
+    platform.faults.late = 0
     assert curio.run(client.transact, conditions, [Write("t", "a", b"tombstone")], 1.0).is_ok()
-    assert bench.tables.land_late() == 0
+    assert platform.tables.land_late() == 0
 
 
 def test_share_keeps_room_for_claims_and_shrinks_when_pressed():
--- a/sequoiabridge/tests/store/test_versions.py
+++ b/sequoiabridge/tests/store/test_versions.py
@@ -6,11 +6,11 @@
 from ...store.version_rows import Accepted, Conflict, NotAccepted, Unproven
 from ...store.versions import Versions
 from ..standins.memory import ALWAYS
-from .store_fakes import Bench
+from .store_fakes import FakePlatform
 
 
-def versions(bench, **options):
-    return Versions(bench.client(), bench.clock, **options)
+def versions(platform, **options):
+    return Versions(platform.client(), platform.clock, **options)
 
 
 def propose(of, expected, change=b"c", author="anna"):
@@ -18,8 +18,8 @@
 
 
 def test_two_operators_one_winner_and_the_loser_learns_who():
-    bench = Bench()
-    anna, ben = versions(bench), versions(bench)
+    platform = FakePlatform()
+    anna, ben = versions(platform), versions(platform)
 
     async def race():
         async with curio.TaskGroup() as group:
@@ -35,47 +35,47 @@
 
 @pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
 def test_lost_answer_is_accepted_once(lost):
-    bench = Bench()
-    setattr(bench.faults, lost, 1)
-    assert isinstance(propose(versions(bench), 0), Accepted)
-    bench.tables.land_late()
-    assert curio.run(versions(bench).latest).ok.version == 1
+    platform = FakePlatform()
+    setattr(platform.faults, lost, 1)
+    assert isinstance(propose(versions(platform), 0), Accepted)
+    platform.tables.land_late()
+    assert curio.run(versions(platform).latest).ok.version == 1
 
 
 def test_unproven_proposal_is_settled_and_cannot_land_later():
-    bench = Bench()
-    bench.faults.late = ALWAYS
-    unproven = propose(versions(bench), 0)
+    platform = FakePlatform()
+    platform.faults.late = ALWAYS
+    unproven = propose(versions(platform), 0)
     assert isinstance(unproven, Unproven)
-    bench.faults.late = 0
-    assert isinstance(curio.run(versions(bench).resolve, unproven, 5.0), NotAccepted)
-    assert bench.tables.land_late() == 0
-    assert isinstance(propose(versions(bench), 0, b"again"), Accepted)
+    platform.faults.late = 0
+    assert isinstance(curio.run(versions(platform).resolve, unproven, 5.0), NotAccepted)
+    assert platform.tables.land_late() == 0
+    assert isinstance(propose(versions(platform), 0, b"again"), Accepted)
 
 
 @pytest.mark.parametrize(("first", "outcome"), [("late", Accepted), ("other", Conflict)])
 def test_unproven_proposal_is_told_by_its_token(first, outcome):
-    bench = Bench()
-    bench.faults.late = ALWAYS
-    unproven = propose(versions(bench), 0)
-    bench.faults.late = 0
+    platform = FakePlatform()
+    platform.faults.late = ALWAYS
+    unproven = propose(versions(platform), 0)
+    platform.faults.late = 0
     if first == "late":
-        assert bench.tables.land_late() == 1
+        assert platform.tables.land_late() == 1
     else:
-        assert isinstance(propose(versions(bench), 0, b"x", "ben"), Accepted)
-    assert isinstance(curio.run(versions(bench).resolve, unproven, 5.0), outcome)
+        assert isinstance(propose(versions(platform), 0, b"x", "ben"), Accepted)
+    assert isinstance(curio.run(versions(platform).resolve, unproven, 5.0), outcome)
 
 
 def test_store_down_is_never_accepted():
-    bench = Bench()
-    bench.faults.down = True
-    assert isinstance(propose(versions(bench), 0), NotAccepted)
-    assert not bench.tables.rows
+    platform = FakePlatform()
+    platform.faults.down = True
+    assert isinstance(propose(versions(platform), 0), NotAccepted)
+    assert not platform.tables.rows
 
 
 def test_new_vm_loads_a_snapshot_and_the_changes_after_it():
-    bench = Bench()
-    store = versions(bench, snapshot_interval=4)
+    platform = FakePlatform()
+    store = versions(platform, snapshot_interval=4)
     for version in range(10):
         assert propose(store, version, b"%d" % (version + 1)).version == version + 1
         if store.is_snapshot_due(version + 1):
@@ -85,7 +85,9 @@
     assert (loaded.snapshot.version, loaded.snapshot.data) == (8, b"s8")
     assert [change.version for change in loaded.changes] == [9, 10]
     assert curio.run(store.prune, 3) == 7
-    assert [c.change for c in curio.run(versions(bench, snapshot_interval=4).load).ok.changes] == [
+    assert [
+        c.change for c in curio.run(versions(platform, snapshot_interval=4).load).ok.changes
+    ] == [
         b"9",
         b"10",
     ]
--- a/sequoiabridge/tests/test_configuration.py
+++ b/sequoiabridge/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from ..store.versions import Versions
 from ..timers import Timers
 from .fleet.pump import Pump
-from .store.store_fakes import real_time
+from .store.store_fakes import system_clock_platform
 
 CHANGE = Change([SetEntry("service", "spendview", {"path_prefix": "/spend"})])
 
@@ -25,7 +25,7 @@
 
 
 def test_an_accepted_change_is_in_force_and_spread_though_the_store_is_down_right_after():
-    bench = real_time()
+    bench = system_clock_platform()
     gate, _ = alone(bench)
     bench.faults.down_after = 1
     assert curio.run(gate.propose, CHANGE, "anna", 0).ok == 1
@@ -35,7 +35,7 @@
 
 
 def test_a_change_too_large_to_be_spread_is_read_from_the_table_at_once():
-    bench = real_time()
+    bench = system_clock_platform()
     assert curio.run(alone(bench)[0].propose, CHANGE, "anna", 0).ok == 1
     gate, timers = alone(bench)
     timers.run_due()[0].close()  # The look at the table when the daemon starts comes too early.
--- a/sequoiabridge/tests/test_documents.py
+++ b/sequoiabridge/tests/test_documents.py
@@ -12,7 +12,7 @@
 from ..store.versions import Versions
 from ..timers import Timers
 from .fleet.pump import Pump
-from .store.store_fakes import real_time
+from .store.store_fakes import system_clock_platform
 
 SERVICE = Change([SetEntry("service", "spendview", {"path_prefix": "/spend"})])
 POOL = SetEntry("pool", "spendview", {"service": "spendview"})
@@ -32,7 +32,7 @@
     """VMs with the real configuration in force, over one platform in memory."""
 
     def __init__(self, count):
-        self.bench, self.pump, self.gates = real_time(), Pump(count), []
+        self.bench, self.pump, self.gates = system_clock_platform(), Pump(count), []
         for node in self.pump.all():
             self.join(node)
         assert self.pump.run_until(self.pump.complete, 20) is not None
--- a/sequoiabridge/tests/test_poll.py
+++ b/sequoiabridge/tests/test_poll.py
@@ -5,11 +5,11 @@
 from ..configuration import ConfigurationInForce
 from ..store.versions import Versions
 from .fleet.pump import Pump
-from .store.store_fakes import real_time
+from .store.store_fakes import system_clock_platform
 
 
 def test_a_look_at_a_table_that_is_down_ends_in_peace_and_the_next_one_succeeds():
-    bench = real_time()
+    bench = system_clock_platform()
     node = Pump(1).all()[0]
     gate = ConfigurationInForce(
         Versions(bench.client(), bench.clock), node, bench.clock, lambda _: None
