--- a/sequoiabridge/assembly/path.py
+++ b/sequoiabridge/assembly/path.py
@@ -12,12 +12,12 @@
 from ..pipeline.buffering import Buffering
 from ..pipeline.claiming import Claiming
 from ..pipeline.dispatch import Dispatch
+from ..pipeline.drain_checks import DrainChecker
 from ..pipeline.identify import Identify
 from ..pipeline.match import Match
 from ..pipeline.pipeline import Pipeline, RequestIds
 from ..pipeline.probing import Probing
 from ..pipeline.record import Record
-from ..pipeline.returning import Returning
 from ..pipeline.services import Services
 from ..pipeline.sharing import Sharing
 from ..pipeline.spool import Spool
@@ -43,7 +43,7 @@
         self.sharing = Sharing(daemon.vm, self.services, fleet, daemon.metrics, clock)
         prober = Prober(self.connector, clock)
         self.probing = Probing(self.services, prober, daemon.metrics, self.sharing, clock)
-        self.returning = Returning(self.services, prober, self.sharing, clock)
+        self.drain_checker = DrainChecker(self.services, prober, self.sharing, clock)
         self.admit = Admit(self.services, clock)
         ids = RequestIds(daemon.vm, fleet.membership.me.incarnation)
         self.pipeline = Pipeline(self._filters(daemon), self._dispatch(daemon), ids, clock)
--- a/sequoiabridge/assembly/schedule.py
+++ b/sequoiabridge/assembly/schedule.py
@@ -43,7 +43,7 @@
         path.services.subscribe(timers)
         path.sharing.subscribe(timers)
         path.probing.subscribe(timers)
-        path.returning.subscribe(timers)
+        path.drain_checker.subscribe(timers)
         self.fleet.on_event(lambda event: path.services.share_connections())
         path.admit.subscribe(timers)
         timers.every(IDLE_SWEEP, "idle connections", path.connector.sweep)
--- a/sequoiabridge/pipeline/returning.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -9,23 +9,23 @@
 from .accounting import Observer, hear_drain
 from .services import Services, ServiceState
 
-LOOK_EVERY = 2.0
+DRAINED_PROBE_INTERVAL = 2.0
 """Seconds between two questions to one upstream, by the whole fleet together."""
 
-ASK_TIMEOUT = 0.5
+PROBE_TIMEOUT = 0.5
 """Seconds that an answer may take."""
 
-LOOK_AT_FAILED_EVERY = 0.5
+FAILED_PROBE_INTERVAL = 0.5
 """Seconds between two looks at which upstreams failed calls."""
 
-UNPAID_EVERY = 60.0
+UNPAID_PROBE_INTERVAL = 60.0
 """Seconds between two questions to one upstream of a service whose budget is 0."""
 
-MOST_ASKED = 16
+MAX_PROBED_AT_ONCE = 16
 """Upstreams that one VM asks in one look."""
 
 
-class Returning:
+class DrainChecker:
     """Ends a drain when the upstream itself says that it is back.
 
     Only a healthy answer with a newer incarnation does so: an answer without one may be late, or
@@ -47,14 +47,14 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Ask from time to time."""
-        timers.every(LOOK_EVERY, "returning upstreams", self.look)
+        timers.every(DRAINED_PROBE_INTERVAL, "returning upstreams", self.probe_drained)
         needed = self.services.busy.__len__
         looks = OnDemand(
-            timers, LOOK_AT_FAILED_EVERY, "failed upstreams", self.look_at_failed, needed
+            timers, FAILED_PROBE_INTERVAL, "failed upstreams", self.probe_failed, needed
         )
         self.services.woken.append(looks.wake)
 
-    async def look(self) -> None:
+    async def probe_drained(self) -> None:
         """Ask this VM's share of the upstreams that left."""
         share = 1.0 / max(1, self.services.live_count())
         left = [
@@ -63,36 +63,36 @@
             for name, upstream in state.pool.upstreams.items()
             if upstream.draining is not None and self.services.random.random() < share
         ]
-        for state, name in left[:MOST_ASKED]:
-            if self._may_ask(state, name):
-                await curio.spawn(self.ask(state, name), daemon=True)
+        for state, name in left[:MAX_PROBED_AT_ONCE]:
+            if self._may_probe(state, name):
+                await curio.spawn(self.probe(state, name), daemon=True)
 
-    async def look_at_failed(self) -> None:
+    async def probe_failed(self) -> None:
         """Ask the upstreams that have failed a call since they were last asked."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
             failed = [u for u in state.pool.undrained_upstreams() if u.consecutive_failures]
-            for upstream in failed[:MOST_ASKED]:
+            for upstream in failed[:MAX_PROBED_AT_ONCE]:
                 # `last_outcome_at` is the time of the last outcome, which was a failure.
                 if upstream.last_outcome_at > upstream.probed_at and state.probing.take_token():
                     upstream.probed_at = now
-                    await curio.spawn(self.ask, state, upstream.name, daemon=True)
+                    await curio.spawn(self.probe, state, upstream.name, daemon=True)
 
-    def _may_ask(self, state: ServiceState, name: str) -> bool:
+    def _may_probe(self, state: ServiceState, name: str) -> bool:
         now = self.clock.now()
         upstream = state.pool.upstreams[name]
-        unpaid = not state.probing.per_call and now - upstream.probed_at >= UNPAID_EVERY
+        unpaid = not state.probing.per_call and now - upstream.probed_at >= UNPAID_PROBE_INTERVAL
         if unpaid or state.probing.take_token():
             upstream.probed_at = now
             return True
         return False
 
-    async def ask(self, state: ServiceState, name: str) -> None:
+    async def probe(self, state: ServiceState, name: str) -> None:
         """Ask one upstream; tell the fleet if it leaves or is back."""
         upstream = state.pool.upstreams.get(name)
         if upstream is None:
             return
-        probe = await self.prober.probe(upstream.address, ASK_TIMEOUT)
+        probe = await self.prober.probe(upstream.address, PROBE_TIMEOUT)
         state.probing.record_cost(probe.size, probe.latency)
         hear_drain(state, self.observer, name, probe.drain, self.clock.now())
         if not probe.healthy or probe.drain is not None or probe.incarnation is None:
--- a/sequoiabridge/tests/pipeline/test_returning.py
+++ b/sequoiabridge/tests/pipeline/test_drain_checks.py
@@ -3,7 +3,7 @@
 import curio
 import pytest
 
-from ...pipeline.returning import Returning
+from ...pipeline.drain_checks import DrainChecker
 from ...policy.base import Failure
 from ...upstreams.probes import Probe
 from .fakes import Act, Bench
@@ -30,13 +30,13 @@
     state.probing.tokens = 1.0
     pool = state.pool
     pool.drain("u1", 7, bench.clock.now())
-    returning = Returning(bench.services, prober, bench.observer, bench.clock)
+    drain_checker = DrainChecker(bench.services, prober, bench.observer, bench.clock)
 
-    async def look():
-        await returning.look()
+    async def probe_drained():
+        await drain_checker.probe_drained()
         await curio.sleep(0)
 
-    curio.run(look)
+    curio.run(probe_drained)
     assert prober.asked == ["127.0.0.1:1"]
     back = pool.why_unusable(pool.upstreams["u1"], bench.clock.now()) == ""
     assert bench.observer.back == ([("u1", prober.answer.incarnation)] if back else [])
@@ -68,13 +68,13 @@
     else:
         state.pool.record_send(state.pool.upstreams["u1"], now)
         state.pool.record_failure(state.pool.upstreams["u1"], now, Failure.RESET, 0.1)
-    returning = Returning(bench.services, prober, bench.observer, bench.clock)
+    drain_checker = DrainChecker(bench.services, prober, bench.observer, bench.clock)
 
-    async def look():
-        await (returning.look() if leaving else returning.look_at_failed())
+    async def probe_drained():
+        await (drain_checker.probe_drained() if leaving else drain_checker.probe_failed())
         await curio.sleep(0)
 
-    curio.run(look)
+    curio.run(probe_drained)
     return bench
 
 
