--- a/sequoiabridge/assembly/path.py
+++ b/sequoiabridge/assembly/path.py
@@ -11,6 +11,7 @@
 from ..pipeline.base import Filter
 from ..pipeline.buffering import Buffering
 from ..pipeline.claiming import Claiming
+from ..pipeline.crash_guard import CrashGuard
 from ..pipeline.dispatch import Dispatch
 from ..pipeline.drain_checks import DrainChecker
 from ..pipeline.identify import Identify
@@ -21,7 +22,6 @@
 from ..pipeline.services import Services
 from ..pipeline.sharing import Sharing
 from ..pipeline.spool import Spool
-from ..pipeline.stopping import CrashStop
 from ..pipeline.upload_sender import UploadSender
 from ..pipeline.uploads import UploadHandler
 from ..store.upload_delivery import Deliveries
@@ -60,7 +60,7 @@
             Identify(),
             Match(daemon.configuration.document, daemon.readiness.why_not_serving),
             Buffering(),
-            CrashStop(self.services, daemon.clock),
+            CrashGuard(self.services, daemon.clock),
             Spool(UploadHandler(daemon.uploads)),
             self.admit,
             Claiming(daemon.claims),
--- a/sequoiabridge/pipeline/stopping.py
+++ b/sequoiabridge/pipeline/crash_guard.py
@@ -20,7 +20,7 @@
 """Hexadecimal digits of a fingerprint: 96 bits, short enough to be typed."""
 
 
-class CrashStop(Filter):
+class CrashGuard(Filter):
     """Refuses calls whose fingerprint is listed as crashing upstreams."""
 
     __slots__ = ("services", "clock")
@@ -34,9 +34,9 @@
     async def enter(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
         now = self.clock.now()
-        if not is_stopped(ledger, exchange, now):
+        if not is_request_blocked(ledger, exchange, now):
             return
-        found = fingerprint(exchange)
+        found = request_fingerprint(exchange)
         if ledger.take_trial(found, now):
             log.info("Request %s, which is stopped, is let through once as a trial.", found)
             return
@@ -46,24 +46,26 @@
         raise Refusal(422, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message)
 
 
-def is_stopped(ledger: CrashLedger, exchange: Exchange, now: float) -> bool:
+def is_request_blocked(ledger: CrashLedger, exchange: Exchange, now: float) -> bool:
     """Return whether the request may reach no more upstreams because some crashed on it."""
     # Nothing stopped is the usual case, and then nothing is computed.
-    return bool(ledger.blocked_fingerprints) and ledger.is_blocked(fingerprint(exchange), now)
+    return bool(ledger.blocked_fingerprints) and ledger.is_blocked(
+        request_fingerprint(exchange), now
+    )
 
 
-def fingerprint(exchange: Exchange) -> str:
+def request_fingerprint(exchange: Exchange) -> str:
     """Return by what the same request is known again, whoever sends it to whichever VM.
 
     The idempotency key where there is one, else method, path and the body's digest (its length
     when it is streamed).
     """
     if exchange.fingerprint is None:
-        exchange.fingerprint = _fingerprint(exchange)
+        exchange.fingerprint = _compute_fingerprint(exchange)
     return exchange.fingerprint
 
 
-def _fingerprint(exchange: Exchange) -> str:
+def _compute_fingerprint(exchange: Exchange) -> str:
     request = exchange.request
     digest = sha256(exchange.service.name.encode())
     if exchange.key is not None:
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -21,10 +21,10 @@
 from .attempt import Attempt
 from .base import COME_BACK_SOON
 from .buffering import ReplayableBody
+from .crash_guard import is_request_blocked
 from .exchange import Answer, BytesBody, Exchange
 from .hedge import Race
 from .services import Services, ServiceState
-from .stopping import is_stopped
 
 FIRST_SERVER_ERROR = 500
 
@@ -180,7 +180,7 @@
             exchange.note(Repeated("retry", False, "its body was streamed and is gone"))
             return False
         now = self.clock.now()
-        if is_stopped(state.ledger, exchange, now):
+        if is_request_blocked(state.ledger, exchange, now):
             exchange.note(Repeated("retry", False, "upstreams crashed on this request"))
             return False
         left = exchange.deadline - now
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -14,9 +14,9 @@
 from ..policy.upstream_state import UpstreamState
 from ..timers import Clock, OnDemand, Timers
 from .accounting import Observer
+from .crash_guard import request_fingerprint
 from .exchange import Exchange
 from .services import Services, ServiceState
-from .stopping import fingerprint
 
 log = get_log("sharing")
 
@@ -80,7 +80,9 @@
         return
 
     def crashed(self, exchange: Exchange, upstream: str) -> None:
-        self._suspect(self.services.state_of(exchange).ledger, fingerprint(exchange), upstream)
+        self._suspect(
+            self.services.state_of(exchange).ledger, request_fingerprint(exchange), upstream
+        )
 
     def upload_crashed(self, service: str, upload: str, upstream: str) -> None:
         state = self.services.by_name.get(service)
@@ -95,7 +97,7 @@
 
     def survived(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
-        found, wall = fingerprint(exchange), self.clock.wall()
+        found, wall = request_fingerprint(exchange), self.clock.wall()
         # VMs that heard of the crashes, or will hear of them late, may see no answer themselves.
         if ledger.record_answer(found, wall):
             self.fleet.publish(CrashItem(found, "", wall, released=True), Urgency.CRASH)
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -12,7 +12,7 @@
 from ...configuration import ConfigurationInForce
 from ...exceptions import SequoiaError
 from ...outcome import Outcome as Told
-from ...pipeline import claiming, dispatch, stopping, upload_sender
+from ...pipeline import claiming, crash_guard, dispatch, upload_sender
 from ...pipeline.claiming import Claiming
 from ...pipeline.dispatch import Dispatch
 from ...pipeline.exchange import BytesBody, Exchange
@@ -275,7 +275,10 @@
 
 def no_crash_stop() -> list[Patch]:
     never = lambda ledger, exchange, now: False  # noqa: E731
-    return [(stopping, "is_stopped", never), (dispatch, "is_stopped", never)]
+    return [
+        (crash_guard, "is_request_blocked", never),
+        (dispatch, "is_request_blocked", never),
+    ]
 
 
 def cut_off_on_stop() -> list[Patch]:
--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -10,10 +10,10 @@
 from ...exceptions import UpstreamFailed
 from ...headers import DRAIN, NOT_RUN
 from ...pipeline.accounting import Observer
+from ...pipeline.crash_guard import request_fingerprint
 from ...pipeline.dispatch import Dispatch
 from ...pipeline.exchange import Answer, Body, Exchange, Request
 from ...pipeline.services import Services
-from ...pipeline.stopping import fingerprint
 from ...timers import SystemClock
 from ...upstreams.base import Connector, UpstreamConnection
 
@@ -156,7 +156,7 @@
 
     def crashed(self, exchange, upstream):
         self.ledger.record_crash(
-            fingerprint(exchange), upstream, "vm-1", self.clock.wall(), self.clock.now()
+            request_fingerprint(exchange), upstream, "vm-1", self.clock.wall(), self.clock.now()
         )
 
 
