--- a/sequoiabridge/assembly/path.py
+++ b/sequoiabridge/assembly/path.py
@@ -68,7 +68,11 @@
 
     def _dispatch(self, daemon: Daemon) -> Dispatch:
         return Dispatch(
-            self.services, self.connector, daemon.clock, self.sharing, self.probing.ask_first
+            self.services,
+            self.connector,
+            daemon.clock,
+            self.sharing,
+            self.probing.probe_before_choice,
         )
 
 
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -29,7 +29,7 @@
 FIRST_SERVER_ERROR = 500
 
 
-AskFirst = Callable[[ServiceState, Collection[str]], Awaitable[None]]
+ProbeBeforeChoice = Callable[[ServiceState, Collection[str]], Awaitable[None]]
 """Refreshes the evidence on the best candidates before a choice, if that is worth it."""
 
 
@@ -40,7 +40,7 @@
         ask_first: Called before each choice; None for never.
     """
 
-    __slots__ = ("services", "connector", "clock", "observer", "accounting", "ask_first")
+    __slots__ = ("services", "connector", "clock", "observer", "accounting", "probe_before_choice")
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         connector: Connector,
         clock: Clock,
         observer: Observer,
-        ask_first: AskFirst | None = None,
+        probe_before_choice: ProbeBeforeChoice | None = None,
     ):
         self.services = services
         self.connector = connector
         self.clock = clock
         self.observer = observer
         self.accounting = Accounting(connector, clock, observer)
-        self.ask_first = ask_first
+        self.probe_before_choice = probe_before_choice
 
     async def run(self, exchange: Exchange) -> Answer:
         """Return an upstream's answer, or raise the `Refusal` that ends the call.
@@ -86,8 +86,8 @@
     async def _choose(
         self, exchange: Exchange, state: ServiceState, tried: list[str]
     ) -> UpstreamState | None:
-        if self.ask_first is not None:
-            await self.ask_first(state, tried)
+        if self.probe_before_choice is not None:
+            await self.probe_before_choice(state, tried)
         now = self.clock.now()
         upstream = state.pool.choose(now, tried)
         if upstream is not None and upstream.name in tried:
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -12,7 +12,7 @@
 from .accounting import Observer, hear_drain
 from .services import Services, ServiceState
 
-LOOK_EVERY = 0.02
+BACKGROUND_PROBE_INTERVAL = 0.02
 """Seconds between two looks at whom to probe."""
 
 PROBE_TIMEOUT = 0.5
@@ -36,17 +36,19 @@
     def subscribe(self, timers: Timers) -> None:
         """Look from time to time whom to probe, while calls pay for it."""
         needed = self.services.busy.__len__
-        looks = OnDemand(timers, LOOK_EVERY, "probing", self.look, needed)
-        self.services.woken.append(looks.wake)
+        timer = OnDemand(
+            timers, BACKGROUND_PROBE_INTERVAL, "probing", self.send_background_probes, needed
+        )
+        self.services.woken.append(timer.wake)
 
-    async def look(self) -> None:
+    async def send_background_probes(self) -> None:
         """Send all probes that are due and paid."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
             for name in state.probing.background_targets(state.pool, now):
                 await curio.spawn(self.probe(state, name), daemon=True)
 
-    async def ask_first(self, state: ServiceState, tried: Collection[str]) -> None:
+    async def probe_before_choice(self, state: ServiceState, tried: Collection[str]) -> None:
         """Probe the best candidates before a choice, if that is paid, and wait a little."""
         names = state.probing.choice_targets(state.pool, self.clock.now(), tried)
         if not names:
@@ -68,9 +70,9 @@
         else:
             state.probing.record_cost(probe.size, probe.latency)
         self.metrics.record_measurement(state.service.name, SOURCE, probe.size, probe.latency)
-        self._take_in(state, name, probe)
+        self._record_probe(state, name, probe)
 
-    def _take_in(self, state: ServiceState, name: str, probe: Probe) -> None:
+    def _record_probe(self, state: ServiceState, name: str, probe: Probe) -> None:
         now = self.clock.now()
         hear_drain(state, self.observer, name, probe.drain, now)
         if probe.load is not None:
--- a/sequoiabridge/tests/matrix/world.py
+++ b/sequoiabridge/tests/matrix/world.py
@@ -360,7 +360,7 @@
         (daemon_module, "PlatformObjects", lambda address, clock: world.objects),
         (daemon_module, "PlatformVmList", lambda address, clock: world.vm_list),
         (daemon_module, "Random", lambda: Random(random.random())),
-        (probing, "LOOK_EVERY", 0.1),
+        (probing, "BACKGROUND_PROBE_INTERVAL", 0.1),
         (upload_delivery, "Random", lambda: Random(random.random())),
         (secrets, "token_hex", token),
         (connections, "open_link", world.dialer.open),
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -7,7 +7,7 @@
 from ...fleet.base import LoadItem, Urgency
 from ...metrics import Metrics
 from ...pipeline.admit import Admit
-from ...pipeline.probing import LOOK_EVERY, Probing
+from ...pipeline.probing import BACKGROUND_PROBE_INTERVAL, Probing
 from ...pipeline.services import QUIET
 from ...pipeline.sharing import SLICES, Sharing
 from ...policy.admission import Decision, Verdict
@@ -81,12 +81,15 @@
     Sharing("vm", bench.services, FakeFleet(), Metrics(), clock).subscribe(timers)
     assert not awake(timers)
     bench.services.called(bench.services.by_name["s"], clock.now())
-    assert timers.next_due() <= LOOK_EVERY and awake(timers) == {"probing", "sharing load"}
+    assert timers.next_due() <= BACKGROUND_PROBE_INTERVAL and awake(timers) == {
+        "probing",
+        "sharing load",
+    }
     clock.advance(QUIET + 1)
     for _ in range(20):
         for coroutine in timers.run_due():
             curio.run(coroutine)
-        clock.advance(LOOK_EVERY)
+        clock.advance(BACKGROUND_PROBE_INTERVAL)
     assert not awake(timers)
     bench.services.called(bench.services.by_name["s"], clock.now())
     assert awake(timers) == {"probing", "sharing load"}
