--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -139,7 +139,7 @@
         now = clock.now()
         for number in range(busy):
             state = services.by_name[f"service-{number % 170}"]
-            services.called(state, now)
+            services.record_call(state, now)
             one_call(state.pool, now - LATENCY)
         times[busy] = mean_us(lambda n: sharing.tell_load(), 5 * LOOKS) * LOOKS / 1000
         look = mean_us(lambda n, c=now: due(services, c), 20)
@@ -151,7 +151,7 @@
 def due(services: Services, now: float) -> None:
     """Do what probing does at each look."""
     for state in services.busy_states(now):
-        state.probing.background_targets(state.pool, now)
+        state.probe_budget.background_targets(state.pool, now)
 
 
 def outside(title: str, module: str, *arguments: str) -> str:
--- a/sequoiabridge/pipeline/accounting.py
+++ b/sequoiabridge/pipeline/accounting.py
@@ -133,8 +133,8 @@
         now = self.clock.now()
         status = attempt.answer.status
         state.pool.record_answer(attempt.upstream, now, status, elapsed, attempt.signals.load)
-        state.retries.record_success(now)
-        state.hedging.answered(elapsed)
+        state.retry_budget.record_success(now)
+        state.hedging.record_latency(elapsed)
         if state.ledger.by_fingerprint:
             self.observer.survived(attempt.exchange)
 
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -63,7 +63,7 @@
         A server error of an upstream is kept: it is the answer if no retry does better.
         """
         state = self.services.state_of(exchange)
-        self.services.called(state, self.clock.now())
+        self.services.record_call(state, self.clock.now())
         tried: list[str] = []
         server_error: Answer | None = None
         failure: UpstreamFailed | None = None
@@ -166,7 +166,7 @@
         return attempt.started + state.hedging.delay
 
     def _pay(self, state: ServiceState) -> bool:
-        return state.retries.take(self.clock.now())
+        return state.retry_budget.take(self.clock.now())
 
     def _may_retry(
         self,
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -52,7 +52,7 @@
         looks = OnDemand(
             timers, FAILED_PROBE_INTERVAL, "failed upstreams", self.probe_failed, needed
         )
-        self.services.woken.append(looks.wake)
+        self.services.on_busy.append(looks.wake)
 
     async def probe_drained(self) -> None:
         """Ask this VM's share of the upstreams that left."""
@@ -74,15 +74,20 @@
             failed = [u for u in state.pool.undrained_upstreams() if u.consecutive_failures]
             for upstream in failed[:MAX_PROBED_AT_ONCE]:
                 # `last_outcome_at` is the time of the last outcome, which was a failure.
-                if upstream.last_outcome_at > upstream.probed_at and state.probing.take_token():
+                if (
+                    upstream.last_outcome_at > upstream.probed_at
+                    and state.probe_budget.take_token()
+                ):
                     upstream.probed_at = now
                     await curio.spawn(self.probe, state, upstream.name, daemon=True)
 
     def _may_probe(self, state: ServiceState, name: str) -> bool:
         now = self.clock.now()
         upstream = state.pool.upstreams[name]
-        unpaid = not state.probing.per_call and now - upstream.probed_at >= UNPAID_PROBE_INTERVAL
-        if unpaid or state.probing.take_token():
+        unpaid = (
+            not state.probe_budget.per_call and now - upstream.probed_at >= UNPAID_PROBE_INTERVAL
+        )
+        if unpaid or state.probe_budget.take_token():
             upstream.probed_at = now
             return True
         return False
@@ -93,7 +98,7 @@
         if upstream is None:
             return
         probe = await self.prober.probe(upstream.address, PROBE_TIMEOUT)
-        state.probing.record_cost(probe.size, probe.latency)
+        state.probe_budget.record_cost(probe.size, probe.latency)
         hear_drain(state, self.observer, name, probe.drain, self.clock.now())
         if not probe.healthy or probe.drain is not None or probe.incarnation is None:
             return
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -39,23 +39,23 @@
         timer = OnDemand(
             timers, BACKGROUND_PROBE_INTERVAL, "probing", self.send_background_probes, needed
         )
-        self.services.woken.append(timer.wake)
+        self.services.on_busy.append(timer.wake)
 
     async def send_background_probes(self) -> None:
         """Send all probes that are due and paid."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
-            for name in state.probing.background_targets(state.pool, now):
+            for name in state.probe_budget.background_targets(state.pool, now):
                 await curio.spawn(self.probe(state, name), daemon=True)
 
     async def probe_before_choice(self, state: ServiceState, tried: Collection[str]) -> None:
         """Probe the best candidates before a choice, if that is paid, and wait a little."""
-        names = state.probing.choice_targets(state.pool, self.clock.now(), tried)
+        names = state.probe_budget.choice_targets(state.pool, self.clock.now(), tried)
         if not names:
             return
         tasks = [await curio.spawn(self.probe(state, name), daemon=True) for name in names]
         # What comes too late for this choice still serves the next ones.
-        async with curio.ignore_after(state.probing.wait_timeout()):
+        async with curio.ignore_after(state.probe_budget.wait_timeout()):
             for task in tasks:
                 await task.wait()
 
@@ -66,9 +66,9 @@
             return
         probe = await self.prober.probe(upstream.address, PROBE_TIMEOUT)
         if probe.healthy:
-            state.probing.record_answer(probe.latency, probe.size, probe.latency)
+            state.probe_budget.record_answer(probe.latency, probe.size, probe.latency)
         else:
-            state.probing.record_cost(probe.size, probe.latency)
+            state.probe_budget.record_cost(probe.size, probe.latency)
         self.metrics.record_measurement(state.service.name, SOURCE, probe.size, probe.latency)
         self._record_probe(state, name, probe)
 
--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -25,20 +25,20 @@
 from ..timers import Clock, Timers
 from .exchange import Exchange
 
-QUIET = 15.0
+BUSY_SECONDS = 15.0
 """Seconds after the last call from which a service counts as quiet; evidence has faded then."""
 
 
-FIRST_LIMIT = 64
+INITIAL_CONCURRENCY = 64
 """Calls of a service that may run at the start, before the adaptive limit has learned anything."""
 
-LEAST_LIMIT = 4
+MIN_CONCURRENCY = 4
 """Calls of a service that may always run."""
 
-SHARE_EVERY = 10.0
+SHARE_INTERVAL = 10.0
 """Seconds between two looks whether connections are to be shared out anew."""
 
-REFRESHED_AFTER = 64
+HEDGE_DELAY_UPDATE_ANSWERS = 64
 """Answers after which the hedging delay is worked out anew."""
 
 
@@ -53,19 +53,19 @@
         self.delay = hedge_delay(self.latencies, tail_weight)
         self.answers = 0
 
-    def answered(self, elapsed: float) -> None:
+    def record_latency(self, elapsed: float) -> None:
         """Take in the latency of one good answer, in seconds."""
         self.latencies.add(elapsed)
         self.answers += 1
-        if self.answers % REFRESHED_AFTER == 0:
+        if self.answers % HEDGE_DELAY_UPDATE_ANSWERS == 0:
             self.delay = hedge_delay(self.latencies, self.tail_weight)
 
 
 class ServiceState:
     """One service as this daemon sees it: policy objects that outlive configuration changes."""
 
-    __slots__ = ("service", "upstreams", "pool", "queue", "retries", "hedging", "probing")
-    __slots__ += ("ledger", "called_at")
+    __slots__ = ("service", "upstreams", "pool", "queue", "retry_budget", "hedging", "probe_budget")
+    __slots__ += ("ledger", "last_call_at")
 
     def __init__(self, service: Service, random: Random):
         self.service = service
@@ -73,13 +73,13 @@
         self.pool = PoolState(
             service.name, pool_options(service), chooser_named(service.chooser), random
         )
-        limit = ConcurrencyLimit(FIRST_LIMIT, LEAST_LIMIT)
+        limit = ConcurrencyLimit(INITIAL_CONCURRENCY, MIN_CONCURRENCY)
         self.queue = AdmissionQueue(limit, service.queue_limit, service.caller_share)
-        self.retries = RetryBudget(service.retry_ratio)
+        self.retry_budget = RetryBudget(service.retry_ratio)
         self.hedging = Hedging(service.tail_weight)
-        self.probing = ProbeBudget(service.probes_per_1000, service.tail_weight)
+        self.probe_budget = ProbeBudget(service.probes_per_1000, service.tail_weight)
         self.ledger = CrashLedger()
-        self.called_at = float("-inf")
+        self.last_call_at = float("-inf")
 
     def configure(self, service: Service) -> None:
         """Take over a service's new options; evidence, queue and budgets stay."""
@@ -87,17 +87,17 @@
         self.pool.configure(pool_options(service), chooser_named(service.chooser))
         self.queue.queue_limit = service.queue_limit
         self.queue.caller_share = service.caller_share
-        self.retries.ratio = service.retry_ratio
+        self.retry_budget.ratio = service.retry_ratio
         self.hedging.tail_weight = service.tail_weight
-        self.probing.configure(service.probes_per_1000, service.tail_weight)
+        self.probe_budget.configure(service.probes_per_1000, service.tail_weight)
 
     def dump(self, now: float) -> dict:
         """Describe the service for the state dump."""
         return {
             "upstreams": self.pool.dump(now),
             "queue": self.queue.dump(now),
-            "retries": self.retries.dump(now),
-            "probing": self.probing.dump(now),
+            "retries": self.retry_budget.dump(now),
+            "probing": self.probe_budget.dump(now),
             "hedge_after_ms": round(self.hedging.delay * 1000, 1),
             "crash_suspects": len(self.ledger.by_fingerprint),
         }
@@ -124,20 +124,20 @@
         self.random = random
         self.set_share = set_share
         self.live_count = live_count
-        self.live_lately = LiveVmCount()
-        self.shared_by = 0
+        self.live_vm_count = LiveVmCount()
+        self.connection_sharers = 0
         self.by_name: dict[str, ServiceState] = {}
         self.busy: dict[str, ServiceState] = {}
-        self.woken: list[Callable[[], None]] = []
-        self.service_of: dict[str, str] = {}
+        self.on_busy: list[Callable[[], None]] = []
+        self.service_by_upstream: dict[str, str] = {}
         self.document = Document.empty()
 
     def update(self, document: Document) -> None:
         """Take over a configuration; a service that it does not change costs nothing."""
         for name in self.by_name.keys() - document.services.keys():
-            self._remove(name)
+            self._remove_service(name)
         for name, service in document.services.items():
-            self._update_one(document, name, service)
+            self._update_service(document, name, service)
         self.document = document
 
     def state_of(self, exchange: Exchange) -> ServiceState:
@@ -155,36 +155,36 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Look from time to time whether fewer VMs share the connections."""
-        timers.every(SHARE_EVERY, "connection shares", self.share_connections)
+        timers.every(SHARE_INTERVAL, "connection shares", self.share_connections)
 
     def share_connections(self) -> None:
         """Divide the connections of all upstreams anew if VMs came, or went some time ago."""
-        live = self._sharing_vms()
-        if live == self.shared_by:
+        live = self._count_connection_sharers()
+        if live == self.connection_sharers:
             return
-        self.shared_by = live
+        self.connection_sharers = live
         for state in self.by_name.values():
             for upstream in state.upstreams:
-                self._share(self.document, upstream, live)
+                self._set_share(self.document, upstream, live)
 
     def pool_of(self, upstream: str) -> PoolState | None:
         """Return the pool state that has the named upstream, or None."""
-        state = self.by_name.get(self.service_of.get(upstream, ""))
+        state = self.by_name.get(self.service_by_upstream.get(upstream, ""))
         return None if state is None else state.pool
 
-    def called(self, state: ServiceState, now: float) -> None:
+    def record_call(self, state: ServiceState, now: float) -> None:
         """A call of a service begins: it pays for probes, and the service is busy for a while."""
-        state.probing.record_calls(1, now)
-        state.called_at = now
+        state.probe_budget.record_calls(1, now)
+        state.last_call_at = now
         if state.service.name not in self.busy:
             self.busy[state.service.name] = state
-            for wake in self.woken:
+            for wake in self.on_busy:
                 wake()
 
     def busy_states(self, now: float) -> list[ServiceState]:
         """Return the services that were called lately; what is done time and again is for these."""
         for name, state in list(self.busy.items()):
-            if now - state.called_at > QUIET:
+            if now - state.last_call_at > BUSY_SECONDS:
                 del self.busy[name]
         return list(self.busy.values())
 
@@ -196,14 +196,14 @@
         now = self.clock.now()
         return {name: state.dump(now) for name, state in self.by_name.items()}
 
-    def _remove(self, name: str) -> None:
+    def _remove_service(self, name: str) -> None:
         """Forget a service; its calls that wait find no upstream any more and are refused."""
         self.busy.pop(name, None)
         state = self.by_name.pop(name)
-        self._forget(state)
+        self._remove_upstreams(state)
         state.pool.set_upstreams((), self.clock.now())
 
-    def _update_one(self, document: Document, name: str, service: Service) -> None:
+    def _update_service(self, document: Document, name: str, service: Service) -> None:
         state = self.by_name.get(name)
         if state is None:
             state = self.by_name[name] = ServiceState(service, self.random)
@@ -212,25 +212,25 @@
         upstreams = document.upstreams_of(name)
         if upstreams is state.upstreams:
             return
-        self._forget(state)
+        self._remove_upstreams(state)
         state.upstreams = upstreams
         specs = [spec_of(document, upstream) for upstream in upstreams]
         state.pool.set_upstreams(specs, self.clock.now())
-        live = self._sharing_vms()
+        live = self._count_connection_sharers()
         for upstream in upstreams:
-            self.service_of[upstream.name] = name
-            self._share(document, upstream, live)
+            self.service_by_upstream[upstream.name] = name
+            self._set_share(document, upstream, live)
 
-    def _sharing_vms(self) -> int:
-        return self.live_lately.update(self.live_count(), self.clock.now())
+    def _count_connection_sharers(self) -> int:
+        return self.live_vm_count.update(self.live_count(), self.clock.now())
 
-    def _share(self, document: Document, upstream: Upstream, live: int) -> None:
+    def _set_share(self, document: Document, upstream: Upstream, live: int) -> None:
         share = connection_share(document.connections_of(upstream), live)
         self.set_share(upstream.address, share)
 
-    def _forget(self, state: ServiceState) -> None:
+    def _remove_upstreams(self, state: ServiceState) -> None:
         for upstream in state.upstreams:
-            self.service_of.pop(upstream.name, None)
+            self.service_by_upstream.pop(upstream.name, None)
 
 
 def pool_options(service: Service) -> PoolOptions:
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -62,7 +62,7 @@
     def subscribe(self, timers: Timers) -> None:
         """Tell load while there are calls, and retries from time to time."""
         looks = OnDemand(timers, TELL_EVERY, "sharing load", self.tell_load, self._may_tell)
-        self.services.woken.append(looks.wake)
+        self.services.on_busy.append(looks.wake)
         timers.every(RETRIES_EVERY, "sharing retries", self.tell_retries)
 
     # What happens to calls here.
@@ -124,7 +124,7 @@
             for state in self.services.states():
                 state.ledger.release(item.fingerprint, item.at)
             return
-        state = self.services.by_name.get(self.services.service_of.get(item.upstream, ""))
+        state = self.services.by_name.get(self.services.service_by_upstream.get(item.upstream, ""))
         if state is not None:
             now = self.clock.now()
             state.ledger.record_crash(item.fingerprint, item.upstream, origin, item.at, now)
@@ -145,7 +145,7 @@
         state = self.services.by_name.get(item.service)
         if state is not None:
             now = self.clock.now()
-            state.retries.record_peer_counts(
+            state.retry_budget.record_peer_counts(
                 item.vm, item.period, item.retries, item.successes, now
             )
 
@@ -169,7 +169,7 @@
         """Publish each service's retries and successes since the last time."""
         now = self.clock.now()
         for name, state in self.services.by_name.items():
-            report = state.retries.report(now)
+            report = state.retry_budget.report(now)
             if report is None:
                 continue
             item = RetryItem(self.vm, name, report.period, report.retries, report.successes)
--- a/sequoiabridge/tests/pipeline/test_drain_checks.py
+++ b/sequoiabridge/tests/pipeline/test_drain_checks.py
@@ -27,7 +27,7 @@
     """Return whether u1, which drained as incarnation 7, is in use after one look."""
     bench = Bench(Act.ANSWER, Act.ANSWER)
     state = bench.services.by_name["s"]
-    state.probing.tokens = 1.0
+    state.probe_budget.tokens = 1.0
     pool = state.pool
     pool.drain("u1", 7, bench.clock.now())
     drain_checker = DrainChecker(bench.services, prober, bench.observer, bench.clock)
@@ -61,8 +61,8 @@
     bench = Bench(Act.ANSWER, Act.ANSWER)
     state = bench.services.by_name["s"]
     now = bench.clock.now()
-    bench.services.called(state, now)
-    state.probing.per_call, state.probing.tokens = budget, tokens
+    bench.services.record_call(state, now)
+    state.probe_budget.per_call, state.probe_budget.tokens = budget, tokens
     if leaving:
         state.pool.drain("u1", 7, now)
     else:
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -8,7 +8,7 @@
 from ...metrics import Metrics
 from ...pipeline.admit import Admit
 from ...pipeline.probing import BACKGROUND_PROBE_INTERVAL, Probing
-from ...pipeline.services import QUIET
+from ...pipeline.services import BUSY_SECONDS
 from ...pipeline.sharing import SLICES, Sharing
 from ...policy.admission import Decision, Verdict
 from ...timers import ManualClock, Timers
@@ -80,18 +80,18 @@
     Probing(bench.services, None, Metrics(), bench.observer, clock).subscribe(timers)
     Sharing("vm", bench.services, FakeFleet(), Metrics(), clock).subscribe(timers)
     assert not awake(timers)
-    bench.services.called(bench.services.by_name["s"], clock.now())
+    bench.services.record_call(bench.services.by_name["s"], clock.now())
     assert timers.next_due() <= BACKGROUND_PROBE_INTERVAL and awake(timers) == {
         "probing",
         "sharing load",
     }
-    clock.advance(QUIET + 1)
+    clock.advance(BUSY_SECONDS + 1)
     for _ in range(20):
         for coroutine in timers.run_due():
             curio.run(coroutine)
         clock.advance(BACKGROUND_PROBE_INTERVAL)
     assert not awake(timers)
-    bench.services.called(bench.services.by_name["s"], clock.now())
+    bench.services.record_call(bench.services.by_name["s"], clock.now())
     assert awake(timers) == {"probing", "sharing load"}
 
 
@@ -118,7 +118,7 @@
     sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
     state = bench.services.by_name["s"]
     straggler = state.pool.upstreams["u1"]
-    bench.services.called(state, clock.now())
+    bench.services.record_call(state, clock.now())
     straggler.record_start(clock.now())
     clock.advance(2.0)
     look_at_all(sharing)
@@ -143,7 +143,7 @@
     clock, _ = on_manual_clock(bench)
     sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
     state = bench.services.by_name["s"]
-    bench.services.called(state, clock.now())
+    bench.services.record_call(state, clock.now())
     for name, upstream in state.pool.upstreams.items():
         for _ in range(10):
             state.pool.record_send(upstream, clock.now())
@@ -158,7 +158,7 @@
     clock, _ = on_manual_clock(bench)
     sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
     state = bench.services.by_name["s"]
-    bench.services.called(state, clock.now())
+    bench.services.record_call(state, clock.now())
     for other in ("vm-2", "vm-3", "vm-4"):
         sharing.heard_load(LoadItem("u1", 0, 6000, True, 0), other)
     clock.advance(0.1)  # Words of other VMs take effect together, with the next choice.
