--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -20,7 +20,7 @@
 from ..fleet.base import Urgency
 from ..metrics import Metrics
 from ..pipeline.services import Services
-from ..pipeline.sharing import TELL_EVERY, Sharing
+from ..pipeline.sharing import LOAD_INTERVAL, Sharing
 from ..policy.base import LoadReport
 from ..timers import ManualClock
 from .configuration import content, upstream_entry
@@ -31,7 +31,7 @@
 FLEETS = (18, 50, 100, 200, 500)
 CALLS = 20_000
 CHANGES = 40
-LOOKS = round(1 / TELL_EVERY)
+LOOKS = round(1 / LOAD_INTERVAL)
 """Looks a second at what is worth telling."""
 LATENCY = 0.006
 """Seconds that a call takes in the policy's slopes."""
@@ -95,7 +95,7 @@
         services, policy = traced(lambda d=document, c=clock: services_of(c, d))
         sharing = Sharing("vm", services, Silent(), Metrics(), clock)
         change = mean_us(lambda n, s=services, z=size: drain(s, n, z), CHANGES) / 1000
-        idle = mean_us(lambda n, s=sharing: s.tell_load(), 200)
+        idle = mean_us(lambda n, s=sharing: s.publish_load(), 200)
         totals[size] = held + policy
         cells = f"{held / 1024:12.0f} {policy / 1024:10.0f} {change:14.2f} {idle:13.1f}"
         print(f"{size[0]:8d} {size[1]:9d} {cells}", flush=True)
@@ -141,7 +141,7 @@
             state = services.by_name[f"service-{number % 170}"]
             services.record_call(state, now)
             one_call(state.pool, now - LATENCY)
-        times[busy] = mean_us(lambda n: sharing.tell_load(), 5 * LOOKS) * LOOKS / 1000
+        times[busy] = mean_us(lambda n: sharing.publish_load(), 5 * LOOKS) * LOOKS / 1000
         look = mean_us(lambda n, c=now: due(services, c), 20)
         print(f"{busy:23d} {times[busy]:18.2f} {look:32.0f}", flush=True)
         clock.advance(30.0)
--- a/sequoiabridge/pipeline/crash_guard.py
+++ b/sequoiabridge/pipeline/crash_guard.py
@@ -36,12 +36,13 @@
         now = self.clock.now()
         if not is_request_blocked(ledger, exchange, now):
             return
-        found = request_fingerprint(exchange)
-        if ledger.take_trial(found, now):
-            log.info("Request %s, which is stopped, is let through once as a trial.", found)
+        fingerprint = request_fingerprint(exchange)
+        if ledger.take_trial(fingerprint, now):
+            log.info("Request %s, which is stopped, is let through once as a trial.", fingerprint)
             return
         message = (
-            f"Upstreams crashed on this request, so it is stopped; an operator can release {found}."
+            "Upstreams crashed on this request, so it is stopped; "
+            f"an operator can release {fingerprint}."
         )
         raise Refusal(422, Outcome.NOT_RUN, Reason.CRASHES_UPSTREAMS, message)
 
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -49,10 +49,10 @@
         """Ask from time to time."""
         timers.every(DRAINED_PROBE_INTERVAL, "returning upstreams", self.probe_drained)
         needed = self.services.busy.__len__
-        looks = OnDemand(
+        timer = OnDemand(
             timers, FAILED_PROBE_INTERVAL, "failed upstreams", self.probe_failed, needed
         )
-        self.services.on_busy.append(looks.wake)
+        self.services.on_busy.append(timer.wake)
 
     async def probe_drained(self) -> None:
         """Ask this VM's share of the upstreams that left."""
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -20,13 +20,13 @@
 
 log = get_log("sharing")
 
-TELL_EVERY = 0.1
+LOAD_INTERVAL = 0.1
 """Seconds between two looks at what is worth telling."""
 
-SLICES = 5
+LOAD_SLICES = 5
 """Looks that it takes to go through all services, so that none holds up calls for long."""
 
-RETRIES_EVERY = 1.0
+RETRY_COUNT_INTERVAL = 1.0
 """Seconds of one counting period of retries and successes."""
 
 MICROSECONDS = 1_000_000
@@ -50,25 +50,27 @@
         self.fleet = fleet
         self.metrics = metrics
         self.clock = clock
-        self.told: dict[str, Told] = {}
-        self.looks = 0
-        self.drains = 0
-        self.crashes = 0
-        fleet.subscribe(DrainItem, self.heard_drain)
-        fleet.subscribe(CrashItem, self.heard_crash)
-        fleet.subscribe(LoadItem, self.heard_load)
-        fleet.subscribe(RetryItem, self.heard_retries)
+        self.published: dict[str, Told] = {}
+        self.rounds = 0
+        self.published_drains = 0
+        self.published_crashes = 0
+        fleet.subscribe(DrainItem, self.handle_drain)
+        fleet.subscribe(CrashItem, self.handle_crash)
+        fleet.subscribe(LoadItem, self.handle_load)
+        fleet.subscribe(RetryItem, self.handle_retries)
 
     def subscribe(self, timers: Timers) -> None:
         """Tell load while there are calls, and retries from time to time."""
-        looks = OnDemand(timers, TELL_EVERY, "sharing load", self.tell_load, self._may_tell)
-        self.services.on_busy.append(looks.wake)
-        timers.every(RETRIES_EVERY, "sharing retries", self.tell_retries)
+        timer = OnDemand(
+            timers, LOAD_INTERVAL, "sharing load", self.publish_load, self._has_load_to_publish
+        )
+        self.services.on_busy.append(timer.wake)
+        timers.every(RETRY_COUNT_INTERVAL, "sharing retries", self.publish_retries)
 
     # What happens to calls here.
 
     def draining(self, upstream: str, incarnation: int) -> None:
-        self.drains += 1
+        self.published_drains += 1
         log.info("%s is leaving, by its own word.", upstream)
         self.fleet.publish(DrainItem(upstream, incarnation), Urgency.DRAIN)
 
@@ -80,34 +82,34 @@
         return
 
     def crashed(self, exchange: Exchange, upstream: str) -> None:
-        self._suspect(
+        self._record_crash(
             self.services.state_of(exchange).ledger, request_fingerprint(exchange), upstream
         )
 
     def upload_crashed(self, service: str, upload: str, upstream: str) -> None:
         state = self.services.by_name.get(service)
         if state is not None:
-            self._suspect(state.ledger, upload, upstream)
+            self._record_crash(state.ledger, upload, upstream)
 
-    def _suspect(self, ledger: CrashLedger, found: str, upstream: str) -> None:
+    def _record_crash(self, ledger: CrashLedger, fingerprint: str, upstream: str) -> None:
         now, wall = self.clock.now(), self.clock.wall()
-        self.crashes += 1
-        ledger.record_crash(found, upstream, self.vm, wall, now)
-        self.fleet.publish(CrashItem(found, upstream, wall), Urgency.CRASH)
+        self.published_crashes += 1
+        ledger.record_crash(fingerprint, upstream, self.vm, wall, now)
+        self.fleet.publish(CrashItem(fingerprint, upstream, wall), Urgency.CRASH)
 
     def survived(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
-        found, wall = request_fingerprint(exchange), self.clock.wall()
+        fingerprint, wall = request_fingerprint(exchange), self.clock.wall()
         # VMs that heard of the crashes, or will hear of them late, may see no answer themselves.
-        if ledger.record_answer(found, wall):
-            self.fleet.publish(CrashItem(found, "", wall, released=True), Urgency.CRASH)
+        if ledger.record_answer(fingerprint, wall):
+            self.fleet.publish(CrashItem(fingerprint, "", wall, released=True), Urgency.CRASH)
 
     def retried(self, service: str, hedge: bool) -> None:
         self.metrics.retries.add(service, "hedge" if hedge else "retry")
 
     # What other VMs say.
 
-    def heard_drain(self, item: DrainItem, origin: str) -> None:
+    def handle_drain(self, item: DrainItem, origin: str) -> None:
         """Take in that an upstream leaves, or is back with a newer incarnation."""
         pool = self.services.pool_of(item.upstream)
         if pool is None:
@@ -118,7 +120,7 @@
         else:
             pool.resume(item.upstream, item.incarnation, now)
 
-    def heard_crash(self, item: CrashItem, origin: str) -> None:
+    def handle_crash(self, item: CrashItem, origin: str) -> None:
         """Take in that a request was with an upstream that crashed, or that it is released."""
         if item.released:
             for state in self.services.states():
@@ -129,7 +131,7 @@
             now = self.clock.now()
             state.ledger.record_crash(item.fingerprint, item.upstream, origin, item.at, now)
 
-    def heard_load(self, item: LoadItem, origin: str) -> None:
+    def handle_load(self, item: LoadItem, origin: str) -> None:
         """Take in another VM's evidence on an upstream."""
         pool = self.services.pool_of(item.upstream)
         if pool is None:
@@ -140,7 +142,7 @@
             item.upstream, item.in_flight, latency, item.suspect, age, origin, now
         )
 
-    def heard_retries(self, item: RetryItem, origin: str) -> None:
+    def handle_retries(self, item: RetryItem, origin: str) -> None:
         """Count another VM's retries against the fleet's budget."""
         state = self.services.by_name.get(item.service)
         if state is not None:
@@ -151,21 +153,21 @@
 
     # What is told from time to time.
 
-    def tell_load(self) -> None:
+    def publish_load(self) -> None:
         """Publish what the byte bucket leaves room for."""
         now = self.clock.now()
-        self._forget_old(now)
+        self._drop_expired(now)
         loads = []
-        self.looks += 1
-        for state in self.services.busy_states(now)[self.looks % SLICES :: SLICES]:
-            noticed = {upstream.name: upstream for upstream in state.pool.possible_suspects()}
-            noticed |= self._told_of(state)
-            loads += [local_load(upstream, now) for upstream in noticed.values()]
+        self.rounds += 1
+        for state in self.services.busy_states(now)[self.rounds % LOAD_SLICES :: LOAD_SLICES]:
+            shared = {upstream.name: upstream for upstream in state.pool.possible_suspects()}
+            shared |= self._published_upstreams(state)
+            loads += [local_load(upstream, now) for upstream in shared.values()]
         room = self.fleet.bucket.room(Urgency.LOAD)
-        for item in worth_sending(loads, self.told, room, now):
+        for item in worth_sending(loads, self.published, room, now):
             self.fleet.publish(item, Urgency.LOAD)
 
-    def tell_retries(self) -> None:
+    def publish_retries(self) -> None:
         """Publish each service's retries and successes since the last time."""
         now = self.clock.now()
         for name, state in self.services.by_name.items():
@@ -175,22 +177,28 @@
             item = RetryItem(self.vm, name, report.period, report.retries, report.successes)
             self.fleet.publish(item, Urgency.RETRY)
 
-    def _may_tell(self) -> bool:
-        return bool(self.services.busy or self.told)
+    def _has_load_to_publish(self) -> bool:
+        return bool(self.services.busy or self.published)
 
-    def _told_of(self, state: ServiceState) -> dict[str, UpstreamState]:
+    def _published_upstreams(self, state: ServiceState) -> dict[str, UpstreamState]:
         """Return the upstreams of a service whose last word may have to be taken back."""
         upstreams = state.pool.upstreams
-        if len(self.told) > len(upstreams):
-            return {name: upstream for name, upstream in upstreams.items() if name in self.told}
-        return {name: upstreams[name] for name in self.told if name in upstreams}
+        if len(self.published) > len(upstreams):
+            return {
+                name: upstream for name, upstream in upstreams.items() if name in self.published
+            }
+        return {name: upstreams[name] for name in self.published if name in upstreams}
 
-    def _forget_old(self, now: float) -> None:
-        for name in [n for n, told in self.told.items() if now - told.at >= EXPIRED]:
-            del self.told[name]
+    def _drop_expired(self, now: float) -> None:
+        for name in [n for n, published in self.published.items() if now - published.at >= EXPIRED]:
+            del self.published[name]
 
     def dump(self) -> dict:
-        return {"drains_told": self.drains, "crashes_told": self.crashes, "told": len(self.told)}
+        return {
+            "drains_told": self.published_drains,
+            "crashes_told": self.published_crashes,
+            "told": len(self.published),
+        }
 
 
 def local_load(upstream: UpstreamState, now: float) -> LocalLoad:
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -9,7 +9,7 @@
 from ...pipeline.admit import Admit
 from ...pipeline.probing import BACKGROUND_PROBE_INTERVAL, Probing
 from ...pipeline.services import BUSY_SECONDS
-from ...pipeline.sharing import SLICES, Sharing
+from ...pipeline.sharing import LOAD_SLICES, Sharing
 from ...policy.admission import Decision, Verdict
 from ...timers import ManualClock, Timers
 from .fakes import Act, Bench
@@ -65,8 +65,8 @@
 
 def look_at_all(sharing):
     """Go through all services once."""
-    for _ in range(SLICES):
-        sharing.tell_load()
+    for _ in range(LOAD_SLICES):
+        sharing.publish_load()
 
 
 def awake(timers):
@@ -160,7 +160,7 @@
     state = bench.services.by_name["s"]
     bench.services.record_call(state, clock.now())
     for other in ("vm-2", "vm-3", "vm-4"):
-        sharing.heard_load(LoadItem("u1", 0, 6000, True, 0), other)
+        sharing.handle_load(LoadItem("u1", 0, 6000, True, 0), other)
     clock.advance(0.1)  # Words of other VMs take effect together, with the next choice.
     state.pool.choose(clock.now())
     assert state.pool.upstreams["u1"].suspected
--- a/sequoiabridge/tests/pipeline/test_sharing.py
+++ b/sequoiabridge/tests/pipeline/test_sharing.py
@@ -32,8 +32,8 @@
     # Between VMs, words may come in any order.
     for item in reversed(wire.late):
         assert isinstance(item, CrashItem)
-        second.heard_crash(item, "vm-1")
+        second.handle_crash(item, "vm-1")
     ledger = there.services.by_name["s"].ledger
     assert not ledger.blocked_fingerprints
-    second.heard_crash(CrashItem(wire.late[0].fingerprint, "u1", there.clock.wall() + 60), "vm-1")
+    second.handle_crash(CrashItem(wire.late[0].fingerprint, "u1", there.clock.wall() + 60), "vm-1")
     assert ledger.by_fingerprint
