--- a/sequoiabridge/pipeline/admit.py
+++ b/sequoiabridge/pipeline/admit.py
@@ -8,7 +8,7 @@
 from ..outcome import Outcome, Reason
 from ..policy.tickets import Ticket, Verdict
 from ..timers import Clock, OnDemand, Timers
-from .base import COME_BACK_SOON, Filter
+from .base import DEFAULT_RETRY_AFTER, Filter
 from .exchange import Exchange
 from .services import Services, ServiceState
 
@@ -102,7 +102,7 @@
         finally:
             del self.waiting[ticket]
         if waiting.refused:
-            raise _refusal(Reason.CANNOT_MEET_WINDOW, COME_BACK_SOON)
+            raise _refusal(Reason.CANNOT_MEET_WINDOW, DEFAULT_RETRY_AFTER)
 
     async def _refuse_displaced(self, state: ServiceState) -> None:
         """Answer at once those whose place in the queue another call took."""
@@ -119,4 +119,6 @@
 
 
 def _refusal(reason: Reason, retry_after: float | None) -> Refusal:
-    return Refusal(503, Outcome.NOT_RUN, reason, MESSAGES[reason], retry_after or COME_BACK_SOON)
+    return Refusal(
+        503, Outcome.NOT_RUN, reason, MESSAGES[reason], retry_after or DEFAULT_RETRY_AFTER
+    )
--- a/sequoiabridge/pipeline/accounting.py
+++ b/sequoiabridge/pipeline/attempt_recorder.py
@@ -15,10 +15,10 @@
 from .exchange import Answer, Body, Exchange
 from .services import ServiceState
 
-ALIVE_TIMEOUT = 0.05
+REACHABLE_TIMEOUT = 0.05
 """Seconds in which an upstream that lives opens a connection; it takes about 1 ms."""
 
-SUSPECT_SILENCE = 1.0
+MIN_SUSPECT_IDLE_SECONDS = 1.0
 """Seconds of silence before a request after which an unanswering connection's mates are closed."""
 
 
@@ -29,50 +29,52 @@
     """
 
     @abstractmethod
-    def draining(self, upstream: str, incarnation: int) -> None:
+    def record_drain(self, upstream: str, incarnation: int) -> None:
         """An upstream said for the first time that it is leaving."""
 
     @abstractmethod
-    def returned(self, upstream: str, incarnation: int) -> None:
+    def record_return(self, upstream: str, incarnation: int) -> None:
         """An upstream that was leaving said with a newer incarnation that it is back."""
 
     @abstractmethod
-    def failed(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
+    def record_failure(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
         """An attempt ended without a usable answer."""
 
     @abstractmethod
-    def crashed(self, exchange: Exchange, upstream: str) -> None:
+    def record_crash(self, exchange: Exchange, upstream: str) -> None:
         """An upstream died while it had the call: it takes no new connection either."""
 
     @abstractmethod
-    def upload_crashed(self, service: str, upload: str, upstream: str) -> None:
+    def record_upload_crash(self, service: str, upload: str, upstream: str) -> None:
         """An upstream died while an accepted upload was being delivered to it."""
 
     @abstractmethod
-    def survived(self, exchange: Exchange) -> None:
+    def record_answer(self, exchange: Exchange) -> None:
         """A call was answered whole, while some requests are suspected of crashing upstreams."""
 
     @abstractmethod
-    def retried(self, service: str, hedge: bool) -> None:
+    def record_retry(self, service: str, hedge: bool) -> None:
         """A call was sent once more."""
 
 
-def hear_drain(
+def apply_drain(
     state: ServiceState, observer: Observer, upstream: str, incarnation: int | None, now: float
 ) -> None:
     """Take in an upstream's word that it is leaving, if any; tell the fleet if that is news."""
     if incarnation is not None and state.pool.drain(upstream, incarnation, now):
-        observer.draining(upstream, incarnation)
+        observer.record_drain(upstream, incarnation)
 
 
-class CountedBody(Body):
+class RecordedBody(Body):
     """An answer's body that is still coming; its end is what ends the attempt."""
 
-    __slots__ = ("body", "accounting", "state", "attempt", "ended")
+    __slots__ = ("body", "recorder", "state", "attempt", "ended")
 
-    def __init__(self, accounting: Accounting, state: ServiceState, attempt: Attempt, body: Body):
+    def __init__(
+        self, recorder: AttemptRecorder, state: ServiceState, attempt: Attempt, body: Body
+    ):
         self.body = body
-        self.accounting = accounting
+        self.recorder = recorder
         self.state = state
         self.attempt = attempt
         self.ended = False
@@ -82,21 +84,21 @@
             piece = await self.body.read()
         except UpstreamFailed as error:
             self.ended = True
-            await self.accounting.failed(self.state, self.attempt, error)
+            await self.recorder.record_failure(self.state, self.attempt, error)
             raise
         if not piece and not self.ended:
             self.ended = True
-            self.accounting.succeeded(self.state, self.attempt)
+            self.recorder.record_success(self.state, self.attempt)
         return piece
 
     async def close(self) -> None:
         if not self.ended:
             self.ended = True
-            await self.accounting.cancelled(self.state, self.attempt)
+            await self.recorder.record_cancellation(self.state, self.attempt)
         await self.body.close()
 
 
-class Accounting:
+class AttemptRecorder:
     """Tells the pool's evidence, the retry budget and the observer how attempts end."""
 
     __slots__ = ("connector", "clock", "observer")
@@ -106,28 +108,30 @@
         self.clock = clock
         self.observer = observer
 
-    def began(self, state: ServiceState, attempt: Attempt) -> None:
+    def record_start(self, state: ServiceState, attempt: Attempt) -> None:
         """An attempt is about to connect."""
         attempt.exchange.attempts += 1
         state.pool.record_send(attempt.upstream, attempt.started)
 
-    async def answered(self, state: ServiceState, attempt: Attempt, answer: Answer) -> Answer:
+    async def record_answer_head(
+        self, state: ServiceState, attempt: Attempt, answer: Answer
+    ) -> Answer:
         """Take in an answer's head; its body may still be coming.
 
         Raises:
             UpstreamFailed: The upstream said that it did not run the request.
         """
-        self._drain(state, attempt)
+        self._apply_drain(state, attempt)
         if attempt.signals.not_run:
-            await self._shed(state, attempt)
+            await self._record_shed(state, attempt)
         if attempt.connection is None or answer.body is None:
-            self.succeeded(state, attempt)
+            self.record_success(state, attempt)
             await attempt.finish()
             return answer
-        answer.body = CountedBody(self, state, attempt, answer.body)
+        answer.body = RecordedBody(self, state, attempt, answer.body)
         return answer
 
-    def succeeded(self, state: ServiceState, attempt: Attempt) -> None:
+    def record_success(self, state: ServiceState, attempt: Attempt) -> None:
         """A whole answer came."""
         elapsed = attempt.answered_at - attempt.started
         now = self.clock.now()
@@ -136,70 +140,72 @@
         state.retry_budget.record_success(now)
         state.hedging.record_latency(elapsed)
         if state.ledger.by_fingerprint:
-            self.observer.survived(attempt.exchange)
+            self.observer.record_answer(attempt.exchange)
 
-    async def failed(self, state: ServiceState, attempt: Attempt, error: UpstreamFailed) -> None:
+    async def record_failure(
+        self, state: ServiceState, attempt: Attempt, error: UpstreamFailed
+    ) -> None:
         """An attempt broke or stayed silent."""
         await attempt.abandon()
-        self._drain(state, attempt)
+        self._apply_drain(state, attempt)
         if not error.sent:
             attempt.proven_not_run()
-        kind = _kind(attempt, error)
-        await self._ended(state, attempt, kind)
+        kind = _failure_kind(attempt, error)
+        await self._record_end(state, attempt, kind)
         if kind is Failure.TIMEOUT:
-            await self.suspect_mates(attempt)
+            await self.close_idle_connections(attempt)
         if kind is Failure.RESET:
-            await self._look_for_crash(attempt)
+            await self._detect_crash(attempt)
 
-    async def cancelled(self, state: ServiceState, attempt: Attempt) -> None:
+    async def record_cancellation(self, state: ServiceState, attempt: Attempt) -> None:
         """The daemon gave the attempt up; the upstream is not to blame."""
         await attempt.abandon()
-        self._drain(state, attempt)
-        await self._ended(state, attempt, Failure.CANCELLED)
+        self._apply_drain(state, attempt)
+        await self._record_end(state, attempt, Failure.CANCELLED)
 
-    async def suspect_mates(self, attempt: Attempt) -> None:
+    async def close_idle_connections(self, attempt: Attempt) -> None:
         """Close the idle connections of an upstream whose long silent connection did not answer."""
-        if attempt.was_silent < SUSPECT_SILENCE:
+        if attempt.was_silent < MIN_SUSPECT_IDLE_SECONDS:
             return
         await self.connector.suspect(attempt.upstream.address, attempt.started)
 
-    def _drain(self, state: ServiceState, attempt: Attempt) -> None:
+    def _apply_drain(self, state: ServiceState, attempt: Attempt) -> None:
         """Take in that an upstream is leaving, also from an answer that did not come whole."""
         upstream, incarnation = attempt.upstream.name, attempt.signals.drain
-        hear_drain(state, self.observer, upstream, incarnation, self.clock.now())
+        apply_drain(state, self.observer, upstream, incarnation, self.clock.now())
 
-    async def _look_for_crash(self, attempt: Attempt) -> None:
+    async def _detect_crash(self, attempt: Attempt) -> None:
         """Tell a death from a lost connection: a dead upstream takes no new connection.
 
         Only a call that may be sent again waits for this; any other has its answer at once.
         """
         if attempt.exchange.rule.idempotent:
-            await self._tell_crash(attempt)
+            await self._record_if_unreachable(attempt)
         else:
-            await curio.spawn(self._tell_crash(attempt), daemon=True)
+            await curio.spawn(self._record_if_unreachable(attempt), daemon=True)
 
-    async def _tell_crash(self, attempt: Attempt) -> None:
+    async def _record_if_unreachable(self, attempt: Attempt) -> None:
         upstream = attempt.upstream
-        if not await self.connector.reachable(upstream.address, ALIVE_TIMEOUT):
-            self.observer.crashed(attempt.exchange, upstream.name)
+        if not await self.connector.reachable(upstream.address, REACHABLE_TIMEOUT):
+            self.observer.record_crash(attempt.exchange, upstream.name)
 
-    async def _shed(self, state: ServiceState, attempt: Attempt) -> None:
+    async def _record_shed(self, state: ServiceState, attempt: Attempt) -> None:
         await attempt.abandon()
         attempt.proven_not_run()
-        await self._ended(state, attempt, Failure.SHED)
+        await self._record_end(state, attempt, Failure.SHED)
         raise UpstreamFailed(f"{attempt.upstream.name} shed the request.", sent=False)
 
-    async def _ended(self, state: ServiceState, attempt: Attempt, kind: Failure) -> None:
+    async def _record_end(self, state: ServiceState, attempt: Attempt, kind: Failure) -> None:
         now = self.clock.now()
         seconds = now - attempt.started
         state.pool.record_failure(attempt.upstream, now, kind, seconds)
         if kind is not Failure.CANCELLED:
             step = AttemptEnded(attempt.upstream.name, kind, attempt.sent, seconds)
             attempt.exchange.note(step)
-        self.observer.failed(attempt.exchange, attempt.upstream.name, kind)
+        self.observer.record_failure(attempt.exchange, attempt.upstream.name, kind)
 
 
-def _kind(attempt: Attempt, error: UpstreamFailed) -> Failure:
+def _failure_kind(attempt: Attempt, error: UpstreamFailed) -> Failure:
     if error.timed_out:
         return Failure.TIMEOUT
     if not attempt.sent:
--- a/sequoiabridge/pipeline/base.py
+++ b/sequoiabridge/pipeline/base.py
@@ -4,7 +4,7 @@
 
 from .exchange import Exchange
 
-COME_BACK_SOON = 1.0
+DEFAULT_RETRY_AFTER = 1.0
 """Seconds after which a caller may come back when nothing better is known."""
 
 
--- a/sequoiabridge/pipeline/claiming.py
+++ b/sequoiabridge/pipeline/claiming.py
@@ -18,7 +18,7 @@
     ClaimUnknown,
 )
 from ..store.claims import Claims
-from .base import COME_BACK_SOON, Filter
+from .base import DEFAULT_RETRY_AFTER, Filter
 from .buffering import ReplayableBody
 from .exchange import Answer, BytesBody, Exchange
 
@@ -109,7 +109,7 @@
     """Build the refusal for a claim that was not granted."""
     if isinstance(result, ClaimBusy):
         message = "The same key is being worked on; ask again with it for the outcome."
-        return Refusal(409, Outcome.UNKNOWN, Reason.DUPLICATE, message, COME_BACK_SOON)
+        return Refusal(409, Outcome.UNKNOWN, Reason.DUPLICATE, message, DEFAULT_RETRY_AFTER)
     if isinstance(result, ClaimUnknown):
         message = "An earlier request with this key may have run; an operator must settle it."
         return Refusal(409, Outcome.UNKNOWN, Reason.DUPLICATE, message)
@@ -118,5 +118,5 @@
         return Refusal(422, Outcome.NOT_RUN, Reason.KEY_REUSED, message)
     if isinstance(result, ClaimUnavailable):
         message = f"The request was not sent: {result.message}."
-        return Refusal(503, Outcome.NOT_RUN, Reason.STORE_DOWN, message, COME_BACK_SOON)
+        return Refusal(503, Outcome.NOT_RUN, Reason.STORE_DOWN, message, DEFAULT_RETRY_AFTER)
     raise TypeError(f"unknown claim result {result!r}")
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -17,9 +17,9 @@
 from ..policy.upstream_state import UpstreamState
 from ..timers import Clock
 from ..upstreams.base import Connector
-from .accounting import Accounting, Observer
 from .attempt import Attempt
-from .base import COME_BACK_SOON
+from .attempt_recorder import AttemptRecorder, Observer
+from .base import DEFAULT_RETRY_AFTER
 from .buffering import ReplayableBody
 from .crash_guard import is_request_blocked
 from .exchange import Answer, BytesBody, Exchange
@@ -40,7 +40,7 @@
         ask_first: Called before each choice; None for never.
     """
 
-    __slots__ = ("services", "connector", "clock", "observer", "accounting", "probe_before_choice")
+    __slots__ = ("services", "connector", "clock", "observer", "recorder", "probe_before_choice")
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self.connector = connector
         self.clock = clock
         self.observer = observer
-        self.accounting = Accounting(connector, clock, observer)
+        self.recorder = AttemptRecorder(connector, clock, observer)
         self.probe_before_choice = probe_before_choice
 
     async def run(self, exchange: Exchange) -> Answer:
@@ -97,14 +97,14 @@
             name = upstream.name if upstream is not None else None
             exchange.note(Chosen(name, state.pool.explain(now)))
         if tried and upstream is not None:
-            self.observer.retried(exchange.service.name, False)
+            self.observer.record_retry(exchange.service.name, False)
         return upstream
 
     def _begin(
         self, exchange: Exchange, state: ServiceState, upstream: UpstreamState, fresh: bool
     ) -> Attempt:
         attempt = Attempt(exchange, upstream, self.connector, self.clock, fresh)
-        self.accounting.began(state, attempt)
+        self.recorder.record_start(state, attempt)
         return attempt
 
     async def _first_answer(
@@ -121,13 +121,13 @@
             if hedge_at < exchange.deadline and attempt.resumable:
                 return await self._hedge(exchange, state, attempt, tried)
             error = _timeout(attempt)
-            await self.accounting.failed(state, attempt, error)
+            await self.recorder.record_failure(state, attempt, error)
             raise error from None
         except UpstreamFailed as error:
-            await self.accounting.failed(state, attempt, error)
+            await self.recorder.record_failure(state, attempt, error)
             raise
         except BaseException:
-            await self.accounting.cancelled(state, attempt)
+            await self.recorder.record_cancellation(state, attempt)
             raise
         return await self._won(exchange, state, attempt, answer)
 
@@ -141,9 +141,9 @@
         if upstream is not None and upstream.name not in tried and self._pay(state):
             attempts.append(self._begin(exchange, state, upstream, fresh=True))
             tried.append(upstream.name)
-            self.observer.retried(exchange.service.name, True)
+            self.observer.record_retry(exchange.service.name, True)
             exchange.note(Repeated("hedge", True, f"silent, so also sent to {upstream.name}"))
-        race = Race(self.accounting, state, attempts)
+        race = Race(self.recorder, state, attempts)
         try:
             async with curio.timeout_after(max(0.0, left)):
                 winner, answer = await race.run()
@@ -151,14 +151,14 @@
             await race.timed_out()
             raise _timeout(first) from None
         if winner is not first:
-            await self.accounting.suspect_mates(first)
+            await self.recorder.close_idle_connections(first)
         return await self._won(exchange, state, winner, answer)
 
     async def _won(
         self, exchange: Exchange, state: ServiceState, attempt: Attempt, answer: Answer
     ) -> Answer:
         exchange.upstream = attempt.upstream.name
-        return await self.accounting.answered(state, attempt, answer)
+        return await self.recorder.record_answer_head(state, attempt, answer)
 
     def _hedge_at(self, exchange: Exchange, state: ServiceState, attempt: Attempt) -> float:
         if not (exchange.rule.hedge and exchange.rule.idempotent and _replayable(exchange)):
@@ -207,12 +207,12 @@
 def _refusal(exchange: Exchange, failure: UpstreamFailed | None) -> Refusal:
     if failure is None:
         message = "No upstream can take this request now; come back later."
-        return Refusal(503, exchange.outcome, Reason.NO_UPSTREAM, message, COME_BACK_SOON)
+        return Refusal(503, exchange.outcome, Reason.NO_UPSTREAM, message, DEFAULT_RETRY_AFTER)
     if failure.timed_out:
         message = "No answer came in time; if the outcome is unknown, ask before sending again."
-        return Refusal(504, exchange.outcome, Reason.TIMEOUT, message, COME_BACK_SOON)
+        return Refusal(504, exchange.outcome, Reason.TIMEOUT, message, DEFAULT_RETRY_AFTER)
     if not exchange.unproven:
         message = "No upstream took this request; it did not run. Come back later."
-        return Refusal(503, exchange.outcome, Reason.UPSTREAM_SHED, message, COME_BACK_SOON)
+        return Refusal(503, exchange.outcome, Reason.UPSTREAM_SHED, message, DEFAULT_RETRY_AFTER)
     message = "The upstream broke off; whether the request ran is not known."
-    return Refusal(502, exchange.outcome, Reason.UPSTREAM_FAILED, message, COME_BACK_SOON)
+    return Refusal(502, exchange.outcome, Reason.UPSTREAM_FAILED, message, DEFAULT_RETRY_AFTER)
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -6,7 +6,7 @@
 
 from ..timers import Clock, OnDemand, Timers
 from ..upstreams.probes import Prober
-from .accounting import Observer, hear_drain
+from .attempt_recorder import Observer, apply_drain
 from .services import Services, ServiceState
 
 DRAINED_PROBE_INTERVAL = 2.0
@@ -99,8 +99,8 @@
             return
         probe = await self.prober.probe(upstream.address, PROBE_TIMEOUT)
         state.probe_budget.record_cost(probe.size, probe.latency)
-        hear_drain(state, self.observer, name, probe.drain, self.clock.now())
+        apply_drain(state, self.observer, name, probe.drain, self.clock.now())
         if not probe.healthy or probe.drain is not None or probe.incarnation is None:
             return
         if state.pool.resume(name, probe.incarnation, self.clock.now()):
-            self.observer.returned(name, probe.incarnation)
+            self.observer.record_return(name, probe.incarnation)
--- a/sequoiabridge/pipeline/hedge.py
+++ b/sequoiabridge/pipeline/hedge.py
@@ -5,8 +5,8 @@
 import curio
 
 from ..exceptions import UpstreamFailed
-from .accounting import Accounting
 from .attempt import Attempt
+from .attempt_recorder import AttemptRecorder
 from .exchange import Answer
 from .services import ServiceState
 
@@ -17,10 +17,10 @@
     The loser is cancelled by closing its connection. If both fail, the later failure is raised.
     """
 
-    __slots__ = ("accounting", "state", "running")
+    __slots__ = ("recorder", "state", "running")
 
-    def __init__(self, accounting: Accounting, state: ServiceState, attempts: list[Attempt]):
-        self.accounting = accounting
+    def __init__(self, recorder: AttemptRecorder, state: ServiceState, attempts: list[Attempt]):
+        self.recorder = recorder
         self.state = state
         self.running = attempts
 
@@ -46,7 +46,7 @@
         """Enter each attempt that is still silent as one that did not answer in time."""
         for attempt in self.running:
             error = UpstreamFailed("No answer in time.", sent=attempt.sent, timed_out=True)
-            await self.accounting.failed(self.state, attempt, error)
+            await self.recorder.record_failure(self.state, attempt, error)
         self.running = []
 
     async def _first_answer(self, group: curio.TaskGroup) -> tuple[Attempt, Answer]:
@@ -59,12 +59,12 @@
                 await self._cancel_rest()
                 return attempt, answer
             failure = error
-            await self.accounting.failed(self.state, attempt, error)
+            await self.recorder.record_failure(self.state, attempt, error)
         raise failure
 
     async def _cancel_rest(self) -> None:
         for attempt in self.running:
-            await self.accounting.cancelled(self.state, attempt)
+            await self.recorder.record_cancellation(self.state, attempt)
         self.running = []
 
 
--- a/sequoiabridge/pipeline/pipeline.py
+++ b/sequoiabridge/pipeline/pipeline.py
@@ -11,7 +11,7 @@
 from ..logs import get_log
 from ..outcome import Reason
 from ..timers import Clock
-from .base import COME_BACK_SOON, Filter
+from .base import DEFAULT_RETRY_AFTER, Filter
 from .dispatch import Dispatch
 from .exchange import Answer, Exchange, Request
 
@@ -123,4 +123,4 @@
 
 def _internal(exchange: Exchange) -> Refusal:
     message = "The daemon failed on this call; its log has the cause. Try again later."
-    return Refusal(500, exchange.outcome, Reason.INTERNAL, message, COME_BACK_SOON)
+    return Refusal(500, exchange.outcome, Reason.INTERNAL, message, DEFAULT_RETRY_AFTER)
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -9,7 +9,7 @@
 from ..metrics import Metrics
 from ..timers import Clock, OnDemand, Timers
 from ..upstreams.probes import Probe, Prober
-from .accounting import Observer, hear_drain
+from .attempt_recorder import Observer, apply_drain
 from .services import Services, ServiceState
 
 BACKGROUND_PROBE_INTERVAL = 0.02
@@ -74,6 +74,6 @@
 
     def _record_probe(self, state: ServiceState, name: str, probe: Probe) -> None:
         now = self.clock.now()
-        hear_drain(state, self.observer, name, probe.drain, now)
+        apply_drain(state, self.observer, name, probe.drain, now)
         if probe.load is not None:
             state.pool.record_probe(name, now, probe.latency, probe.load)
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -13,7 +13,7 @@
 from ..policy.suspicions import is_local_suspect
 from ..policy.upstream_state import UpstreamState
 from ..timers import Clock, OnDemand, Timers
-from .accounting import Observer
+from .attempt_recorder import Observer
 from .crash_guard import request_fingerprint
 from .exchange import Exchange
 from .services import Services, ServiceState
@@ -69,42 +69,42 @@
 
     # What happens to calls here.
 
-    def draining(self, upstream: str, incarnation: int) -> None:
+    def record_drain(self, upstream: str, incarnation: int) -> None:
         self.published_drains += 1
         log.info("%s is leaving, by its own word.", upstream)
         self.fleet.publish(DrainItem(upstream, incarnation), Urgency.DRAIN)
 
-    def returned(self, upstream: str, incarnation: int) -> None:
+    def record_return(self, upstream: str, incarnation: int) -> None:
         log.info("%s is back, by its own word.", upstream)
         self.fleet.publish(DrainItem(upstream, incarnation, leaving=False), Urgency.DRAIN)
 
-    def failed(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
+    def record_failure(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
         return
 
-    def crashed(self, exchange: Exchange, upstream: str) -> None:
-        self._record_crash(
+    def record_crash(self, exchange: Exchange, upstream: str) -> None:
+        self._publish_crash(
             self.services.state_of(exchange).ledger, request_fingerprint(exchange), upstream
         )
 
-    def upload_crashed(self, service: str, upload: str, upstream: str) -> None:
+    def record_upload_crash(self, service: str, upload: str, upstream: str) -> None:
         state = self.services.by_name.get(service)
         if state is not None:
-            self._record_crash(state.ledger, upload, upstream)
+            self._publish_crash(state.ledger, upload, upstream)
 
-    def _record_crash(self, ledger: CrashLedger, fingerprint: str, upstream: str) -> None:
+    def _publish_crash(self, ledger: CrashLedger, fingerprint: str, upstream: str) -> None:
         now, wall = self.clock.now(), self.clock.wall()
         self.published_crashes += 1
         ledger.record_crash(fingerprint, upstream, self.vm, wall, now)
         self.fleet.publish(CrashItem(fingerprint, upstream, wall), Urgency.CRASH)
 
-    def survived(self, exchange: Exchange) -> None:
+    def record_answer(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
         fingerprint, wall = request_fingerprint(exchange), self.clock.wall()
         # VMs that heard of the crashes, or will hear of them late, may see no answer themselves.
         if ledger.record_answer(fingerprint, wall):
             self.fleet.publish(CrashItem(fingerprint, "", wall, released=True), Urgency.CRASH)
 
-    def retried(self, service: str, hedge: bool) -> None:
+    def record_retry(self, service: str, hedge: bool) -> None:
         self.metrics.retries.add(service, "hedge" if hedge else "retry")
 
     # What other VMs say.
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -13,7 +13,7 @@
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
 from ..upstreams.reports import parse_drain
-from .accounting import ALIVE_TIMEOUT, Observer, hear_drain
+from .attempt_recorder import REACHABLE_TIMEOUT, Observer, apply_drain
 from .exchange import Answer, Body
 from .services import Services, ServiceState
 from .uploads import delivery_request, delivery_result
@@ -68,14 +68,14 @@
             raise
         # How long an upload takes says nothing about the upstream's load.
         self._failed(state, upstream, started, Failure.CANCELLED)
-        self._hear_drain(state, upstream, answer)
+        self._apply_drain(state, upstream, answer)
         return delivery_result(manifest, answer)
 
-    def _hear_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
+    def _apply_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
         """Take in that the upstream is leaving: a service may have no other calls that tell."""
         words = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
         for incarnation in words:
-            hear_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
+            apply_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
 
     async def _broken(
         self,
@@ -85,11 +85,13 @@
         error: UpstreamFailed,
     ) -> Sent:
         """Tell a death from a lost connection: a dead upstream takes no new connection."""
-        dead = error.sent and not await self.connector.reachable(upstream.address, ALIVE_TIMEOUT)
+        dead = error.sent and not await self.connector.reachable(
+            upstream.address, REACHABLE_TIMEOUT
+        )
         if not dead:
             return Sent(Delivery.RETRY, str(error))
         # A suspect beside the calls that were with the upstream: they share the blame.
-        self.observer.upload_crashed(state.service.name, manifest.id, upstream.name)
+        self.observer.record_upload_crash(state.service.name, manifest.id, upstream.name)
         return Sent(Delivery.CRASHED, f"{upstream.name} died while it had it", upstream.name)
 
     async def _exchange(self, upstream: UpstreamState, request: UpstreamRequest) -> Answer:
--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -9,7 +9,7 @@
 from ...config.loading import parse_document
 from ...exceptions import UpstreamFailed
 from ...headers import DRAIN, NOT_RUN
-from ...pipeline.accounting import Observer
+from ...pipeline.attempt_recorder import Observer
 from ...pipeline.crash_guard import request_fingerprint
 from ...pipeline.dispatch import Dispatch
 from ...pipeline.exchange import Answer, Body, Exchange, Request
@@ -124,25 +124,25 @@
         self.back = []
         self.leaving = []
 
-    def draining(self, upstream, incarnation):
+    def record_drain(self, upstream, incarnation):
         self.leaving.append((upstream, incarnation))
 
-    def returned(self, upstream, incarnation):
+    def record_return(self, upstream, incarnation):
         self.back.append((upstream, incarnation))
 
-    def failed(self, exchange, upstream, failure):
+    def record_failure(self, exchange, upstream, failure):
         self.failures.append(failure)
 
-    def crashed(self, exchange, upstream):
+    def record_crash(self, exchange, upstream):
         return None
 
-    def upload_crashed(self, service, upload, upstream):
+    def record_upload_crash(self, service, upload, upstream):
         return None
 
-    def survived(self, exchange):
+    def record_answer(self, exchange):
         return None
 
-    def retried(self, service, hedge):
+    def record_retry(self, service, hedge):
         return None
 
 
@@ -154,7 +154,7 @@
         self.ledger = ledger
         self.clock = clock
 
-    def crashed(self, exchange, upstream):
+    def record_crash(self, exchange, upstream):
         self.ledger.record_crash(
             request_fingerprint(exchange), upstream, "vm-1", self.clock.wall(), self.clock.now()
         )
--- a/sequoiabridge/tests/pipeline/test_sharing.py
+++ b/sequoiabridge/tests/pipeline/test_sharing.py
@@ -27,8 +27,8 @@
     )
     exchange = here.exchange()
     for upstream in ("u1", "u2"):
-        first.crashed(exchange, upstream)
-    first.survived(exchange)
+        first.record_crash(exchange, upstream)
+    first.record_answer(exchange)
     # Between VMs, words may come in any order.
     for item in reversed(wire.late):
         assert isinstance(item, CrashItem)
