--- a/sequoiabridge/pipeline/attempt.py
+++ b/sequoiabridge/pipeline/attempt.py
@@ -13,16 +13,16 @@
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
 from ..upstreams.reports import parse_drain, parse_load
-from .buffering import MAX_BUFFERED, ReplayableBody
+from .buffering import MAX_BUFFERED_BYTES, ReplayableBody
 from .exchange import Answer, BytesBody, Exchange
 
-TRUSTED_SILENCE = 0.25
+MAX_TRUSTED_IDLE_SECONDS = 0.25
 """Seconds since a connection last spoke up to which unrepeatable work is trusted to it."""
 
 MIN_DEADLINE_MS = 1
 """Least deadline passed on, in milliseconds; 0 would mean none to some servers."""
 
-REPLACED = frozenset(
+REPLACED_HEADERS = frozenset(
     {headers.DEADLINE, headers.UPLOAD_ID, headers.UPLOAD_OFFSET, headers.UPLOAD_DIGEST}
 )
 """Request headers that are not passed on as the caller sent them: uploads are named by daemons."""
@@ -30,7 +30,7 @@
 NOT_RUN_VALUE = b"1"
 
 
-class Signals:
+class AnswerMetadata:
     """What an upstream said beside its answer; `drain` is its incarnation, or None."""
 
     __slots__ = ("load", "drain", "not_run")
@@ -59,10 +59,10 @@
         "sent",
         "answer",
         "pieces",
-        "signals",
+        "metadata",
         "started",
         "answered_at",
-        "was_silent",
+        "idle_seconds",
     )
 
     def __init__(
@@ -83,10 +83,10 @@
         self.sent = False
         self.answer: Answer | None = None
         self.pieces: list[bytes] = []
-        self.signals = Signals()
+        self.metadata = AnswerMetadata()
         self.started = clock.now()
         self.answered_at = 0.0
-        self.was_silent = 0.0
+        self.idle_seconds = 0.0
 
     @property
     def resumable(self) -> bool:
@@ -106,7 +106,7 @@
         if self.answer is None:
             self.answer = await self._read_head()
         answer = self.answer
-        if answer.length is not None and answer.length <= MAX_BUFFERED:
+        if answer.length is not None and answer.length <= MAX_BUFFERED_BYTES:
             await self._read_small_body()
         return answer
 
@@ -128,13 +128,13 @@
     async def _connect(self) -> None:
         exchange = self.exchange
         address = self.upstream.address
-        left = exchange.deadline - self.clock.now()
-        connection = await self.connector.acquire(address, fresh=self.fresh, timeout=left)
-        self.was_silent = self.clock.now() - connection.last_heard
-        if not exchange.rule.idempotent and self.was_silent > TRUSTED_SILENCE:
+        remaining = exchange.deadline - self.clock.now()
+        connection = await self.connector.acquire(address, fresh=self.fresh, timeout=remaining)
+        self.idle_seconds = self.clock.now() - connection.last_heard
+        if not exchange.rule.idempotent and self.idle_seconds > MAX_TRUSTED_IDLE_SECONDS:
             await self.connector.release(connection)
-            connection = await self.connector.acquire(address, fresh=True, timeout=left)
-            self.was_silent = 0.0
+            connection = await self.connector.acquire(address, fresh=True, timeout=remaining)
+            self.idle_seconds = 0.0
         self.connection = connection
 
     async def _send(self) -> None:
@@ -144,15 +144,15 @@
         self.sending = True
         self.sent = True
         exchange = self.exchange
-        exchange.unproven += 1
-        exchange.body_begun = True
+        exchange.unproven_attempts += 1
+        exchange.body_started = True
         request = exchange.request
         if isinstance(request.body, ReplayableBody):
             request.body.rewind()
-        left_ms = int((exchange.deadline - self.clock.now()) * 1000)
-        fields = [field for field in request.headers if field[0] not in REPLACED]
+        remaining_ms = int((exchange.deadline - self.clock.now()) * 1000)
+        fields = [field for field in request.headers if field[0] not in REPLACED_HEADERS]
         fields.append((headers.REQUEST_ID, exchange.id.encode()))
-        fields.append((headers.DEADLINE, b"%d" % max(MIN_DEADLINE_MS, left_ms)))
+        fields.append((headers.DEADLINE, b"%d" % max(MIN_DEADLINE_MS, remaining_ms)))
         outgoing = UpstreamRequest(
             request.method, request.target, fields, request.length, request.body
         )
@@ -162,25 +162,25 @@
     async def _read_head(self) -> Answer:
         answer = await self.connection.read_head()
         self.answered_at = self.clock.now()
-        kept = []
+        passed_on = []
         for field in answer.headers:
             if field[0] in headers.OWN:
-                self._take_signal(field)
+                self._record_metadata(field)
             else:
-                kept.append(field)
-        kept.append((headers.REQUEST_ID, self.exchange.id.encode()))
-        answer.headers = kept
+                passed_on.append(field)
+        passed_on.append((headers.REQUEST_ID, self.exchange.id.encode()))
+        answer.headers = passed_on
         return answer
 
-    def _take_signal(self, field: tuple[bytes, bytes]) -> None:
+    def _record_metadata(self, field: tuple[bytes, bytes]) -> None:
         """Take in a header by which the upstream speaks to the daemon."""
         name, value = field
         if name == headers.LOAD:
-            self.signals.load = parse_load(value)
+            self.metadata.load = parse_load(value)
         elif name == headers.DRAIN:
-            self.signals.drain = parse_drain(value)
+            self.metadata.drain = parse_drain(value)
         elif name == headers.NOT_RUN:
-            self.signals.not_run = value == NOT_RUN_VALUE
+            self.metadata.not_run = value == NOT_RUN_VALUE
 
     async def _read_small_body(self) -> None:
         body = self.answer.body
@@ -191,8 +191,8 @@
         # The body gave the connection back when it ended.
         await self.finish()
 
-    def proven_not_run(self) -> None:
+    def mark_not_run(self) -> None:
         """Take back that the request may have run: nothing was sent, or the upstream said so."""
         if self.sent:
             self.sent = False
-            self.exchange.unproven -= 1
+            self.exchange.unproven_attempts -= 1
--- a/sequoiabridge/pipeline/attempt_recorder.py
+++ b/sequoiabridge/pipeline/attempt_recorder.py
@@ -122,7 +122,7 @@
             UpstreamFailed: The upstream said that it did not run the request.
         """
         self._apply_drain(state, attempt)
-        if attempt.signals.not_run:
+        if attempt.metadata.not_run:
             await self._record_shed(state, attempt)
         if attempt.connection is None or answer.body is None:
             self.record_success(state, attempt)
@@ -136,7 +136,7 @@
         elapsed = attempt.answered_at - attempt.started
         now = self.clock.now()
         status = attempt.answer.status
-        state.pool.record_answer(attempt.upstream, now, status, elapsed, attempt.signals.load)
+        state.pool.record_answer(attempt.upstream, now, status, elapsed, attempt.metadata.load)
         state.retry_budget.record_success(now)
         state.hedging.record_latency(elapsed)
         if state.ledger.by_fingerprint:
@@ -149,7 +149,7 @@
         await attempt.abandon()
         self._apply_drain(state, attempt)
         if not error.sent:
-            attempt.proven_not_run()
+            attempt.mark_not_run()
         kind = _failure_kind(attempt, error)
         await self._record_end(state, attempt, kind)
         if kind is Failure.TIMEOUT:
@@ -165,13 +165,13 @@
 
     async def close_idle_connections(self, attempt: Attempt) -> None:
         """Close the idle connections of an upstream whose long silent connection did not answer."""
-        if attempt.was_silent < MIN_SUSPECT_IDLE_SECONDS:
+        if attempt.idle_seconds < MIN_SUSPECT_IDLE_SECONDS:
             return
         await self.connector.suspect(attempt.upstream.address, attempt.started)
 
     def _apply_drain(self, state: ServiceState, attempt: Attempt) -> None:
         """Take in that an upstream is leaving, also from an answer that did not come whole."""
-        upstream, incarnation = attempt.upstream.name, attempt.signals.drain
+        upstream, incarnation = attempt.upstream.name, attempt.metadata.drain
         apply_drain(state, self.observer, upstream, incarnation, self.clock.now())
 
     async def _detect_crash(self, attempt: Attempt) -> None:
@@ -191,7 +191,7 @@
 
     async def _record_shed(self, state: ServiceState, attempt: Attempt) -> None:
         await attempt.abandon()
-        attempt.proven_not_run()
+        attempt.mark_not_run()
         await self._record_end(state, attempt, Failure.SHED)
         raise UpstreamFailed(f"{attempt.upstream.name} shed the request.", sent=False)
 
--- a/sequoiabridge/pipeline/buffering.py
+++ b/sequoiabridge/pipeline/buffering.py
@@ -5,7 +5,7 @@
 from .base import Filter
 from .exchange import BytesBody, Exchange
 
-MAX_BUFFERED = 64 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024
 """Bytes up to which a body is kept in memory: it can be sent again, and has a digest."""
 
 
@@ -32,7 +32,7 @@
 
     async def enter(self, exchange: Exchange) -> None:
         request = exchange.request
-        if request.body is None or request.length is None or request.length > MAX_BUFFERED:
+        if request.body is None or request.length is None or request.length > MAX_BUFFERED_BYTES:
             return
         pieces = []
         while piece := await request.body.read():
--- a/sequoiabridge/pipeline/claiming.py
+++ b/sequoiabridge/pipeline/claiming.py
@@ -65,7 +65,7 @@
 
     async def _report(self, exchange: Exchange) -> None:
         claim = exchange.claim
-        if not exchange.unproven:
+        if not exchange.unproven_attempts:
             await self.claims.release(claim)
         elif exchange.refusal is not None or not exchange.upstream:
             await self.claims.mark_unknown(claim)
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -176,7 +176,7 @@
     ) -> bool:
         if server_error is not None and not isinstance(server_error.body, BytesBody | None):
             return False
-        if exchange.body_begun and not _replayable(exchange):
+        if exchange.body_started and not _replayable(exchange):
             exchange.note(Repeated("retry", False, "its body was streamed and is gone"))
             return False
         now = self.clock.now()
@@ -184,7 +184,7 @@
             exchange.note(Repeated("retry", False, "upstreams crashed on this request"))
             return False
         left = exchange.deadline - now
-        sent = exchange.unproven > 0
+        sent = exchange.unproven_attempts > 0
         if not may_retry(exchange.rule, sent, not sent, exchange.attempts, left):
             exchange.note(Repeated("retry", False, "not allowed, or no attempt or time left"))
             return False
@@ -211,7 +211,7 @@
     if failure.timed_out:
         message = "No answer came in time; if the outcome is unknown, ask before sending again."
         return Refusal(504, exchange.outcome, Reason.TIMEOUT, message, DEFAULT_RETRY_AFTER)
-    if not exchange.unproven:
+    if not exchange.unproven_attempts:
         message = "No upstream took this request; it did not run. Come back later."
         return Refusal(503, exchange.outcome, Reason.UPSTREAM_SHED, message, DEFAULT_RETRY_AFTER)
     message = "The upstream broke off; whether the request ran is not known."
--- a/sequoiabridge/pipeline/exchange.py
+++ b/sequoiabridge/pipeline/exchange.py
@@ -132,12 +132,12 @@
         "claim",
         "fingerprint",
         "attempts",
-        "unproven",
-        "body_begun",
+        "unproven_attempts",
+        "body_started",
         "answer",
         "refusal",
         "upstream",
-        "entered",
+        "entered_count",
         "notes",
     )
 
@@ -154,18 +154,18 @@
         self.claim: object | None = None
         self.fingerprint: str | None = None
         self.attempts = 0
-        self.unproven = 0
-        self.body_begun = False
+        self.unproven_attempts = 0
+        self.body_started = False
         self.answer: Answer | None = None
         self.refusal: Refusal | None = None
         self.upstream = ""
-        self.entered = 0
+        self.entered_count = 0
         self.notes: list[object] | None = None
 
     @property
     def outcome(self) -> Outcome:
         """What a refusal may truthfully say now about whether the request ran."""
-        return Outcome.UNKNOWN if self.unproven else Outcome.NOT_RUN
+        return Outcome.UNKNOWN if self.unproven_attempts else Outcome.NOT_RUN
 
     def note(self, line: object) -> None:
         """Add a line (or a step of `operators.steps`) to the journal of decisions."""
--- a/sequoiabridge/pipeline/pipeline.py
+++ b/sequoiabridge/pipeline/pipeline.py
@@ -63,9 +63,11 @@
         """Set the filters. Hooks that do nothing are not called; they count as entered."""
         self.steps = filters
         enters = [place for place, step in enumerate(filters) if overrides(step, "enter")]
-        entered = [*enters, len(filters)]
-        self.first = entered[0]
-        self.entering = [(filters[place].enter, entered[n + 1]) for n, place in enumerate(enters)]
+        entered_count = [*enters, len(filters)]
+        self.first = entered_count[0]
+        self.entering = [
+            (filters[place].enter, entered_count[n + 1]) for n, place in enumerate(enters)
+        ]
         leaves = [place for place, step in enumerate(filters) if overrides(step, "leave")]
         self.leaving = [(place, filters[place].leave) for place in reversed(leaves)]
 
@@ -77,12 +79,12 @@
         """
         exchange = Exchange(self.ids.next(), request, self.clock.now())
         request.exchange = exchange
-        exchange.entered = self.first
+        exchange.entered_count = self.first
         self.open[exchange.id] = exchange
         try:
-            for enter, entered in self.entering:
+            for enter, entered_count in self.entering:
                 await enter(exchange)
-                exchange.entered = entered
+                exchange.entered_count = entered_count
                 if exchange.answer is not None:
                     return exchange.answer
             exchange.answer = await self.dispatch.run(exchange)
@@ -110,7 +112,7 @@
         if self.open.pop(exchange.id, None) is None:
             return
         for place, leave in self.leaving:
-            if place < exchange.entered:
+            if place < exchange.entered_count:
                 await leave(exchange, clean)
         # A call must not end as a cycle, which only the garbage collector would take apart.
         exchange.request.exchange = None
