--- a/sequoiabridge/pipeline/admit.py
+++ b/sequoiabridge/pipeline/admit.py
@@ -18,14 +18,14 @@
     Reason.CALLER_SHARE: "This caller has its share of the queue already; come back later.",
 }
 
-EXPIRE_EVERY = 0.02
+EXPIRE_INTERVAL = 0.02
 """Seconds between two looks for queued calls that can no longer be answered in time."""
 
 UPSTREAM_REASONS = frozenset({Reason.TIMEOUT, Reason.UPSTREAM_FAILED, Reason.UPSTREAM_SHED})
 """Refusals that say that the upstreams have too much to do, or are in trouble."""
 
 
-class Waiting:
+class QueuedCall:
     """A queued call: its task waits for `event`; `refused` says how it ended."""
 
     __slots__ = ("state", "event", "refused")
@@ -39,7 +39,7 @@
 class Admit(Filter):
     """Edge of `policy.admission`: parks the task of a queued call until its ticket's turn."""
 
-    __slots__ = ("services", "clock", "tickets", "waiting", "expiry")
+    __slots__ = ("services", "clock", "tickets", "queued_calls", "expiry_timer")
 
     name = "admit"
 
@@ -47,13 +47,13 @@
         self.services = services
         self.clock = clock
         self.tickets: dict[str, Ticket] = {}
-        self.waiting: dict[Ticket, Waiting] = {}
-        self.expiry: OnDemand | None = None
+        self.queued_calls: dict[Ticket, QueuedCall] = {}
+        self.expiry_timer: OnDemand | None = None
 
     def subscribe(self, timers: Timers) -> None:
         """Look for calls that wait in vain, while any call waits."""
-        needed = self.waiting.__len__
-        self.expiry = OnDemand(timers, EXPIRE_EVERY, "admission", self.expire, needed)
+        needed = self.queued_calls.__len__
+        self.expiry_timer = OnDemand(timers, EXPIRE_INTERVAL, "admission", self.expire, needed)
 
     async def enter(self, exchange: Exchange) -> None:
         state = self.services.state_of(exchange)
@@ -65,16 +65,16 @@
         if decision.verdict is Verdict.REFUSED:
             raise _refusal(decision.reason, decision.retry_after)
         if decision.verdict is Verdict.QUEUED:
-            await self._wait(state, ticket)
+            await self._wait_for_admission(state, ticket)
         self.tickets[exchange.id] = ticket
 
     async def leave(self, exchange: Exchange, clean: bool) -> None:
         ticket = self.tickets.pop(exchange.id)
         state = self.services.state_of(exchange)
-        await self._wake(self._released(state, ticket, exchange), refused=False)
+        await self._wake(self._end_ticket(state, ticket, exchange), refused=False)
         await self._refuse_displaced(state)
 
-    def _released(self, state: ServiceState, ticket: Ticket, exchange: Exchange) -> list[Ticket]:
+    def _end_ticket(self, state: ServiceState, ticket: Ticket, exchange: Exchange) -> list[Ticket]:
         now = self.clock.now()
         refusal = exchange.refusal
         if ticket.admitted_at is None or exchange.answer is None:
@@ -86,22 +86,22 @@
     async def expire(self) -> None:
         """Refuse the queued calls that can no longer be answered in time; a timer calls this."""
         now = self.clock.now()
-        for state in {waiting.state for waiting in self.waiting.values()}:
+        for state in {call.state for call in self.queued_calls.values()}:
             await self._wake(state.queue.expire(now), refused=True)
 
-    async def _wait(self, state: ServiceState, ticket: Ticket) -> None:
-        waiting = self.waiting[ticket] = Waiting(state)
-        if self.expiry is not None:
-            self.expiry.wake()
+    async def _wait_for_admission(self, state: ServiceState, ticket: Ticket) -> None:
+        call = self.queued_calls[ticket] = QueuedCall(state)
+        if self.expiry_timer is not None:
+            self.expiry_timer.wake()
         try:
-            await waiting.event.wait()
+            await call.event.wait()
         except BaseException:
             # The caller has gone; a place that it was just given goes to the next.
             await self._wake(state.queue.abandon(ticket, self.clock.now()), refused=False)
             raise
         finally:
-            del self.waiting[ticket]
-        if waiting.refused:
+            del self.queued_calls[ticket]
+        if call.refused:
             raise _refusal(Reason.CANNOT_MEET_WINDOW, DEFAULT_RETRY_AFTER)
 
     async def _refuse_displaced(self, state: ServiceState) -> None:
@@ -111,11 +111,11 @@
 
     async def _wake(self, tickets: list[Ticket], refused: bool) -> None:
         for ticket in tickets:
-            waiting = self.waiting.get(ticket)
-            if waiting is None:
+            call = self.queued_calls.get(ticket)
+            if call is None:
                 continue
-            waiting.refused = refused
-            await waiting.event.set()
+            call.refused = refused
+            await call.event.set()
 
 
 def _refusal(reason: Reason, retry_after: float | None) -> Refusal:
--- a/sequoiabridge/pipeline/pipeline.py
+++ b/sequoiabridge/pipeline/pipeline.py
@@ -42,7 +42,16 @@
         clock: The daemon's clock.
     """
 
-    __slots__ = ("steps", "first", "entering", "leaving", "dispatch", "ids", "clock", "open")
+    __slots__ = (
+        "all_filters",
+        "initial_entered_count",
+        "enter_hooks",
+        "leave_hooks",
+        "dispatch",
+        "ids",
+        "clock",
+        "open_exchanges",
+    )
 
     def __init__(
         self, filters: Sequence[Filter], dispatch: Dispatch, ids: RequestIds, clock: Clock
@@ -51,25 +60,29 @@
         self.dispatch = dispatch
         self.ids = ids
         self.clock = clock
-        self.open: dict[str, Exchange] = {}
+        self.open_exchanges: dict[str, Exchange] = {}
 
     @property
     def filters(self) -> Sequence[Filter]:
         """The filters, in the order in which a call meets them."""
-        return self.steps
+        return self.all_filters
 
     @filters.setter
     def filters(self, filters: Sequence[Filter]) -> None:
         """Set the filters. Hooks that do nothing are not called; they count as entered."""
-        self.steps = filters
-        enters = [place for place, step in enumerate(filters) if overrides(step, "enter")]
-        entered_count = [*enters, len(filters)]
-        self.first = entered_count[0]
-        self.entering = [
-            (filters[place].enter, entered_count[n + 1]) for n, place in enumerate(enters)
+        self.all_filters = filters
+        enter_indexes = [
+            index for index, filter_ in enumerate(filters) if overrides_hook(filter_, "enter")
         ]
-        leaves = [place for place, step in enumerate(filters) if overrides(step, "leave")]
-        self.leaving = [(place, filters[place].leave) for place in reversed(leaves)]
+        entered_counts = [*enter_indexes, len(filters)]
+        self.initial_entered_count = entered_counts[0]
+        self.enter_hooks = [
+            (filters[index].enter, entered_counts[n + 1]) for n, index in enumerate(enter_indexes)
+        ]
+        leave_indexes = [
+            index for index, filter_ in enumerate(filters) if overrides_hook(filter_, "leave")
+        ]
+        self.leave_hooks = [(index, filters[index].leave) for index in reversed(leave_indexes)]
 
     async def answer(self, request: Request) -> Answer:
         """Return the answer for a call: an upstream's, or the daemon's own refusal.
@@ -79,10 +92,10 @@
         """
         exchange = Exchange(self.ids.next(), request, self.clock.now())
         request.exchange = exchange
-        exchange.entered_count = self.first
-        self.open[exchange.id] = exchange
+        exchange.entered_count = self.initial_entered_count
+        self.open_exchanges[exchange.id] = exchange
         try:
-            for enter, entered_count in self.entering:
+            for enter, entered_count in self.enter_hooks:
                 await enter(exchange)
                 exchange.entered_count = entered_count
                 if exchange.answer is not None:
@@ -96,7 +109,7 @@
             raise
         except Exception:
             log.exception("Call %s hit an error of the daemon's own.", exchange.id)
-            exchange.refusal = _internal(exchange)
+            exchange.refusal = _internal_error(exchange)
             exchange.answer = refusal_answer(exchange.refusal, exchange.id)
         except BaseException:
             await self._leave(exchange, False)
@@ -109,20 +122,20 @@
             await self._leave(request.exchange, clean)
 
     async def _leave(self, exchange: Exchange, clean: bool) -> None:
-        if self.open.pop(exchange.id, None) is None:
+        if self.open_exchanges.pop(exchange.id, None) is None:
             return
-        for place, leave in self.leaving:
-            if place < exchange.entered_count:
+        for index, leave in self.leave_hooks:
+            if index < exchange.entered_count:
                 await leave(exchange, clean)
         # A call must not end as a cycle, which only the garbage collector would take apart.
         exchange.request.exchange = None
 
 
-def overrides(step: Filter, hook: str) -> bool:
+def overrides_hook(filter_: Filter, hook: str) -> bool:
     """Return whether a filter has a hook of its own."""
-    return getattr(type(step), hook) is not getattr(Filter, hook)
+    return getattr(type(filter_), hook) is not getattr(Filter, hook)
 
 
-def _internal(exchange: Exchange) -> Refusal:
+def _internal_error(exchange: Exchange) -> Refusal:
     message = "The daemon failed on this call; its log has the cause. Try again later."
     return Refusal(500, exchange.outcome, Reason.INTERNAL, message, DEFAULT_RETRY_AFTER)
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -109,7 +109,7 @@
 
     with pytest.raises(Refusal):
         curio.run(call)
-    assert not admit.waiting
+    assert not admit.queued_calls
 
 
 def test_a_suspicion_is_told_and_taken_back_without_a_further_call():
--- a/sequoiabridge/tests/pipeline/test_pipeline.py
+++ b/sequoiabridge/tests/pipeline/test_pipeline.py
@@ -50,7 +50,7 @@
         return answer.status
 
     assert curio.run(call) == 503
-    assert seen == left and not pipeline.open
+    assert seen == left and not pipeline.open_exchanges
 
 
 class Kept(Exchange):
--- a/sequoiabridge/tests/pipeline/test_removed_service.py
+++ b/sequoiabridge/tests/pipeline/test_removed_service.py
@@ -25,7 +25,7 @@
     async def wait():
         await curio.spawn(timers.run, daemon=True)
         task = await curio.spawn(admit.enter, bench.exchange(window=0.2), daemon=True)
-        while not admit.waiting:
+        while not admit.queued_calls:
             await curio.sleep(0)
         bench.services.update(Document.empty())
         await curio.timeout_after(5.0, task.wait)
