--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -68,7 +68,7 @@
         server_error: Answer | None = None
         failure: UpstreamFailed | None = None
         while (upstream := await self._choose(exchange, state, tried)) is not None:
-            attempt = self._begin(exchange, state, upstream, fresh=False)
+            attempt = self._start_attempt(exchange, state, upstream, fresh=False)
             try:
                 answer = await self._first_answer(exchange, state, attempt, tried)
             except UpstreamFailed as error:
@@ -100,7 +100,7 @@
             self.observer.record_retry(exchange.service.name, False)
         return upstream
 
-    def _begin(
+    def _start_attempt(
         self, exchange: Exchange, state: ServiceState, upstream: UpstreamState, fresh: bool
     ) -> Attempt:
         attempt = Attempt(exchange, upstream, self.connector, self.clock, fresh)
@@ -120,7 +120,7 @@
         except curio.TaskTimeout:
             if hedge_at < exchange.deadline and attempt.resumable:
                 return await self._hedge(exchange, state, attempt, tried)
-            error = _timeout(attempt)
+            error = _timeout_error(attempt)
             await self.recorder.record_failure(state, attempt, error)
             raise error from None
         except UpstreamFailed as error:
@@ -129,7 +129,7 @@
         except BaseException:
             await self.recorder.record_cancellation(state, attempt)
             raise
-        return await self._won(exchange, state, attempt, answer)
+        return await self._accept_answer(exchange, state, attempt, answer)
 
     async def _hedge(
         self, exchange: Exchange, state: ServiceState, first: Attempt, tried: list[str]
@@ -137,24 +137,24 @@
         """Let a second attempt, on a new connection, race the one that stays silent."""
         attempts = [first]
         upstream = state.pool.choose(self.clock.now(), tried)
-        left = exchange.deadline - self.clock.now()
-        if upstream is not None and upstream.name not in tried and self._pay(state):
-            attempts.append(self._begin(exchange, state, upstream, fresh=True))
+        remaining = exchange.deadline - self.clock.now()
+        if upstream is not None and upstream.name not in tried and self._take_retry_token(state):
+            attempts.append(self._start_attempt(exchange, state, upstream, fresh=True))
             tried.append(upstream.name)
             self.observer.record_retry(exchange.service.name, True)
             exchange.note(Repeated("hedge", True, f"silent, so also sent to {upstream.name}"))
         race = Race(self.recorder, state, attempts)
         try:
-            async with curio.timeout_after(max(0.0, left)):
+            async with curio.timeout_after(max(0.0, remaining)):
                 winner, answer = await race.run()
         except curio.TaskTimeout:
-            await race.timed_out()
-            raise _timeout(first) from None
+            await race.record_timeout()
+            raise _timeout_error(first) from None
         if winner is not first:
             await self.recorder.close_idle_connections(first)
-        return await self._won(exchange, state, winner, answer)
+        return await self._accept_answer(exchange, state, winner, answer)
 
-    async def _won(
+    async def _accept_answer(
         self, exchange: Exchange, state: ServiceState, attempt: Attempt, answer: Answer
     ) -> Answer:
         exchange.upstream = attempt.upstream.name
@@ -165,7 +165,7 @@
             return float("inf")
         return attempt.started + state.hedging.delay
 
-    def _pay(self, state: ServiceState) -> bool:
+    def _take_retry_token(self, state: ServiceState) -> bool:
         return state.retry_budget.take(self.clock.now())
 
     def _may_retry(
@@ -183,12 +183,14 @@
         if is_request_blocked(state.ledger, exchange, now):
             exchange.note(Repeated("retry", False, "upstreams crashed on this request"))
             return False
-        left = exchange.deadline - now
-        sent = exchange.unproven_attempts > 0
-        if not may_retry(exchange.rule, sent, not sent, exchange.attempts, left):
+        remaining = exchange.deadline - now
+        possibly_run = exchange.unproven_attempts > 0
+        if not may_retry(
+            exchange.rule, possibly_run, not possibly_run, exchange.attempts, remaining
+        ):
             exchange.note(Repeated("retry", False, "not allowed, or no attempt or time left"))
             return False
-        if not self._pay(state):
+        if not self._take_retry_token(state):
             exchange.note(Repeated("retry", False, "the retry budget is spent"))
             return False
         return True
@@ -199,7 +201,7 @@
     return body is None or isinstance(body, ReplayableBody)
 
 
-def _timeout(attempt: Attempt) -> UpstreamFailed:
+def _timeout_error(attempt: Attempt) -> UpstreamFailed:
     message = f"{attempt.upstream.name} did not answer in time."
     return UpstreamFailed(message, sent=attempt.sent, timed_out=True)
 
--- a/sequoiabridge/pipeline/hedge.py
+++ b/sequoiabridge/pipeline/hedge.py
@@ -34,7 +34,7 @@
         try:
             async with curio.TaskGroup() as group:
                 for attempt in self.running:
-                    await group.spawn(_outcome, attempt)
+                    await group.spawn(_run_attempt, attempt)
                 return await self._first_answer(group)
         except (curio.TaskTimeout, curio.TimeoutCancellationError):
             raise
@@ -42,7 +42,7 @@
             await self._cancel_rest()
             raise
 
-    async def timed_out(self) -> None:
+    async def record_timeout(self) -> None:
         """Enter each attempt that is still silent as one that did not answer in time."""
         for attempt in self.running:
             error = UpstreamFailed("No answer in time.", sent=attempt.sent, timed_out=True)
@@ -68,7 +68,7 @@
         self.running = []
 
 
-async def _outcome(attempt: Attempt) -> tuple[Attempt, Answer | None, UpstreamFailed | None]:
+async def _run_attempt(attempt: Attempt) -> tuple[Attempt, Answer | None, UpstreamFailed | None]:
     """Run an attempt; a failure is returned, since a raised one would be logged as a crash."""
     try:
         return attempt, await attempt.run(), None
