--- a/sequoiabridge/pipeline/claiming.py
+++ b/sequoiabridge/pipeline/claiming.py
@@ -24,11 +24,11 @@
 
 log = get_log("claiming")
 
-MAX_KEPT = 16 * 1024
+MAX_REPLAY_BYTES = 16 * 1024
 """Bytes up to which an answer is kept for replay."""
 
-NO_BODY = ""
-STREAMED = "streamed"
+NO_BODY_DIGEST = ""
+STREAMED_BODY_DIGEST = "streamed"
 """Digest of a body that is too large to be kept in memory; two such bodies are not compared."""
 
 
@@ -61,9 +61,9 @@
     async def leave(self, exchange: Exchange, clean: bool) -> None:
         """Record the outcome in the background: no caller waits for it."""
         if exchange.claim is not None:
-            await curio.spawn(self._report(exchange), daemon=True)
+            await curio.spawn(self._record_outcome(exchange), daemon=True)
 
-    async def _report(self, exchange: Exchange) -> None:
+    async def _record_outcome(self, exchange: Exchange) -> None:
         claim = exchange.claim
         if not exchange.unproven_attempts:
             await self.claims.release(claim)
@@ -75,21 +75,21 @@
     async def _complete(self, exchange: Exchange, claim: ClaimGranted) -> None:
         answer = exchange.answer
         body = answer.body
-        kept = body.whole if isinstance(body, BytesBody) else None
+        stored_body = body.whole if isinstance(body, BytesBody) else None
         if answer.body is None:
-            kept = b""
-        if kept is not None and len(kept) > MAX_KEPT:
-            kept = None
+            stored_body = b""
+        if stored_body is not None and len(stored_body) > MAX_REPLAY_BYTES:
+            stored_body = None
         fields = [field for field in answer.headers if field[0] != headers.REQUEST_ID]
-        await self.claims.complete(claim, answer.status, fields, kept)
+        await self.claims.complete(claim, answer.status, fields, stored_body)
 
 
 def body_digest(exchange: Exchange) -> str:
     """Return what tells the request's body from another under the same key."""
     body = exchange.request.body
     if body is None:
-        return NO_BODY
-    return body.digest() if isinstance(body, ReplayableBody) else STREAMED
+        return NO_BODY_DIGEST
+    return body.digest() if isinstance(body, ReplayableBody) else STREAMED_BODY_DIGEST
 
 
 def replay(result: ClaimReplay, request_id: str) -> Answer:
--- a/sequoiabridge/pipeline/identify.py
+++ b/sequoiabridge/pipeline/identify.py
@@ -31,20 +31,24 @@
             if name == headers.CALLER:
                 exchange.caller = value.decode("latin-1")
             elif name == headers.IDEMPOTENCY_KEY:
-                exchange.key = self._key(value)
+                exchange.key = self._parse_key(value)
             elif name == headers.DEADLINE:
-                exchange.deadline = exchange.arrived + self._seconds(value)
+                exchange.deadline = exchange.arrived + self._parse_deadline(value)
 
-    def _key(self, value: bytes) -> str:
+    def _parse_key(self, value: bytes) -> str:
         if not value or len(value) > MAX_KEY_LENGTH:
-            raise _bad(f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters; shorten it.")
+            raise _bad_request(
+                f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters; shorten it."
+            )
         return value.decode("latin-1")
 
-    def _seconds(self, value: bytes) -> float:
+    def _parse_deadline(self, value: bytes) -> float:
         if not value.isdigit() or not 0 < int(value) <= MAX_DEADLINE_MS:
-            raise _bad(f"Sequoia-Deadline-Ms must be 1 to {MAX_DEADLINE_MS}; send milliseconds.")
+            raise _bad_request(
+                f"Sequoia-Deadline-Ms must be 1 to {MAX_DEADLINE_MS}; send milliseconds."
+            )
         return int(value) / 1000
 
 
-def _bad(message: str) -> Refusal:
+def _bad_request(message: str) -> Refusal:
     return Refusal(400, Outcome.NOT_RUN, Reason.BAD_REQUEST, message)
--- a/sequoiabridge/pipeline/match.py
+++ b/sequoiabridge/pipeline/match.py
@@ -12,7 +12,7 @@
 KEY_REQUIRED = "required"
 KEY_IGNORED = "ignored"
 
-RETRY_WHEN_READY = 1.0
+NOT_READY_RETRY_AFTER = 1.0
 """Seconds after which a caller may find this VM ready, or be sent to another one."""
 
 
@@ -36,7 +36,7 @@
         reason = self.why_not_ready()
         if reason:
             message = f"This VM cannot serve now: {reason} Try another VM."
-            raise Refusal(503, Outcome.NOT_RUN, Reason.NOT_READY, message, RETRY_WHEN_READY)
+            raise Refusal(503, Outcome.NOT_RUN, Reason.NOT_READY, message, NOT_READY_RETRY_AFTER)
         request = exchange.request
         host = request.header(HOST) or b""
         service, rule = self.document().route(host, request.method, request.target)
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -24,7 +24,7 @@
 ANSWER_TIMEOUT = 60.0
 """Seconds that an upstream may take to answer after the whole body was sent."""
 
-SLOWEST = 64 * 1024
+MIN_BYTES_PER_SECOND = 64 * 1024
 """Bytes a second below which sending is given up."""
 
 HOST = b"host"
@@ -51,33 +51,33 @@
             return Sent(Delivery.RETRY, "no upstream can take it now")
         request = delivery_request(manifest, body)
         request.headers.append((HOST, upstream.address.encode()))
-        limit = CONNECT_TIMEOUT + ANSWER_TIMEOUT + manifest.size / SLOWEST
+        timeout = CONNECT_TIMEOUT + ANSWER_TIMEOUT + manifest.size / MIN_BYTES_PER_SECOND
         started = self.clock.now()
         state.pool.record_send(upstream, started)
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 answer = await self._exchange(upstream, request)
         except curio.TaskTimeout:
-            self._failed(state, upstream, started, Failure.TIMEOUT)
-            return Sent(Delivery.RETRY, f"{upstream.name} did not answer in {limit:.0f} s")
+            self._record_end(state, upstream, started, Failure.TIMEOUT)
+            return Sent(Delivery.RETRY, f"{upstream.name} did not answer in {timeout:.0f} s")
         except UpstreamFailed as error:
-            self._failed(state, upstream, started, Failure.RESET)
-            return await self._broken(state, manifest, upstream, error)
+            self._record_end(state, upstream, started, Failure.RESET)
+            return await self._handle_broken_connection(state, manifest, upstream, error)
         except BaseException:
-            self._failed(state, upstream, started, Failure.CANCELLED)
+            self._record_end(state, upstream, started, Failure.CANCELLED)
             raise
         # How long an upload takes says nothing about the upstream's load.
-        self._failed(state, upstream, started, Failure.CANCELLED)
+        self._record_end(state, upstream, started, Failure.CANCELLED)
         self._apply_drain(state, upstream, answer)
         return delivery_result(manifest, answer)
 
     def _apply_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
         """Take in that the upstream is leaving: a service may have no other calls that tell."""
-        words = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
-        for incarnation in words:
+        drains = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
+        for incarnation in drains:
             apply_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
 
-    async def _broken(
+    async def _handle_broken_connection(
         self,
         state: ServiceState,
         manifest: Manifest,
@@ -99,12 +99,14 @@
             upstream.address, fresh=True, timeout=CONNECT_TIMEOUT
         )
         try:
-            return await self._ask(connection, request)
+            return await self._send_and_read(connection, request)
         finally:
             await connection.close()
             await self.connector.release(connection)
 
-    async def _ask(self, connection: UpstreamConnection, request: UpstreamRequest) -> Answer:
+    async def _send_and_read(
+        self, connection: UpstreamConnection, request: UpstreamRequest
+    ) -> Answer:
         await connection.send(request)
         answer = await connection.read_head()
         if answer.body is not None:
@@ -112,7 +114,7 @@
                 pass
         return answer
 
-    def _failed(
+    def _record_end(
         self, state: ServiceState, upstream: UpstreamState, started: float, kind: Failure
     ) -> None:
         now = self.clock.now()
--- a/sequoiabridge/pipeline/uploads.py
+++ b/sequoiabridge/pipeline/uploads.py
@@ -26,10 +26,10 @@
 from ..upstreams.base import UpstreamRequest
 from .exchange import Answer, Body, BytesBody, Exchange, Request
 
-RETRY_AFTER = 5.0
+STORE_RETRY_AFTER = 5.0
 """Seconds after which a caller may try again when the store did not answer."""
 
-NOT_PASSED_ON = frozenset(
+EXCLUDED_HEADERS = frozenset(
     {
         b"content-length",
         b"host",
@@ -43,7 +43,7 @@
 )
 """Request headers that are not stored for the delivery; the upload has its own in their place."""
 
-REFUSES_CONTENT = frozenset({400, 409, 413, 415, 422})
+REFUSING_STATUSES = frozenset({400, 409, 413, 415, 422})
 """Statuses by which an upstream refuses an upload for good."""
 
 REFUSALS: dict[type[SequoiaError], tuple[int, Reason]] = {
@@ -57,13 +57,13 @@
 }
 """Status and reason of the refusal for each error; only an unsettled acceptance is `unknown`."""
 
-LOOKUP = "?"
+LOOKUP_OFFSET = "?"
 """Value of `Sequoia-Upload-Offset` that asks for the offset."""
 
-MAX_DIGITS = 19
+OFFSET_DIGIT_LIMIT = 19
 """Digits that an offset must stay under."""
 
-HEX_DIGEST = 64
+DIGEST_LENGTH = 64
 """Characters of a SHA-256 in hexadecimal."""
 
 
@@ -87,13 +87,15 @@
 
     async def handle(self, exchange: Exchange) -> Answer:
         """Receive, resume or look up an upload. Raises `Refusal` or `CallerGone`."""
-        incoming = _incoming(exchange)
+        incoming = _parse_upload(exchange)
         try:
             received = await self.uploads.receive(incoming)
         except tuple(REFUSALS) as error:
             raise _refusal(error) from error
         exchange.note(f"upload {received.id} {received.state.value} at {received.offset}")
-        return _answer(received, is_lookup=incoming.offset is None and bool(incoming.upload_id))
+        return _build_answer(
+            received, is_lookup=incoming.offset is None and bool(incoming.upload_id)
+        )
 
 
 def delivery_request(manifest: Manifest, body: Body) -> UpstreamRequest:
@@ -113,72 +115,78 @@
     An answer that carries `Sequoia-Upload-Digest` confirms that content, even if the upstream did
     not read the body again.
     """
-    echoed = next((v for f, v in answer.headers if f == names.UPLOAD_DIGEST), None)
-    if answer.status in REFUSES_CONTENT:
+    returned_digest = next((v for f, v in answer.headers if f == names.UPLOAD_DIGEST), None)
+    if answer.status in REFUSING_STATUSES:
         return Sent(Delivery.REFUSED, f"the upstream answered {answer.status}; see its log")
     if not 200 <= answer.status < 300:
         return Sent(Delivery.RETRY, f"the upstream answered {answer.status}")
-    if echoed is None:
+    if returned_digest is None:
         return Sent(Delivery.CONFIRMED)
-    if echoed.lower() != manifest.digest.encode():
+    if returned_digest.lower() != manifest.digest.encode():
         return Sent(Delivery.RETRY, "the upstream confirmed another digest; see its log")
     return Sent(Delivery.HELD_ALREADY)
 
 
-def _incoming(exchange: Exchange) -> IncomingUpload:
+def _parse_upload(exchange: Exchange) -> IncomingUpload:
     request, service, caller = exchange.request, exchange.service.name, exchange.caller
-    key = exchange.key or _text(request, names.IDEMPOTENCY_KEY)
-    upload_id, offset = _upload_id(request), _text(request, names.UPLOAD_OFFSET)
+    key = exchange.key or _header_text(request, names.IDEMPOTENCY_KEY)
+    upload_id, offset = _parse_upload_id(request), _header_text(request, names.UPLOAD_OFFSET)
     if offset is not None and upload_id is None:
         if not key:
-            raise _bad("Sequoia-Upload-Offset needs Sequoia-Upload-Id or Idempotency-Key; add one")
+            raise _bad_request(
+                "Sequoia-Upload-Offset needs Sequoia-Upload-Id or Idempotency-Key; add one"
+            )
         upload_id = keyed_id(service, caller, key)
-    is_lookup = upload_id is not None and offset in (None, LOOKUP)
+    is_lookup = upload_id is not None and offset in (None, LOOKUP_OFFSET)
     if is_lookup and request.length != 0:
-        raise _bad("a body for an upload that exists needs Sequoia-Upload-Offset; add its number")
+        raise _bad_request(
+            "a body for an upload that exists needs Sequoia-Upload-Offset; add its number"
+        )
     return IncomingUpload(
         service,
         caller,
         request.method,
         request.target,
-        [field for field in request.headers if field[0] not in NOT_PASSED_ON],
+        [field for field in request.headers if field[0] not in EXCLUDED_HEADERS],
         request.body,
         request.length,
         key=key,
         upload_id=upload_id,
-        offset=None if is_lookup or offset is None else _number(offset),
-        digest=_digest(request),
+        offset=None if is_lookup or offset is None else _parse_offset(offset),
+        digest=_parse_digest(request),
         max_size=exchange.rule.max_body,
         deadline=exchange.deadline or inf,
     )
 
 
-def _upload_id(request: Request) -> str | None:
-    text = _text(request, names.UPLOAD_ID)
-    if text is not None and not (text.isascii() and text.isalnum() and len(text) <= HEX_DIGEST):
-        raise _bad("Sequoia-Upload-Id is not an id of this system; start a new upload")
+def _parse_upload_id(request: Request) -> str | None:
+    text = _header_text(request, names.UPLOAD_ID)
+    if text is not None and not (text.isascii() and text.isalnum() and len(text) <= DIGEST_LENGTH):
+        raise _bad_request("Sequoia-Upload-Id is not an id of this system; start a new upload")
     return text
 
 
-def _number(text: str) -> int:
-    if not (text.isascii() and text.isdecimal() and len(text) < MAX_DIGITS):
-        raise _bad("Sequoia-Upload-Offset is neither a number of bytes nor ?; correct it")
+def _parse_offset(text: str) -> int:
+    if not (text.isascii() and text.isdecimal() and len(text) < OFFSET_DIGIT_LIMIT):
+        raise _bad_request("Sequoia-Upload-Offset is neither a number of bytes nor ?; correct it")
     return int(text)
 
 
-def _digest(request: Request) -> str:
-    text = (_text(request, names.UPLOAD_DIGEST) or "").lower()
-    if text and (len(text) != HEX_DIGEST or set(text) - set("0123456789abcdef")):
-        raise _bad("Sequoia-Upload-Digest is not a SHA-256 in hexadecimal; correct or omit it")
+def _parse_digest(request: Request) -> str:
+    text = (_header_text(request, names.UPLOAD_DIGEST) or "").lower()
+    if text and (len(text) != DIGEST_LENGTH or set(text) - set("0123456789abcdef")):
+        raise _bad_request(
+            "Sequoia-Upload-Digest is not a SHA-256 in hexadecimal; correct or omit it"
+        )
     return text
 
 
-def _text(request: Request, name: bytes) -> str | None:
+def _header_text(request: Request, name: bytes) -> str | None:
     value = request.header(name)
     return None if value is None else value.decode("latin-1")
 
 
-def _answer(received: Received, is_lookup: bool) -> Answer:
+def _build_answer(received: Received, is_lookup: bool) -> Answer:
     status = UploadStatus(
         received.id, received.state, received.offset, received.digest, received.error
     )
@@ -193,12 +201,12 @@
     return Answer(200 if is_lookup else 202, headers, len(body), BytesBody(body))
 
 
-def _bad(message: str) -> Refusal:
+def _bad_request(message: str) -> Refusal:
     return Refusal(400, Outcome.NOT_RUN, Reason.BAD_REQUEST, message)
 
 
 def _refusal(error: SequoiaError) -> Refusal:
     status, reason = REFUSALS[type(error)]
     outcome = Outcome.UNKNOWN if isinstance(error, AcceptanceUnknown) else Outcome.NOT_RUN
-    retry_after = RETRY_AFTER if isinstance(error, StoreUnavailable) else None
+    retry_after = STORE_RETRY_AFTER if isinstance(error, StoreUnavailable) else None
     return Refusal(status, outcome, reason, str(error), retry_after)
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -77,7 +77,7 @@
         else:
             await self.claims.release(exchange.claim)
 
-    return [(Claiming, "_report", report)]
+    return [(Claiming, "_record_outcome", report)]
 
 
 def retry_after_a_byte() -> list[Patch]:
