--- a/sequoiabridge/store/admission.py
+++ b/sequoiabridge/store/admission.py
@@ -13,7 +13,7 @@
 
 log = get_log("store")
 
-FAIR_WAIT = 0.2
+MIN_FAILURE_TIMEOUT = 0.2
 """Seconds that the store must have had before silence counts as a failure of its own."""
 
 
@@ -22,7 +22,7 @@
     return Error(StoreError(kind, message))
 
 
-class Counts:
+class StoreCounts:
     """Plain counters for metrics and the dump.
 
     `asked` transactions were wanted, `grouped` of them went in groups of two or more, `splits`
@@ -67,22 +67,22 @@
         self.writes = RateShare(fleet_writes, clock.now())
         self.reads = RateShare(fleet_reads, clock.now())
         self.breaker = CircuitBreaker()
-        self.counts = Counts()
-        self.probed_apart = False
+        self.counts = StoreCounts()
+        self.has_background_probe = False
 
-    def closed(self) -> Result | None:
+    def refusal_if_down(self) -> Result | None:
         """Return the error for a call made while the store is down, else None."""
         now = self.clock.now()
         if not self.breaker.is_open:
             return None
-        if not self.probed_apart and self.breaker.allow_call(now):
+        if not self.has_background_probe and self.breaker.allow_call(now):
             return None
         self.counts.refused += 1
         wait = self.breaker.retry_after(now)
         text = f"the platform's store does not answer; it is tried again in {wait:.1f} s"
         return store_error(StoreErrorKind.NOT_SENT, text)
 
-    async def pay(
+    async def wait_for_token(
         self, share: RateShare, priority: Priority, deadline: float, cost: int = 1
     ) -> bool:
         """Wait until `share` allows a call; false if that would be after `deadline`."""
@@ -95,7 +95,7 @@
                 return False
             await curio.sleep(wait)
 
-    async def paid(
+    async def run_call(
         self,
         share: RateShare,
         priority: Priority,
@@ -103,38 +103,38 @@
         call: Callable[[float], Awaitable[Result]],
     ) -> Result:
         """Await `call(seconds left)` when the breaker and the rate allow it."""
-        refusal = self.closed()
+        refusal = self.refusal_if_down()
         if refusal is not None:
             return refusal
         deadline = self.clock.now() + timeout
-        if not await self.pay(share, priority, deadline):
+        if not await self.wait_for_token(share, priority, deadline):
             text = "no room in this VM's share of the rate; try again later"
             return store_error(StoreErrorKind.NOT_SENT, text)
         if share is self.reads:
             self.counts.reads += 1
         else:
             self.counts.writes += 1
-        left = deadline - self.clock.now()
-        result = await call(left)
-        self.judge(result, share, left)
+        remaining = deadline - self.clock.now()
+        result = await call(remaining)
+        self.record_result(result, share, remaining)
         return result
 
-    def judge(self, result: Result, share: RateShare, waited: float) -> None:
+    def record_result(self, result: Result, share: RateShare, call_timeout: float) -> None:
         """Learn from a call that was given `waited` seconds whether the service is there."""
         kind = None if result.is_ok() else result.error.kind
-        if kind is StoreErrorKind.UNKNOWN and waited < FAIR_WAIT:
+        if kind is StoreErrorKind.UNKNOWN and call_timeout < MIN_FAILURE_TIMEOUT:
             return
         if kind in (StoreErrorKind.UNKNOWN, StoreErrorKind.NOT_SENT):
-            self._failed(result.error)
+            self._record_failure(result.error)
             return
         if self.breaker.is_open:
             log.info("Store answers again.")
         self.breaker.record_success()
         if kind is StoreErrorKind.REJECTED:
             self.counts.rejected += 1
-            share.pressed()
+            share.record_rejection()
 
-    def _failed(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         self.counts.unanswered += 1
         was_open = self.breaker.is_open
         self.breaker.record_failure(self.clock.now())
--- a/sequoiabridge/store/claim_admin.py
+++ b/sequoiabridge/store/claim_admin.py
@@ -30,16 +30,16 @@
 RETENTION = 24 * 3600.0
 """Seconds for which a finished claim is kept; its key is refused or replayed that long."""
 
-SWEEP_PERIOD = 2.0
+REMOVAL_INTERVAL = 2.0
 """Seconds between two steps of the removal by age."""
 
-PAGE = 100
+PAGE_SIZE = 100
 """Rows read in one step of the removal, and in one step of a list."""
 
 DELETE_BATCH = 25
 """Rows removed by one transaction."""
 
-MAX_PAGES = 50
+MAX_LIST_PAGES = 50
 """Pages read for one list."""
 
 RELEASE_GRACE = 30.0
@@ -88,13 +88,13 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Remove old claims step by step."""
-        timers.every(SWEEP_PERIOD, "claims sweep", self.remove_expired)
+        timers.every(REMOVAL_INTERVAL, "claims sweep", self.remove_expired)
 
     async def list_open(self, limit: int, after: str = "") -> Result[ClaimList, StoreError]:
         """Return up to `limit` claims whose outcome nobody has reported by their deadline."""
         found: list[OpenClaim] = []
-        for _ in range(MAX_PAGES):
-            page = await self._page(after)
+        for _ in range(MAX_LIST_PAGES):
+            page = await self._read_page(after)
             if page.is_error():
                 return page
             for row in page.ok:
@@ -102,7 +102,7 @@
                 self._add_open(found, row)
                 if len(found) == limit:
                     return Ok(ClaimList(found, after))
-            if len(page.ok) < PAGE:
+            if len(page.ok) < PAGE_SIZE:
                 return Ok(ClaimList(found, None))
         return Ok(ClaimList(found, after))
 
@@ -125,7 +125,7 @@
         if found.ok is None:
             return Error(ClaimNotReleased(f"There is no claim {row_key}; see show claims."))
         row = decode_claim(found.ok.value)
-        problem = self._not_releasable(row)
+        problem = self._release_problem(row)
         if problem:
             return Error(ClaimNotReleased(problem))
         audit = AuditRow(row_key, author, reason, self.clock.wall(), new_token(), row)
@@ -140,32 +140,32 @@
 
     async def remove_expired(self) -> int:
         """Look at one page of claims and remove the finished ones past their age."""
-        page = await self._page(self.cursor)
+        page = await self._read_page(self.cursor)
         if page.is_error():
             return 0
-        old = [row for row in page.ok if self._is_old(row)]
-        self.cursor = self._next_cursor(page.ok, old)
-        old = old[:DELETE_BATCH]
-        if not old:
+        expired = [row for row in page.ok if self._is_expired(row)]
+        self.cursor = self._next_cursor(page.ok, expired)
+        expired = expired[:DELETE_BATCH]
+        if not expired:
             return 0
-        conditions = [Condition(CLAIMS_TABLE, row.key, row.version) for row in old]
-        writes = [Write(CLAIMS_TABLE, row.key, None) for row in old]
+        conditions = [Condition(CLAIMS_TABLE, row.key, row.version) for row in expired]
+        writes = [Write(CLAIMS_TABLE, row.key, None) for row in expired]
         result = await self.store.transact(conditions, writes, CALL_TIMEOUT, Priority.BACKGROUND)
-        removed = len(old) if result.is_ok() else 0
+        removed = len(expired) if result.is_ok() else 0
         self.removed += removed
         return removed
 
-    async def _page(self, after: str) -> Result[list[Row], StoreError]:
+    async def _read_page(self, after: str) -> Result[list[Row], StoreError]:
         return await self.store.scan(
-            CLAIMS_TABLE, "", after, PAGE, CALL_TIMEOUT, Priority.BACKGROUND
+            CLAIMS_TABLE, "", after, PAGE_SIZE, CALL_TIMEOUT, Priority.BACKGROUND
         )
 
-    def _next_cursor(self, page: list[Row], old: list[Row]) -> str:
-        if len(old) > DELETE_BATCH:
-            return old[DELETE_BATCH - 1].key
-        return page[-1].key if len(page) == PAGE else ""
+    def _next_cursor(self, page: list[Row], expired: list[Row]) -> str:
+        if len(expired) > DELETE_BATCH:
+            return expired[DELETE_BATCH - 1].key
+        return page[-1].key if len(page) == PAGE_SIZE else ""
 
-    def _is_old(self, row: Row) -> bool:
+    def _is_expired(self, row: Row) -> bool:
         claim = decode_claim(row.value)
         if claim is None or claim.state in OPEN_STATES:
             return False
@@ -181,7 +181,7 @@
         if claim.state in OPEN_STATES and overdue:
             found.append(OpenClaim(row.key, claim, wall - claim.at))
 
-    def _not_releasable(self, row: ClaimRow | None) -> str | None:
+    def _release_problem(self, row: ClaimRow | None) -> str | None:
         if row is None:
             return "The claim's row is of a newer version; ask a VM of that version."
         if row.state not in OPEN_STATES:
--- a/sequoiabridge/store/claim_reports.py
+++ b/sequoiabridge/store/claim_reports.py
@@ -12,17 +12,17 @@
 
 log = get_log("claims")
 
-MAX_REPORTS = 10_000
+MAX_PENDING_REPORTS = 10_000
 """Reports kept; while there are so many, no new claim is made."""
 
-MAX_BODIES = 500
+MAX_PENDING_BODIES = 500
 """Reports whose answer is kept in memory for later replay; the others are done without one."""
 
-REPORT_ROUNDS = 3
+MAX_WRITE_ATTEMPTS = 3
 """Times that one report is tried before it waits for its next turn."""
 
 
-class Report:
+class ClaimReport:
     """The outcome to write over the row that holds `row.token`.
 
     `version` is the row's version as last known. An abandoned claim, whose own insert may still
@@ -37,46 +37,46 @@
         self.version = version
 
 
-class Reports:
+class ReportQueue:
     """Writes reports, and keeps the unproven ones by token for another try."""
 
     def __init__(self, store: StoreClient):
         self.store = store
-        self.pending: OrderedDict[str, Report] = OrderedDict()
-        self.proven = 0
-        self.overtaken = 0
+        self.pending: OrderedDict[str, ClaimReport] = OrderedDict()
+        self.proven_count = 0
+        self.superseded = 0
 
     @property
     def is_full(self) -> bool:
         """True if no further claim may be made before some reports are proven."""
-        return len(self.pending) >= MAX_REPORTS
+        return len(self.pending) >= MAX_PENDING_REPORTS
 
-    def has_abandoned(self, token: str) -> bool:
+    def is_abandoned(self, token: str) -> bool:
         """True if nothing was sent, and nothing will be, under the claim with this token."""
         report = self.pending.get(token)
         return report is not None and report.row.state is ClaimState.RELEASED
 
-    def keep(self, report: Report) -> None:
+    def enqueue(self, report: ClaimReport) -> None:
         """Keep a report for another try; of many, only the first keep their answers."""
-        if len(self.pending) >= MAX_BODIES and report.row.body is not None:
+        if len(self.pending) >= MAX_PENDING_BODIES and report.row.body is not None:
             report.row = with_outcome(report.row, report.row.state, report.row.status)
         self.pending[report.row.token] = report
 
-    async def write(self, report: Report, priority: Priority = Priority.CLAIM) -> bool:
+    async def write(self, report: ClaimReport, priority: Priority = Priority.CLAIM) -> bool:
         """Try to write a report now; true if it is proven, else it is kept.
 
         As urgent as new claims are: with less, claims at the limit of the rate would starve the
         reports, and held rows would pile up.
         """
-        self.keep(report)
-        for _ in range(REPORT_ROUNDS):
-            settled = await self._step(report, priority)
-            if settled is None:
+        self.enqueue(report)
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            is_done = await self._write_once(report, priority)
+            if is_done is None:
                 continue
-            if settled:
+            if is_done:
                 self.pending.pop(report.row.token, None)
-                self.proven += 1
-            return settled
+                self.proven_count += 1
+            return is_done
         return False
 
     async def retry_pending(self, limit: int) -> int:
@@ -95,7 +95,7 @@
                 self.pending.move_to_end(report.row.token)
         return len(self.pending)
 
-    async def _step(self, report: Report, priority: Priority) -> bool | None:
+    async def _write_once(self, report: ClaimReport, priority: Priority) -> bool | None:
         """Make one try: true if settled, false if unproven, None to try at once again."""
         condition = Condition(CLAIMS_TABLE, report.row_key, report.version)
         write = Write(CLAIMS_TABLE, report.row_key, ENCODER.encode(report.row))
@@ -107,27 +107,27 @@
         found = await self.store.read(CLAIMS_TABLE, report.row_key, CALL_TIMEOUT, priority)
         if found.is_error():
             return False
-        return self._compare(report, found.ok)
+        return self._check_row(report, found.ok)
 
-    def _compare(self, report: Report, found: Row | None) -> bool | None:
+    def _check_row(self, report: ClaimReport, found: Row | None) -> bool | None:
         if found is None:
-            return self._without_row(report)
+            return self._check_missing_row(report)
         row = decode_claim(found.value)
         if row is None:
             return False
         if row.token != report.row.token or row.state is not ClaimState.HELD:
-            return self._overtaken(report, row)
+            return self._record_superseded(report, row)
         report.version = found.version
         return None
 
-    def _without_row(self, report: Report) -> bool | None:
+    def _check_missing_row(self, report: ClaimReport) -> bool | None:
         # Gone by age, or deleted between two steps; only an insert under version 0 can still land.
         abandoned = report.row.state is ClaimState.RELEASED and report.version == 0
         return None if abandoned else True
 
-    def _overtaken(self, report: Report, row: ClaimRow) -> bool:
-        same = row.token == report.row.token and row.state is report.row.state
-        if not same and report.row.state is not ClaimState.RELEASED:
-            self.overtaken += 1
+    def _record_superseded(self, report: ClaimReport, row: ClaimRow) -> bool:
+        is_same_outcome = row.token == report.row.token and row.state is report.row.state
+        if not is_same_outcome and report.row.state is not ClaimState.RELEASED:
+            self.superseded += 1
             log.warning("Claim %s is no longer this VM's: %s.", report.row_key, row.state.value)
         return True
--- a/sequoiabridge/store/claims.py
+++ b/sequoiabridge/store/claims.py
@@ -10,7 +10,7 @@
 from ..component import Component
 from ..timers import Clock, Timers
 from .base import Condition, Row, StoreErrorKind, Write
-from .claim_reports import Report, Reports
+from .claim_reports import ClaimReport, ReportQueue
 from .claim_results import (
     ClaimBusy,
     ClaimGranted,
@@ -35,13 +35,13 @@
 from .client import CALL_TIMEOUT, StoreClient
 from .rates import Priority
 
-MAX_ROUNDS = 4
+MAX_CLAIM_ATTEMPTS = 4
 """Times that a claim is tried on a row that others change meanwhile."""
 
-SETTLE_PERIOD = 1.0
+REPORT_RETRY_INTERVAL = 1.0
 """Seconds between two rounds of settling unproven reports."""
 
-SETTLE_BATCH = 50
+REPORT_RETRY_BATCH = 50
 """Reports tried in one such round."""
 
 
@@ -72,13 +72,13 @@
         self.store = store
         self.clock = clock
         self.vm_name = vm_name
-        self.reports = Reports(store)
+        self.reports = ReportQueue(store)
         self.counts = ClaimCounts()
         self.held: dict[str, ClaimGranted] = {}
 
     def subscribe(self, timers: Timers) -> None:
         """Settle unproven reports in the background."""
-        timers.every(SETTLE_PERIOD, "claims settle", self.retry_reports)
+        timers.every(REPORT_RETRY_INTERVAL, "claims settle", self.retry_reports)
 
     async def acquire(
         self, service: str, caller: str, key: str, body_digest: str, deadline: float
@@ -129,7 +129,7 @@
 
     async def retry_reports(self) -> int:
         """Try unproven reports again; return how many are left. Called until 0 before a stop."""
-        return await self.reports.retry_pending(SETTLE_BATCH)
+        return await self.reports.retry_pending(REPORT_RETRY_BATCH)
 
     def dump(self) -> dict:
         """Describe held claims, unproven reports and counters."""
@@ -137,24 +137,24 @@
         return {
             "held": len(self.held),
             "unproven_reports": len(self.reports.pending),
-            "overtaken": self.reports.overtaken,
+            "overtaken": self.reports.superseded,
             **counts,
         }
 
     async def _claim(self, row_key: str, row: ClaimRow, deadline: float) -> ClaimResult:
         version = 0
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             result = await self._insert(row_key, row, version, deadline)
             if result.is_ok():
-                return self._granted(row_key, row, version, deadline)
+                return self._grant(row_key, row, version, deadline)
             if result.error.kind is StoreErrorKind.UNKNOWN:
-                return self._abandoned(row_key, row, version)
+                return self._abandon(row_key, row, version)
             if result.error.kind is not StoreErrorKind.CONDITION_FAILED:
                 return self._unavailable(result.error.message)
             found = await self._read(row_key, deadline)
             if found.is_error():
                 return self._unavailable(found.error.message)
-            answer = self._judge(found.ok, row)
+            answer = self._result_for_existing(found.ok, row)
             if answer is not None:
                 return answer
             version = found.ok.version if found.ok else 0
@@ -168,52 +168,54 @@
                 [condition], [write], write, deadline, Priority.CLAIM
             )
         except curio.CancelledError:
-            self._abandoned(row_key, row, version)
+            self._abandon(row_key, row, version)
             raise
 
     async def _read(self, row_key: str, deadline: float) -> Result:
-        left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        return await self.store.read(CLAIMS_TABLE, row_key, left, Priority.CLAIM)
+        remaining = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
+        return await self.store.read(CLAIMS_TABLE, row_key, remaining, Priority.CLAIM)
 
-    def _judge(self, found: Row | None, row: ClaimRow) -> ClaimResult | None:
+    def _result_for_existing(self, found: Row | None, row: ClaimRow) -> ClaimResult | None:
         """Return the answer for the row in the way, None if it may be claimed."""
         if found is None:
             return None
-        other = decode_claim(found.value)
-        if other is None:
+        existing = decode_claim(found.value)
+        if existing is None:
             return self._unavailable("the claim's row is of a newer version; replace this VM")
-        if self.reports.has_abandoned(other.token):
+        if self.reports.is_abandoned(existing.token):
             return None
-        kind = key_status(other, row.digest, self.clock.wall())
-        if kind is KeyStatus.FREE:
+        status = key_status(existing, row.digest, self.clock.wall())
+        if status is KeyStatus.FREE:
             return None
-        if kind is KeyStatus.MISMATCH:
+        if status is KeyStatus.MISMATCH:
             self.counts.mismatched += 1
             return ClaimMismatch()
-        if kind is KeyStatus.DONE:
+        if status is KeyStatus.DONE:
             self.counts.replayed += 1
-            return ClaimReplay(other.status, other.headers, other.body)
-        if kind is KeyStatus.BUSY:
+            return ClaimReplay(existing.status, existing.headers, existing.body)
+        if status is KeyStatus.BUSY:
             self.counts.busy += 1
-            return ClaimBusy(other.vm, other.at)
+            return ClaimBusy(existing.vm, existing.at)
         self.counts.unknown += 1
-        return ClaimUnknown(other.vm, other.at)
+        return ClaimUnknown(existing.vm, existing.at)
 
-    def _granted(
+    def _grant(
         self, row_key: str, row: ClaimRow, version: int, deadline: float
     ) -> ClaimGranted | ClaimUnavailable:
         claim = ClaimGranted(row_key, row, version + 1, deadline)
         if self.clock.now() >= deadline:
-            self.reports.keep(Report(row_key, with_outcome(row, ClaimState.RELEASED), version + 1))
+            self.reports.enqueue(
+                ClaimReport(row_key, with_outcome(row, ClaimState.RELEASED), version + 1)
+            )
             self.counts.abandoned += 1
             return self._unavailable("the claim came too late; try again")
         self.held[row.token] = claim
         self.counts.granted += 1
         return claim
 
-    def _abandoned(self, row_key: str, row: ClaimRow, version: int) -> ClaimUnavailable:
+    def _abandon(self, row_key: str, row: ClaimRow, version: int) -> ClaimUnavailable:
         # Nothing is ever sent under this token: this object is the only one that knew it.
-        self.reports.keep(Report(row_key, with_outcome(row, ClaimState.RELEASED), version))
+        self.reports.enqueue(ClaimReport(row_key, with_outcome(row, ClaimState.RELEASED), version))
         self.counts.abandoned += 1
         return self._unavailable("the store did not confirm the claim in time; try again")
 
@@ -223,4 +225,4 @@
 
     async def _report(self, claim: ClaimGranted, row: ClaimRow) -> bool:
         self.held.pop(claim.row.token, None)
-        return await self.reports.write(Report(claim.row_key, row, claim.version))
+        return await self.reports.write(ClaimReport(claim.row_key, row, claim.version))
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -22,10 +22,10 @@
     Write,
 )
 from .committer import Committer
-from .metered_objects import MeteredObjects
+from .rate_limited_objects import RateLimitedObjects
 from .rates import Priority
 
-PROBE_PERIOD = 0.25
+PROBE_INTERVAL = 0.25
 """Seconds between two looks whether the service is to be tried again."""
 
 PROBE_TIMEOUT = 0.5
@@ -34,10 +34,10 @@
 CALL_TIMEOUT = 0.5
 """Seconds given to one call of several that settle a transaction."""
 
-SETTLE_ROUNDS = 4
+MAX_SENDS = 4
 """Times that a transaction is sent before its outcome is left open."""
 
-SETTLE_PAUSE = 0.02
+FIRST_RESEND_DELAY = 0.02
 """Seconds before a transaction is sent again; doubles each round."""
 
 
@@ -76,13 +76,13 @@
         self.sleep = sleep
         self.admission = AdmissionControl(clock, live_count, fleet_writes, fleet_reads, count_rows)
         self.committer = Committer(self.admission, tables, grouping)
-        self.objects = MeteredObjects(self.admission, objects)
+        self.objects = RateLimitedObjects(self.admission, objects)
         self.counts = self.admission.counts
 
     def subscribe(self, timers: Timers) -> None:
         """Try the service again from time to time while it is down, apart from callers' work."""
-        self.admission.probed_apart = True
-        timers.every(PROBE_PERIOD, "store probe", self.probe)
+        self.admission.has_background_probe = True
+        timers.every(PROBE_INTERVAL, "store probe", self.probe)
 
     async def probe(self) -> None:
         """Make one small read if the service is down and a try is due."""
@@ -90,7 +90,7 @@
         if not breaker.is_open or not breaker.allow_call(self.clock.now()):
             return
         result = await self.tables.read("probe", "probe", PROBE_TIMEOUT)
-        self.admission.judge(result, self.admission.reads, PROBE_TIMEOUT)
+        self.admission.record_result(result, self.admission.reads, PROBE_TIMEOUT)
 
     @property
     def is_down(self) -> bool:
@@ -105,7 +105,7 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[None, StoreError]:
         """Make all writes if all conditions hold, perhaps together with other transactions."""
-        refusal = self.admission.closed()
+        refusal = self.admission.refusal_if_down()
         if refusal is not None:
             return refusal
         return await self.committer.transact(conditions, writes, timeout, priority)
@@ -130,26 +130,26 @@
         conditions: then at most one of the two takes effect, for ever.
         """
         sent = False
-        for round_number in range(SETTLE_ROUNDS):
-            left = deadline - self.clock.now()
-            if left <= 0:
+        for round_number in range(MAX_SENDS):
+            remaining = deadline - self.clock.now()
+            if remaining <= 0:
                 break
-            result = await self.transact(conditions, writes, min(left, CALL_TIMEOUT), priority)
+            result = await self.transact(conditions, writes, min(remaining, CALL_TIMEOUT), priority)
             if result.is_ok():
                 return result
             sent = sent or result.error.kind is StoreErrorKind.UNKNOWN
             if not sent:
                 return result
-            settled = await self._read_back(token, result, deadline, priority)
-            if settled is not None:
+            verified = await self._read_back(token, result, deadline, priority)
+            if verified is not None:
                 self.counts.settled += 1
-                return settled
+                return verified
             if self.is_down:
                 break
-            await self.sleep(SETTLE_PAUSE * 2**round_number)
-        return self._left_open(sent)
+            await self.sleep(FIRST_RESEND_DELAY * 2**round_number)
+        return self._unresolved_error(sent)
 
-    def _left_open(self, sent: bool) -> Result:
+    def _unresolved_error(self, sent: bool) -> Result:
         if not sent:
             return store_error(StoreErrorKind.NOT_SENT, "no time left; try again later")
         self.counts.unsettled += 1
@@ -159,10 +159,10 @@
     async def _read_back(
         self, token: Write, result: Result, deadline: float, priority: Priority
     ) -> Result | None:
-        left = min(CALL_TIMEOUT, deadline - self.clock.now())
-        if left <= 0:
+        remaining = min(CALL_TIMEOUT, deadline - self.clock.now())
+        if remaining <= 0:
             return None
-        found = await self.read(token.table, token.key, left, priority)
+        found = await self.read(token.table, token.key, remaining, priority)
         if found.is_error():
             return None
         if found.ok is not None and found.ok.value == token.value:
@@ -174,8 +174,11 @@
         self, table: str, key: str, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[Row | None, StoreError]:
         """Return the row as last committed, or None if there is none."""
-        return await self.admission.paid(
-            self.admission.reads, priority, timeout, lambda left: self.tables.read(table, key, left)
+        return await self.admission.run_call(
+            self.admission.reads,
+            priority,
+            timeout,
+            lambda remaining: self.tables.read(table, key, remaining),
         )
 
     async def scan(
@@ -188,11 +191,11 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[Row], StoreError]:
         """Return up to `limit` rows by key; counts as one read."""
-        return await self.admission.paid(
+        return await self.admission.run_call(
             self.admission.reads,
             priority,
             timeout,
-            lambda left: self.tables.scan(table, prefix, after, limit, left),
+            lambda remaining: self.tables.scan(table, prefix, after, limit, remaining),
         )
 
     def dump(self) -> dict:
@@ -202,7 +205,7 @@
         return {
             "down": admission.breaker.is_open,
             "outages": admission.breaker.outage_count,
-            "waiting": len(self.committer.waiting),
+            "waiting": len(self.committer.queue),
             "write_tokens": round(admission.writes.tokens, 1),
             "read_tokens": round(admission.reads.tokens, 1),
             "share_scale": round(admission.writes.scale, 2),
--- a/sequoiabridge/store/committer.py
+++ b/sequoiabridge/store/committer.py
@@ -3,12 +3,12 @@
 import curio
 from expression import Result
 
-from .admission import FAIR_WAIT, AdmissionControl, store_error
+from .admission import MIN_FAILURE_TIMEOUT, AdmissionControl, store_error
 from .base import Condition, StoreError, StoreErrorKind, TableService, Write
-from .groups import MAX_ROWS, Waiting, merged, take_group
+from .groups import MAX_GROUP_ROWS, QueuedTransaction, dequeue_group, merge_group
 from .rates import Priority
 
-MAX_FLIGHTS = 4
+MAX_CALLS_IN_FLIGHT = 4
 """Calls on their way at one time; what comes meanwhile waits and goes as a group."""
 
 
@@ -25,8 +25,8 @@
         self.clock = admission.clock
         self.tables = tables
         self.grouping = grouping
-        self.waiting: list[Waiting] = []
-        self.flights = curio.Semaphore(MAX_FLIGHTS)
+        self.queue: list[QueuedTransaction] = []
+        self.in_flight_limit = curio.Semaphore(MAX_CALLS_IN_FLIGHT)
         self.arrived = curio.Event()
         self.dispatching = False
 
@@ -39,23 +39,23 @@
     ) -> Result[None, StoreError]:
         """Make all writes if all conditions hold; at most `timeout` seconds."""
         self.admission.counts.asked += 1
-        entry = Waiting(conditions, writes, priority, self.clock.now() + timeout)
-        self.waiting.append(entry)
+        entry = QueuedTransaction(conditions, writes, priority, self.clock.now() + timeout)
+        self.queue.append(entry)
         try:
             await self._wake()
             await curio.timeout_after(timeout, entry.done.wait)
         except curio.TaskTimeout:
             return self._timed_out(entry)
         finally:
-            entry.given_up = True
-            if not entry.taken:
-                self.waiting.remove(entry)
+            entry.abandoned = True
+            if not entry.dequeued:
+                self.queue.remove(entry)
         return entry.result
 
-    def _timed_out(self, entry: Waiting) -> Result:
+    def _timed_out(self, entry: QueuedTransaction) -> Result:
         if entry.result is not None:
             return entry.result
-        if entry.taken:
+        if entry.dequeued:
             return store_error(StoreErrorKind.UNKNOWN, "no answer in time; read back the token")
         text = "no room in this VM's share of the write rate; try again later"
         return store_error(StoreErrorKind.NOT_SENT, text)
@@ -68,23 +68,23 @@
 
     async def _dispatch(self) -> None:
         try:
-            while self.waiting:
-                await self.flights.acquire()
-                if not await self._pay():
-                    await self.flights.release()
+            while self.queue:
+                await self.in_flight_limit.acquire()
+                if not await self._wait_for_token():
+                    await self.in_flight_limit.release()
                     return
-                group = take_group(self.waiting, self.grouping, self._room())
+                group = dequeue_group(self.queue, self.grouping, self._max_group_rows())
                 self.admission.writes.tokens -= self._cost(group) - 1
-                await curio.spawn(self._fly, group, daemon=True)
+                await curio.spawn(self._send_group, group, daemon=True)
         finally:
             self.dispatching = False
 
-    async def _pay(self) -> bool:
+    async def _wait_for_token(self) -> bool:
         # The most urgent that waits pays; a claim that arrives later need not wait behind others.
-        while self.waiting:
-            urgent = min(entry.priority for entry in self.waiting)
+        while self.queue:
+            priority = min(entry.priority for entry in self.queue)
             admission = self.admission
-            wait = admission.writes.take(self.clock.now(), admission.live_count(), urgent)
+            wait = admission.writes.take(self.clock.now(), admission.live_count(), priority)
             if wait <= 0:
                 return True
             self.arrived.clear()
@@ -92,58 +92,58 @@
                 await self.arrived.wait()
         return False
 
-    def _room(self) -> int:
+    def _max_group_rows(self) -> int:
         # Where each row counts, a group is no larger than what is paid for already.
-        paid = 1 + int(max(0.0, self.admission.writes.tokens))
-        return min(MAX_ROWS, paid) if self.admission.count_rows else MAX_ROWS
+        affordable = 1 + int(max(0.0, self.admission.writes.tokens))
+        return min(MAX_GROUP_ROWS, affordable) if self.admission.count_rows else MAX_GROUP_ROWS
 
-    def _cost(self, group: list[Waiting]) -> int:
+    def _cost(self, group: list[QueuedTransaction]) -> int:
         return sum(len(entry.writes) for entry in group) if self.admission.count_rows else 1
 
-    async def _fly(self, group: list[Waiting]) -> None:
+    async def _send_group(self, group: list[QueuedTransaction]) -> None:
         try:
             await self._commit(group)
         finally:
-            lost = store_error(StoreErrorKind.UNKNOWN, "cut off; read back the token")
+            cancelled = store_error(StoreErrorKind.UNKNOWN, "cut off; read back the token")
             for entry in group:
-                await entry.finish(lost)
-            await self.flights.release()
+                await entry.set_result(cancelled)
+            await self.in_flight_limit.release()
 
-    async def _commit(self, group: list[Waiting]) -> None:
-        left = max(entry.deadline for entry in group) - self.clock.now()
-        left = max(left, FAIR_WAIT)
+    async def _commit(self, group: list[QueuedTransaction]) -> None:
+        remaining = max(entry.deadline for entry in group) - self.clock.now()
+        remaining = max(remaining, MIN_FAILURE_TIMEOUT)
         self.admission.counts.writes += 1
         self.admission.counts.grouped += len(group) if len(group) > 1 else 0
-        result = await self.tables.transact(*merged(group), left)
-        self.admission.judge(result, self.admission.writes, left)
+        result = await self.tables.transact(*merge_group(group), remaining)
+        self.admission.record_result(result, self.admission.writes, remaining)
         if len(group) > 1 and _condition_failed(result):
-            await self._split(group)
+            await self._commit_halves(group)
             return
         for entry in group:
-            await entry.finish(result)
-        await self._refuse_waiting()
+            await entry.set_result(result)
+        await self._refuse_queued()
 
-    async def _split(self, group: list[Waiting]) -> None:
+    async def _commit_halves(self, group: list[QueuedTransaction]) -> None:
         self.admission.counts.splits += 1
         half = len(group) // 2
         for part in (group[:half], group[half:]):
-            wanted = [entry for entry in part if not entry.given_up]
-            if not wanted:
+            active = [entry for entry in part if not entry.abandoned]
+            if not active:
                 continue
-            urgent = min(entry.priority for entry in wanted)
-            deadline = max(entry.deadline for entry in wanted)
-            share, cost = self.admission.writes, self._cost(wanted)
-            if await self.admission.pay(share, urgent, deadline, cost):
-                await self._commit(wanted)
+            priority = min(entry.priority for entry in active)
+            deadline = max(entry.deadline for entry in active)
+            share, cost = self.admission.writes, self._cost(active)
+            if await self.admission.wait_for_token(share, priority, deadline, cost):
+                await self._commit(active)
 
-    async def _refuse_waiting(self) -> None:
+    async def _refuse_queued(self) -> None:
         # Those who wait when the breaker opens learn it at once; nothing of them was sent.
         if not self.admission.breaker.is_open:
             return
         text = "the platform's store does not answer; try again later"
         refusal = store_error(StoreErrorKind.NOT_SENT, text)
-        for entry in list(self.waiting):
-            await entry.finish(refusal)
+        for entry in list(self.queue):
+            await entry.set_result(refusal)
 
 
 def _condition_failed(result: Result) -> bool:
--- a/sequoiabridge/store/groups.py
+++ b/sequoiabridge/store/groups.py
@@ -6,14 +6,14 @@
 from .base import Condition, StoreError, Write
 from .rates import Priority
 
-MAX_ROWS = 25
+MAX_GROUP_ROWS = 25
 """Rows written by one group."""
 
-MAX_BYTES = 256 * 1024
+MAX_GROUP_BYTES = 256 * 1024
 """Bytes of values written by one group."""
 
 
-class Waiting:
+class QueuedTransaction:
     """One transaction that waits to be sent; `taken` once it is part of a group."""
 
     __slots__ = (
@@ -23,8 +23,8 @@
         "deadline",
         "keys",
         "size",
-        "taken",
-        "given_up",
+        "dequeued",
+        "abandoned",
         "result",
         "done",
     )
@@ -42,29 +42,29 @@
         self.deadline = deadline
         self.keys = {(row.table, row.key) for row in (*conditions, *writes)}
         self.size = sum(len(write.value or b"") for write in writes)
-        self.taken = False
-        self.given_up = False
+        self.dequeued = False
+        self.abandoned = False
         self.result: Result[None, StoreError] | None = None
         self.done = curio.Event()
 
-    async def finish(self, result: Result[None, StoreError]) -> None:
+    async def set_result(self, result: Result[None, StoreError]) -> None:
         """Hand the result to whoever waits for it."""
         if self.result is None:
             self.result = result
             await self.done.set()
 
 
-def take_group(
-    waiting: list[Waiting], grouping: bool = True, max_rows: int = MAX_ROWS
-) -> list[Waiting]:
+def dequeue_group(
+    queue: list[QueuedTransaction], grouping: bool = True, max_rows: int = MAX_GROUP_ROWS
+) -> list[QueuedTransaction]:
     """Take out of `waiting` the transactions to send next: most urgent first, oldest first.
 
     Two transactions that name the same row never share a group: they depend on each other.
     """
-    group: list[Waiting] = []
+    group: list[QueuedTransaction] = []
     keys: set[tuple[str, str]] = set()
     rows = size = 0
-    for entry in sorted((e for e in waiting if e.result is None), key=lambda e: e.priority):
+    for entry in sorted((e for e in queue if e.result is None), key=lambda e: e.priority):
         if group and (rows + len(entry.writes) > max_rows or not _fits(entry, keys, size)):
             continue
         group.append(entry)
@@ -74,16 +74,16 @@
         if not grouping:
             break
     for entry in group:
-        entry.taken = True
-        waiting.remove(entry)
+        entry.dequeued = True
+        queue.remove(entry)
     return group
 
 
-def merged(group: list[Waiting]) -> tuple[list[Condition], list[Write]]:
+def merge_group(group: list[QueuedTransaction]) -> tuple[list[Condition], list[Write]]:
     """Return the conditions and the writes of the whole group."""
     conditions = [condition for entry in group for condition in entry.conditions]
     return conditions, [write for entry in group for write in entry.writes]
 
 
-def _fits(entry: Waiting, keys: set, size: int) -> bool:
-    return size + entry.size <= MAX_BYTES and keys.isdisjoint(entry.keys)
+def _fits(entry: QueuedTransaction, keys: set, size: int) -> bool:
+    return size + entry.size <= MAX_GROUP_BYTES and keys.isdisjoint(entry.keys)
--- a/sequoiabridge/store/metered_objects.py
+++ b/sequoiabridge/store/rate_limited_objects.py
@@ -7,7 +7,7 @@
 from .rates import Priority
 
 
-class MeteredObjects(ObjectStore):
+class RateLimitedObjects(ObjectStore):
     """Passes calls on when the breaker and the share of the rates allow.
 
     Puts and deletes count as writes, gets and lists as reads.
@@ -21,27 +21,33 @@
         self, name: str, data: bytes, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[None, StoreError]:
         """Store an object; `CONDITION_FAILED` if the name is taken."""
-        return await self.admission.paid(
+        return await self.admission.run_call(
             self.admission.writes,
             priority,
             timeout,
-            lambda left: self.objects.put(name, data, left),
+            lambda remaining: self.objects.put(name, data, remaining),
         )
 
     async def get(
         self, name: str, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[bytes | None, StoreError]:
         """Return the object, or None if there is none of that name."""
-        return await self.admission.paid(
-            self.admission.reads, priority, timeout, lambda left: self.objects.get(name, left)
+        return await self.admission.run_call(
+            self.admission.reads,
+            priority,
+            timeout,
+            lambda remaining: self.objects.get(name, remaining),
         )
 
     async def delete(
         self, name: str, timeout: float, priority: Priority = Priority.BACKGROUND
     ) -> Result[None, StoreError]:
         """Remove the object; fine if there is none. Nobody waits for it, so it goes last."""
-        return await self.admission.paid(
-            self.admission.writes, priority, timeout, lambda left: self.objects.delete(name, left)
+        return await self.admission.run_call(
+            self.admission.writes,
+            priority,
+            timeout,
+            lambda remaining: self.objects.delete(name, remaining),
         )
 
     async def names(
@@ -53,9 +59,9 @@
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[str], StoreError]:
         """Return up to `limit` names in order."""
-        return await self.admission.paid(
+        return await self.admission.run_call(
             self.admission.reads,
             priority,
             timeout,
-            lambda left: self.objects.names(prefix, after, limit, left),
+            lambda remaining: self.objects.names(prefix, after, limit, remaining),
         )
--- a/sequoiabridge/store/rates.py
+++ b/sequoiabridge/store/rates.py
@@ -2,16 +2,16 @@
 
 from enum import IntEnum
 
-BURST = 0.5
+BURST_SECONDS = 0.5
 """Seconds of the share that may be saved up."""
 
-MIN_BURST = 2.0
+MIN_BURST_CALLS = 2.0
 """Calls that may be saved up at least, however small the share."""
 
-CUT = 0.5
+REJECTION_FACTOR = 0.5
 """The share is multiplied by this when the platform says that the fleet is over its rate."""
 
-RECOVERY = 0.1
+RECOVERY_PER_SECOND = 0.1
 """Part of the full share that is won back each second after a cut."""
 
 MIN_SCALE = 0.1
@@ -26,7 +26,7 @@
     BACKGROUND = 2
 
 
-RESERVED = {Priority.CLAIM: 0.0, Priority.NORMAL: 0.25, Priority.BACKGROUND: 0.5}
+RESERVED_BURST_SHARE = {Priority.CLAIM: 0.0, Priority.NORMAL: 0.25, Priority.BACKGROUND: 0.5}
 """Part of the burst that a call of this priority must leave to more urgent ones."""
 
 
@@ -37,36 +37,36 @@
     platform refuses some calls; `pressed` then cuts the share for a while.
     """
 
-    __slots__ = ("fleet_rate", "tokens", "at", "scale")
+    __slots__ = ("fleet_rate", "tokens", "updated_at", "scale")
 
     def __init__(self, fleet_rate: float, now: float):
         self.fleet_rate = fleet_rate
-        self.tokens = MIN_BURST
-        self.at = now
+        self.tokens = MIN_BURST_CALLS
+        self.updated_at = now
         self.scale = 1.0
 
-    def take(self, now: float, live: int, priority: Priority, cost: int = 1) -> float:
+    def take(self, now: float, live_vms: int, priority: Priority, cost: int = 1) -> float:
         """Pay for a call and return 0, or return the seconds to wait before asking again.
 
         One whole token must be there; a cost over that is paid later, as a debt.
         """
         if self.fleet_rate <= 0:
             return 0.0
-        rate = self.fleet_rate / max(1, live) * self.scale
-        burst = max(MIN_BURST, rate * BURST)
-        self._fill(now, rate, burst)
-        missing = 1.0 + RESERVED[priority] * (burst - 1.0) - self.tokens
+        rate = self.fleet_rate / max(1, live_vms) * self.scale
+        burst = max(MIN_BURST_CALLS, rate * BURST_SECONDS)
+        self._refill(now, rate, burst)
+        missing = 1.0 + RESERVED_BURST_SHARE[priority] * (burst - 1.0) - self.tokens
         if missing > 1e-9:
             return missing / rate
         self.tokens -= cost
         return 0.0
 
-    def pressed(self) -> None:
+    def record_rejection(self) -> None:
         """Take note that the platform refused a call as over the rate."""
-        self.scale = max(MIN_SCALE, self.scale * CUT)
+        self.scale = max(MIN_SCALE, self.scale * REJECTION_FACTOR)
 
-    def _fill(self, now: float, rate: float, burst: float) -> None:
-        passed = max(0.0, now - self.at)
-        self.at = now
-        self.tokens = min(burst, self.tokens + passed * rate)
-        self.scale = min(1.0, self.scale + passed * RECOVERY)
+    def _refill(self, now: float, rate: float, burst: float) -> None:
+        elapsed = max(0.0, now - self.updated_at)
+        self.updated_at = now
+        self.tokens = min(burst, self.tokens + elapsed * rate)
+        self.scale = min(1.0, self.scale + elapsed * RECOVERY_PER_SECOND)
--- a/sequoiabridge/store/versions.py
+++ b/sequoiabridge/store/versions.py
@@ -35,16 +35,16 @@
     snapshot_name,
 )
 
-CHANGES_AT_ONCE = 100
+CHANGES_PER_SCAN = 100
 """Change rows read by one scan."""
 
-PROPOSE_ROUNDS = 3
+MAX_PROPOSE_ATTEMPTS = 3
 """Times that a proposal is made when only a fence moved the head row."""
 
-SNAPSHOTS_SEEN = 100
+SNAPSHOT_LOOKBACK = 100
 """Intervals between snapshots in which the newest is looked for."""
 
-CHANGES_KEPT = 20_000
+RETAINED_CHANGES = 20_000
 """Changes kept for the history; more than `SNAPSHOTS_SEEN` intervals."""
 
 PRUNE_BATCH = 25
@@ -71,11 +71,11 @@
         """Commit `change` as version `expected_version + 1` if that is still the next one."""
         deadline = self.clock.now() + timeout
         row = ChangeRow(expected_version + 1, author, self.clock.wall(), new_token(), bytes(change))
-        for _ in range(PROPOSE_ROUNDS):
+        for _ in range(MAX_PROPOSE_ATTEMPTS):
             found = await self._head_row(deadline)
             if found.is_error():
                 return NotAccepted(found.error.message)
-            head = _head(found.ok)
+            head = _decode_head(found.ok)
             if head.version != expected_version:
                 return Conflict(head.version, head.author, head.at)
             result = await self._commit(row, found.ok, deadline)
@@ -94,14 +94,14 @@
         the proposal's condition fail for ever.
         """
         deadline = self.clock.now() + timeout
-        for _ in range(PROPOSE_ROUNDS):
-            outcome = await self._outcome(unproven, deadline)
+        for _ in range(MAX_PROPOSE_ATTEMPTS):
+            outcome = await self._committed_result(unproven, deadline)
             if outcome is not None:
                 return outcome
             fenced = await self._fence(deadline)
             if fenced.is_error() and fenced.error.kind is not StoreErrorKind.CONDITION_FAILED:
                 return Unproven(unproven.version, unproven.token, fenced.error.message)
-            outcome = await self._outcome(unproven, deadline)
+            outcome = await self._committed_result(unproven, deadline)
             if outcome is not None:
                 return outcome
             if fenced.is_ok():
@@ -111,16 +111,16 @@
     async def latest(self, timeout: float = CALL_TIMEOUT) -> Result[HeadRow, StoreError]:
         """Return the newest committed version; version 0 if there is none yet."""
         found = await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, timeout)
-        return found.map(_head)
+        return found.map(_decode_head)
 
     async def changes_since(
-        self, version: int, limit: int = CHANGES_AT_ONCE
+        self, version: int, limit: int = CHANGES_PER_SCAN
     ) -> Result[list[ChangeRow], StoreError]:
         """Return up to `limit` changes after `version`, in order and without a gap."""
         rows = await self.store.scan(
             CONFIGURATION_TABLE, CHANGE_PREFIX, change_key(version), limit, CALL_TIMEOUT
         )
-        return rows.map(lambda found: _without_gap(version, found))
+        return rows.map(lambda found: _contiguous_changes(version, found))
 
     async def history(self, limit: int) -> Result[list[ChangeRow], StoreError]:
         """Return the last `limit` changes, newest first."""
@@ -143,18 +143,20 @@
 
     async def snapshot(self, version: int) -> Result[Snapshot, StoreError]:
         """Return the newest snapshot up to `version` of the last `SNAPSHOTS_SEEN`, 0 if none."""
-        oldest = max(0, version - SNAPSHOTS_SEEN * self.snapshot_interval)
+        oldest = max(0, version - SNAPSHOT_LOOKBACK * self.snapshot_interval)
         names = await self.objects.names(
-            SNAPSHOT_PREFIX, snapshot_name(oldest), SNAPSHOTS_SEEN + 1, SNAPSHOT_TIMEOUT
+            SNAPSHOT_PREFIX, snapshot_name(oldest), SNAPSHOT_LOOKBACK + 1, SNAPSHOT_TIMEOUT
         )
         if names.is_error():
             return names
-        wanted = [name for name in names.ok if name <= snapshot_name(version)]
-        if not wanted:
+        candidates = [name for name in names.ok if name <= snapshot_name(version)]
+        if not candidates:
             return Ok(NO_SNAPSHOT)
-        data = await self.objects.get(wanted[-1], SNAPSHOT_TIMEOUT)
-        at = int(wanted[-1].removeprefix(SNAPSHOT_PREFIX))
-        return data.map(lambda found: NO_SNAPSHOT if found is None else Snapshot(at, found))
+        data = await self.objects.get(candidates[-1], SNAPSHOT_TIMEOUT)
+        snapshot_version = int(candidates[-1].removeprefix(SNAPSHOT_PREFIX))
+        return data.map(
+            lambda found: NO_SNAPSHOT if found is None else Snapshot(snapshot_version, found)
+        )
 
     async def load(self) -> Result[LoadedConfiguration, StoreError]:
         """Read what a new VM needs to be at the newest version."""
@@ -177,31 +179,33 @@
             version = batch.ok[-1].version
         return Ok(LoadedConfiguration(head.ok, snapshot.ok, changes))
 
-    async def prune(self, keep: int = CHANGES_KEPT) -> int:
+    async def prune(self, retained: int = RETAINED_CHANGES) -> int:
         """Remove some of the changes that are older than the last `keep`; return how many.
 
         Only with a recent snapshot, so that a new VM needs none of them.
         """
         head = await self.latest()
-        cut = head.ok.version - keep if head.is_ok() else 0
-        if cut <= 0:
+        newest_removable = head.ok.version - retained if head.is_ok() else 0
+        if newest_removable <= 0:
             return 0
         snapshot = await self.snapshot(head.ok.version)
-        if snapshot.is_error() or snapshot.ok.version <= cut:
+        if snapshot.is_error() or snapshot.ok.version <= newest_removable:
             return 0
         rows = await self.store.scan(
             CONFIGURATION_TABLE, CHANGE_PREFIX, "", PRUNE_BATCH, CALL_TIMEOUT
         )
-        old = [row for row in rows.default_value([]) if row.key <= change_key(cut)]
-        if not old:
+        removable = [
+            row for row in rows.default_value([]) if row.key <= change_key(newest_removable)
+        ]
+        if not removable:
             return 0
-        writes = [Write(CONFIGURATION_TABLE, row.key, None) for row in old]
+        writes = [Write(CONFIGURATION_TABLE, row.key, None) for row in removable]
         result = await self.store.transact([], writes, CALL_TIMEOUT, Priority.BACKGROUND)
-        return len(old) if result.is_ok() else 0
+        return len(removable) if result.is_ok() else 0
 
     async def _head_row(self, deadline: float) -> Result[Row | None, StoreError]:
-        left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        return await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, left)
+        remaining = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
+        return await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, remaining)
 
     async def _commit(self, row: ChangeRow, found: Row | None, deadline: float) -> Result:
         head = HeadRow(row.version, row.author, row.at, row.token)
@@ -213,10 +217,10 @@
         writes = [Write(CONFIGURATION_TABLE, HEAD_KEY, ENCODER.encode(head)), change]
         return await self.store.transact_verified(conditions, writes, change, deadline)
 
-    async def _outcome(self, unproven: Unproven, deadline: float) -> ProposalResult | None:
+    async def _committed_result(self, unproven: Unproven, deadline: float) -> ProposalResult | None:
         """Return what the change row proves, None if it is not there."""
-        left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        found = await self.store.read(CONFIGURATION_TABLE, change_key(unproven.version), left)
+        remaining = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
+        found = await self.store.read(CONFIGURATION_TABLE, change_key(unproven.version), remaining)
         if found.is_error():
             return Unproven(unproven.version, unproven.token, found.error.message)
         if found.ok is None:
@@ -230,19 +234,19 @@
         found = await self._head_row(deadline)
         if found.is_error():
             return found
-        head = _head(found.ok)
+        head = _decode_head(found.ok)
         fence = HeadRow(head.version, head.author, head.at, head.token, head.fences + 1)
         write = Write(CONFIGURATION_TABLE, HEAD_KEY, ENCODER.encode(fence))
         condition = Condition(CONFIGURATION_TABLE, HEAD_KEY, found.ok.version if found.ok else 0)
-        left = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
-        return await self.store.transact([condition], [write], left, Priority.NORMAL)
+        remaining = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
+        return await self.store.transact([condition], [write], remaining, Priority.NORMAL)
 
 
-def _head(row: Row | None) -> HeadRow:
+def _decode_head(row: Row | None) -> HeadRow:
     return NO_VERSION if row is None else HEAD_DECODER.decode(row.value)
 
 
-def _without_gap(version: int, rows: list[Row]) -> list[ChangeRow]:
+def _contiguous_changes(version: int, rows: list[Row]) -> list[ChangeRow]:
     changes: list[ChangeRow] = []
     for row in rows:
         change = CHANGE_DECODER.decode(row.value)
--- a/sequoiabridge/tests/store/test_claims.py
+++ b/sequoiabridge/tests/store/test_claims.py
@@ -229,7 +229,7 @@
     assert [entry.author for entry in curio.run(operator.list_releases, 10).ok] == ["anna"]
     assert isinstance(acquire(other), ClaimGranted)
     curio.run(dead.complete, claim, 200, [], b"old")
-    assert dead.reports.overtaken == 1
+    assert dead.reports.superseded == 1
     assert isinstance(acquire(claims(platform, "vm3")), ClaimBusy)
 
 
--- a/sequoiabridge/tests/store/test_client.py
+++ b/sequoiabridge/tests/store/test_client.py
@@ -127,5 +127,5 @@
         claims += 1
     assert claims >= 2
     before = share.take(10.0, 10, Priority.CLAIM)
-    share.pressed()
+    share.record_rejection()
     assert share.take(10.0, 10, Priority.CLAIM) == pytest.approx(2 * before)
