--- a/sequoiabridge/tests/platform/scene.py
+++ b/sequoiabridge/tests/platform/environment.py
@@ -66,13 +66,13 @@
 
 
 class Reply:
-    """What a caller got; `whole` is false when the connection ended before the answer did."""
+    """What a caller got; `is_complete` is false when the connection ended before the answer did."""
 
     def __init__(self):
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.whole = False
+        self.is_complete = False
 
 
 class Connection:
@@ -82,9 +82,9 @@
         self.sock = sock
         self.state = h11.Connection(h11.CLIENT)
 
-    async def send(self, target, call_id="c1", method="GET", body=b"", patience=2000, host=HOST):
+    async def send(self, target, call_id="c1", method="GET", body=b"", timeout_ms=2000, host=HOST):
         """Send a request."""
-        headers = [("host", host), ("x-attempt-id", call_id), ("x-deadline-ms", str(patience))]
+        headers = [("host", host), ("x-attempt-id", call_id), ("x-deadline-ms", str(timeout_ms))]
         if body:
             headers.append(("content-length", str(len(body))))
         data = self.state.send(h11.Request(method=method, target=target, headers=headers))
@@ -112,7 +112,7 @@
             elif isinstance(event, h11.Data):
                 reply.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                reply.whole = True
+                reply.is_complete = True
                 if self.state.our_state is h11.DONE and self.state.their_state is h11.DONE:
                     self.state.start_next_cycle()
                 return reply
@@ -125,7 +125,7 @@
         return await self.reply()
 
 
-class Scene:
+class Environment:
     """The parts of the deployment."""
 
     def __init__(self):
@@ -133,17 +133,17 @@
         self.store_address = ""
         self.upstreams: dict[str, UpstreamEmulator] = {}
         self.gateway: Gateway | None = None
-        self.run: curio.Task | None = None
-        self.lines: list[bytes] = []
+        self.gateway_task: curio.Task | None = None
+        self.log_lines: list[bytes] = []
 
-    async def add(self, id, service, zone="here", **more) -> UpstreamEmulator:
+    async def add_upstream(self, id, service, zone="here", **more) -> UpstreamEmulator:
         """Start an upstream and list it."""
         upstream = self.upstreams[id] = UpstreamEmulator(id, service, zone, **more)
         await upstream.start()
         await self.store.put("servers", id, upstream.entry())
         return upstream
 
-    async def relist(self, id) -> None:
+    async def update_entry(self, id) -> None:
         """Write an upstream's entry anew."""
         await self.store.put("servers", id, self.upstreams[id].entry())
 
@@ -156,15 +156,15 @@
         port, port2 = free_port(), free_port()
         text = SETTINGS.format(store=self.store_address, port=port, port2=port2)
         self.gateway = Gateway(GatewaySettings.parse(text))
-        self.gateway.decisions.write = self.lines.append
-        self.run = await curio.spawn(self.gateway.run(), daemon=True)
-        await self.until(lambda: self.gateway.ready.address)
+        self.gateway.decisions.write = self.log_lines.append
+        self.gateway_task = await curio.spawn(self.gateway.run(), daemon=True)
+        await self.wait_until(lambda: self.gateway.ready.address)
 
-    async def serving(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the daemon is ready."""
-        await self.until(lambda: not self.gateway.readiness.why_not_ready())
+        await self.wait_until(lambda: not self.gateway.readiness.why_not_ready())
 
-    async def until(self, condition, seconds=8.0) -> None:
+    async def wait_until(self, condition, seconds=8.0) -> None:
         """Wait for a condition."""
         async with curio.timeout_after(seconds):
             while not condition():
@@ -182,7 +182,7 @@
         finally:
             await connection.sock.close()
 
-    def runs(self, call_id) -> int:
+    def run_count(self, call_id) -> int:
         """Return how often a call ran."""
         return sum(upstream.runs.count(call_id) for upstream in self.upstreams.values())
 
@@ -196,21 +196,21 @@
         return sock.getsockname()[1]
 
 
-def play(test, configured=True, reads=2, approvals=2):
-    """Run `test(scene)` with a store, upstreams and a daemon that serves."""
+def run_in_environment(test, configured=True, reads=2, approvals=2):
+    """Run `test(env)` with a store, upstreams and a daemon that serves."""
 
     async def main():
-        scene = Scene()
-        await scene.start_store()
+        env = Environment()
+        await env.start_store()
         if configured:
-            await scene.store.put("op", "config", document())
+            await env.store.put("op", "config", document())
         for number in range(reads):
-            await scene.add(f"r{number}", "reads")
+            await env.add_upstream(f"r{number}", "reads")
         for number in range(approvals):
-            await scene.add(f"a{number}", "approvals")
-        await scene.start_gateway()
+            await env.add_upstream(f"a{number}", "approvals")
+        await env.start_gateway()
         if configured:
-            await scene.serving()
-        await curio.timeout_after(25, test, scene)
+            await env.wait_until_ready()
+        await curio.timeout_after(25, test, env)
 
     curio.run(main, selector=LazySelector())
--- a/sequoiabridge/tests/platform/soak/deployment.py
+++ b/sequoiabridge/tests/platform/soak/deployment.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from ..scene import HOST, SETTINGS, Connection, document, free_port, path
+from ..environment import HOST, SETTINGS, Connection, document, free_port, path
 from ..store_emulator import StoreEmulator
 from ..upstream_emulator import UpstreamEmulator
 from .oracle import Record, Run
--- a/sequoiabridge/tests/platform/soak/plan.py
+++ b/sequoiabridge/tests/platform/soak/plan.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from ..scene import Connection
+from ..environment import Connection
 from .deployment import Daemon, Deployment
 from .oracle import APPROVE, MARK, READ, UPLOAD, Told, broken
 from .proxy import Harm
@@ -137,7 +137,7 @@
         try:
             async with curio.timeout_after(PATIENCE_MS / 1000 + 1.0):
                 await connection.send(
-                    f"/{kind}/x", told.id, method=method, body=body, patience=PATIENCE_MS
+                    f"/{kind}/x", told.id, method=method, body=body, timeout_ms=PATIENCE_MS
                 )
                 told.connected = True
                 reply = await connection.reply()
@@ -146,8 +146,8 @@
         told.ended = self.now()
         if reply is None:
             return False
-        told.status, told.whole, told.body = reply.status, reply.whole, reply.body
-        return reply.whole and reply.headers.get(b"connection") != b"close"
+        told.status, told.whole, told.body = reply.status, reply.is_complete, reply.body
+        return reply.is_complete and reply.headers.get(b"connection") != b"close"
 
     async def faults(self, until: float) -> None:
         """Let faults come, several at a time, until a moment."""
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -14,7 +14,7 @@
 from ...store.rows import Condition, Write
 from ...timers import SystemClock
 from ...upstreams.fetch import Fetched
-from .scene import document, path
+from .environment import document, path
 from .store_emulator import StoreEmulator
 
 PACKAGE = Path(__file__).parents[2]
