--- a/sequoiabridge/tests/platform/environment.py
+++ b/sequoiabridge/tests/platform/environment.py
@@ -27,7 +27,7 @@
 HOST = "reads.example"
 
 
-def path(prefix, kind, service, **more):
+def route(prefix, kind, service, **more):
     """Return one route of the operator's document."""
     return {
         "name": prefix.strip("/"),
@@ -45,9 +45,9 @@
 def document(version=1, paths=(), **limits):
     """Return an operator's document with routes for reads, approvals and uploads."""
     routes = [
-        path("/read/", "idempotent", "reads"),
-        path("/approve/", "non_idempotent", "approvals"),
-        path("/upload/", "upload", "approvals"),
+        route("/read/", "idempotent", "reads"),
+        route("/approve/", "non_idempotent", "approvals"),
+        route("/upload/", "upload", "approvals"),
         *paths,
     ]
     services = [
@@ -136,9 +136,9 @@
         self.gateway_task: curio.Task | None = None
         self.log_lines: list[bytes] = []
 
-    async def add_upstream(self, id, service, zone="here", **more) -> UpstreamEmulator:
+    async def add_upstream(self, id, service, data_centre="here", **more) -> UpstreamEmulator:
         """Start an upstream and list it."""
-        upstream = self.upstreams[id] = UpstreamEmulator(id, service, zone, **more)
+        upstream = self.upstreams[id] = UpstreamEmulator(id, service, data_centre, **more)
         await upstream.start()
         await self.store.put("servers", id, upstream.entry())
         return upstream
--- a/sequoiabridge/tests/platform/soak/deployment.py
+++ b/sequoiabridge/tests/platform/soak/deployment.py
@@ -10,7 +10,7 @@
 
 import curio
 
-from ..environment import HOST, SETTINGS, Connection, document, free_port, path
+from ..environment import HOST, SETTINGS, Connection, document, free_port, route
 from ..store_emulator import StoreEmulator
 from ..upstream_emulator import UpstreamEmulator
 from .oracle import Record, Run
@@ -138,7 +138,7 @@
         """Write a new configuration, in which one route goes to the other service."""
         self.version += 1
         service = ("reads", "approvals")[self.version % 2]
-        marker = path("/mark/", "idempotent", service)
+        marker = route("/mark/", "idempotent", service)
         self.record.marks.append((self.clock(), service))
         await self.store.put("op", "config", document(self.version, [marker]))
 
@@ -148,7 +148,13 @@
         id = f"{service}-{self.made}"
         centre = self.random.choice(("here", "there"))
         upstream = RecordedUpstream(
-            self.record, self.clock, id=id, service=service, zone=centre, work=0.03, seed=self.made
+            self.record,
+            self.clock,
+            id=id,
+            service=service,
+            data_centre=centre,
+            processing_time=0.03,
+            seed=self.made,
         )
         await upstream.start()
         proxy = Proxy(upstream.address, self.random)
--- a/sequoiabridge/tests/platform/soak/plan.py
+++ b/sequoiabridge/tests/platform/soak/plan.py
@@ -244,7 +244,7 @@
         kind = self.random.choice(("refuse", "lose", "slow", "forget"))
         if kind == "refuse":
             faults.refuse = 10**6
-            await self.deployment.store.cut()
+            await self.deployment.store.reset_connections()
         elif kind == "lose":
             faults.lose_answers = 5
         elif kind == "slow":
--- a/sequoiabridge/tests/platform/store_emulator.py
+++ b/sequoiabridge/tests/platform/store_emulator.py
@@ -10,7 +10,7 @@
 
 from ..standins.upstream_http import GONE, Incoming, Wire
 
-HISTORY = 1000
+MAX_HISTORY = 1000
 """Changes that the feed still knows."""
 
 
@@ -18,7 +18,7 @@
     """What is wrong with the store now."""
 
     def __init__(self):
-        self.silent = False
+        self.unresponsive = False
         self.refuse = 0
         self.lose_answers = 0
         self.delay = 0.0
@@ -31,12 +31,14 @@
     def __init__(self):
         self.rows: dict[tuple[str, str, str], tuple[bytes, int]] = {}
         self.version = 0
-        self.history: deque[tuple[int, tuple[str, str, str], bytes | None]] = deque(maxlen=HISTORY)
-        self.forgotten = 0
+        self.history: deque[tuple[int, tuple[str, str, str], bytes | None]] = deque(
+            maxlen=MAX_HISTORY
+        )
+        self.forgotten_version = 0
         self.faults = StoreFaults()
         self.calls: dict[str, int] = {}
         self.changed = curio.Event()
-        self.wires: set[Wire] = set()
+        self.connections: set[Wire] = set()
 
     async def put(self, table: str, key: str, value: dict | None, part: str = "") -> None:
         """Write or remove a row as the platform itself does, whatever the faults."""
@@ -45,64 +47,64 @@
 
     async def apply(self, writes) -> None:
         self.version += 1
-        for name, value in writes:
+        for row_id, value in writes:
             if value is None:
-                self.rows.pop(name, None)
+                self.rows.pop(row_id, None)
             else:
-                self.rows[name] = (value, self.version)
-            if len(self.history) == HISTORY:
-                self.forgotten = self.history[0][0]
-            self.history.append((self.version, name, value))
+                self.rows[row_id] = (value, self.version)
+            if len(self.history) == MAX_HISTORY:
+                self.forgotten_version = self.history[0][0]
+            self.history.append((self.version, row_id, value))
         old, self.changed = self.changed, curio.Event()
         await old.set()
 
     def forget_history(self) -> None:
         """Drop the history: whoever follows must read all rows."""
         self.history.clear()
-        self.forgotten = self.version
+        self.forgotten_version = self.version
 
-    async def cut(self) -> None:
+    async def reset_connections(self) -> None:
         """Reset all connections."""
-        for wire in list(self.wires):
-            break_off(wire)
+        for connection in list(self.connections):
+            abort_connection(connection)
 
     async def serve(self, client, peer) -> None:
         """Serve one connection until it ends."""
-        wire = Wire(client)
-        self.wires.add(wire)
+        connection = Wire(client)
+        self.connections.add(connection)
         try:
-            while request := await wire.request():
-                if not await self.handle(wire, request):
+            while request := await connection.request():
+                if not await self.handle(connection, request):
                     return
         except GONE:
             pass
         finally:
-            self.wires.discard(wire)
+            self.connections.discard(connection)
             await client.close()
 
-    async def handle(self, wire: Wire, request: Incoming) -> bool:
+    async def handle(self, connection: Wire, request: Incoming) -> bool:
         url = urlsplit(request.target)
         query = {key: values[0] for key, values in parse_qs(url.query).items()}
         self.calls[url.path] = self.calls.get(url.path, 0) + 1
         faults = self.faults
-        if faults.silent:
+        if faults.unresponsive:
             await curio.sleep(3600)
         if faults.refuse:
             faults.refuse -= 1
-            return await self.reply(wire, 503, {})
+            return await self.reply(connection, 503, {})
         await curio.sleep(faults.delay)
         status, body = await self.answer(request.method, url.path, query, request.body)
-        if faults.silent:
+        if faults.unresponsive:
             # Questions that were waiting when it fell silent are forgotten.
             await curio.sleep(3600)
         if faults.lose_answers:
             faults.lose_answers -= 1
             return False
-        return await self.reply(wire, status, body)
+        return await self.reply(connection, status, body)
 
-    async def reply(self, wire: Wire, status: int, body: dict) -> bool:
+    async def reply(self, connection: Wire, status: int, body: dict) -> bool:
         data = json.dumps(body).encode()
-        return await wire.answer(status, [(b"content-type", b"application/json")], data)
+        return await connection.answer(status, [(b"content-type", b"application/json")], data)
 
     async def answer(self, method: str, path: str, query: dict, body: bytes) -> tuple[int, dict]:
         if (method, path) == ("POST", "/rows-tx"):
@@ -113,49 +115,50 @@
             return await self.feed(query)
         return 404, {}
 
-    async def transact(self, call: dict) -> tuple[int, dict]:
-        for row in call["expected_rev"]:
-            name = (row["table"], row.get("part", ""), row["key"])
-            if self.rows.get(name, (b"", 0))[1] != row["ver"]:
+    async def transact(self, transaction: dict) -> tuple[int, dict]:
+        for row in transaction["expected_rev"]:
+            row_id = (row["table"], row.get("part", ""), row["key"])
+            if self.rows.get(row_id, (b"", 0))[1] != row["ver"]:
                 return 412, {"rows": [], "ver": self.version}
         writes = [
-            ((w["table"], w.get("part", ""), w["key"]), b64decode(w["value"])) for w in call["puts"]
+            ((w["table"], w.get("part", ""), w["key"]), b64decode(w["value"]))
+            for w in transaction["puts"]
         ]
-        writes += [((w["table"], w.get("part", ""), w["key"]), None) for w in call["remove"]]
+        writes += [((w["table"], w.get("part", ""), w["key"]), None) for w in transaction["remove"]]
         await self.apply(writes)
         return 200, {"ver": self.version, "now_s": 1.0}
 
     def get(self, query: dict) -> tuple[int, dict]:
         limit = int(query.get("limit", 500))
         start, end = query.get("from", ""), query.get("target", "\U0010ffff")
-        names = sorted(
-            name
-            for name in self.rows
-            if name[:2] == (query["table"], query.get("part", "")) and start <= name[2] < end
+        row_ids = sorted(
+            row_id
+            for row_id in self.rows
+            if row_id[:2] == (query["table"], query.get("part", "")) and start <= row_id[2] < end
         )
-        rows = [row_of(name, *self.rows[name]) for name in names[:limit]]
-        more = len(names) > limit
+        rows = [encode_row(row_id, *self.rows[row_id]) for row_id in row_ids[:limit]]
+        more = len(row_ids) > limit
         return 200, {"rows": rows, "has_more": more, "ver": self.version, "now_s": 1.0}
 
     async def feed(self, query: dict) -> tuple[int, dict]:
         table, after = query["table"], int(query["after"])
-        if after < self.forgotten or after > self.version:
+        if after < self.forgotten_version or after > self.version:
             return 410, {}
         async with curio.ignore_after(int(query["wait_ms"]) / 1000):
-            while not self.since(table, after):
+            while not self.changes_after(table, after):
                 await self.changed.wait()
-                if after < self.forgotten:
+                if after < self.forgotten_version:
                     return 410, {}
-        return 200, {"rows": self.since(table, after), "ver": self.version, "now_s": 1.0}
+        return 200, {"rows": self.changes_after(table, after), "ver": self.version, "now_s": 1.0}
 
-    def since(self, table: str, after: int) -> list[dict]:
-        found = [(v, name, value) for v, name, value in self.history if v > after]
-        return [row_of(name, value, v) for v, name, value in found if name[0] == table]
+    def changes_after(self, table: str, after: int) -> list[dict]:
+        changes = [(v, row_id, value) for v, row_id, value in self.history if v > after]
+        return [encode_row(row_id, value, v) for v, row_id, value in changes if row_id[0] == table]
 
 
-def break_off(wire: Wire) -> None:
+def abort_connection(connection: Wire) -> None:
     """End a connection at once; the task that reads from it ends as well."""
-    with wire.sock.blocking() as sock:
+    with connection.sock.blocking() as sock:
         sock.setblocking(False)
         try:
             sock.shutdown(SHUT_RDWR)
@@ -163,8 +166,8 @@
             return  # The other end was first.
 
 
-def row_of(name: tuple[str, str, str], value: bytes | None, version: int) -> dict:
-    table, part, key = name
+def encode_row(row_id: tuple[str, str, str], value: bytes | None, version: int) -> dict:
+    table, part, key = row_id
     row = {"table": table, "part": part, "key": key, "ver": version}
     if value is None:
         return {**row, "removed": True}
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -14,7 +14,7 @@
 from ...store.rows import Condition, Write
 from ...timers import SystemClock
 from ...upstreams.fetch import Fetched
-from .environment import document, path
+from .environment import document, route
 from .store_emulator import StoreEmulator
 
 PACKAGE = Path(__file__).parents[2]
@@ -36,7 +36,7 @@
 
 def test_a_route_has_its_terms_and_uploads_may_run_once():
     split = [{"service": "reads", "weight": 90}, {"service": "approvals", "weight": 10}]
-    table = route_table(document(7, [path("/s/", "idempotent", None, weighted_services=split)]))
+    table = route_table(document(7, [route("/s/", "idempotent", None, weighted_services=split)]))
     read = table.match(b"Reads.Example:80", b"/read/x")
     assert (read.idempotent, read.timeout, read.max_attempts) == (True, 1.0, 2)
     assert not table.match(b"reads.example", b"/upload/x").idempotent
--- a/sequoiabridge/tests/platform/upstream_emulator.py
+++ b/sequoiabridge/tests/platform/upstream_emulator.py
@@ -5,7 +5,7 @@
 import curio
 
 from ..standins.upstream_http import GONE, Incoming, Wire
-from .store_emulator import break_off
+from .store_emulator import abort_connection
 
 SIGNATURE = (b"x-server-signature", b"signed")
 
@@ -27,7 +27,7 @@
         self.until_close = False
         self.early = 0
         self.hang = False
-        self.mute_health = False
+        self.health_hangs = False
         self.health_status = 200
         self.crash_path = ""
 
@@ -35,27 +35,29 @@
 class UpstreamEmulator:
     """One upstream; `runs` has the call id of each request that it began to run."""
 
-    def __init__(self, id: str, service: str, zone: str, work: float = 0.01, seed: int = 1):
+    def __init__(
+        self, id: str, service: str, data_centre: str, processing_time: float = 0.01, seed: int = 1
+    ):
         self.id = id
         self.service = service
-        self.zone = zone
-        self.work = work
+        self.data_centre = data_centre
+        self.processing_time = processing_time
         self.slots = 2
         self.queue = 4
         self.random = Random(seed)
         self.faults = UpstreamFaults()
         self.running = 0
         self.waiting = 0
-        self.free = curio.Semaphore(self.slots)
+        self.free_slots = curio.Semaphore(self.slots)
         self.runs: list[str] = []
-        self.seen: list[Incoming] = []
+        self.requests: list[Incoming] = []
         self.probes = 0
         self.cancelled = 0
         self.draining = False
         self.born: int | None = None
         self.address = ""
         self.listener: curio.Task | None = None
-        self.wires: set[Wire] = set()
+        self.connections: set[Wire] = set()
 
     def entry(self) -> dict:
         """Return its row in the platform's list."""
@@ -63,7 +65,12 @@
         return {
             **born,
             "address": self.address,
-            "info": {"service": self.service, "version": "v1", "zone": self.zone, "slots": 2},
+            "info": {
+                "service": self.service,
+                "version": "v1",
+                "zone": self.data_centre,
+                "slots": 2,
+            },
             "status": {
                 "state": "draining" if self.draining else "ready",
                 "sequence": 1,
@@ -80,56 +87,60 @@
     async def crash(self) -> None:
         """End at once: the listener and all connections go."""
         await self.listener.cancel()
-        for wire in list(self.wires):
-            break_off(wire)
+        for connection in list(self.connections):
+            abort_connection(connection)
 
     async def serve(self, client, peer) -> None:
-        wire = Wire(client)
-        self.wires.add(wire)
+        connection = Wire(client)
+        self.connections.add(connection)
         try:
-            while (request := await wire.request()) and await self.handle(wire, request):
+            while (request := await connection.request()) and await self.handle(
+                connection, request
+            ):
                 pass
         except GONE:
             pass
         finally:
-            self.wires.discard(wire)
+            self.connections.discard(connection)
             await client.close()
 
-    def chance(self, share: float) -> bool:
+    def occurs(self, share: float) -> bool:
         return share > 0 and self.random.random() < share
 
     def load(self) -> bytes:
         figures = (self.running, self.waiting, self.slots, int(self.faults.slowdown * 100))
         return b",".join(b"%d" % figure for figure in figures)
 
-    async def handle(self, wire: Wire, request: Incoming) -> bool:
+    async def handle(self, connection: Wire, request: Incoming) -> bool:
         if request.target == "/health":
-            return await self.health(wire)
-        self.seen.append(request)
+            return await self.health(connection)
+        self.requests.append(request)
         if request.header(b"x-expect-instance") != self.id:
-            return await wire.answer(421, [(b"x-instance-id", self.id.encode())], b"")
+            return await connection.answer(421, [(b"x-instance-id", self.id.encode())], b"")
         if self.faults.shed or self.running + self.waiting >= self.slots + self.queue:
-            return await wire.answer(503, [(b"x-not-executed", b"1"), *self.common(request)], b"")
-        return await self.run(wire, request)
+            return await connection.answer(
+                503, [(b"x-not-executed", b"1"), *self.common_headers(request)], b""
+            )
+        return await self.run(connection, request)
 
-    async def health(self, wire: Wire) -> bool:
+    async def health(self, connection: Wire) -> bool:
         self.probes += 1
-        if self.faults.mute_health:
+        if self.faults.health_hangs:
             await curio.sleep(3600)
         status = 503 if self.draining else self.faults.health_status
         headers = [(b"x-instance-id", self.id.encode()), (b"x-instance-load", self.load())]
-        return await wire.answer(status, headers, b"")
+        return await connection.answer(status, headers, b"")
 
-    def common(self, request: Incoming) -> list:
+    def common_headers(self, request: Incoming) -> list:
         return [
             (b"x-attempt-id", request.header(b"x-attempt-id").encode()),
             (b"x-instance-load", self.load()),
         ]
 
-    async def run(self, wire: Wire, request: Incoming) -> bool:
+    async def run(self, connection: Wire, request: Incoming) -> bool:
         self.waiting += 1
         try:
-            await self.free.acquire()
+            await self.free_slots.acquire()
         finally:
             self.waiting -= 1
         self.running += 1
@@ -138,18 +149,18 @@
             if self.faults.crash_path and request.target.startswith(self.faults.crash_path):
                 await curio.spawn(self.crash(), daemon=True)
                 await curio.sleep(3600)
-            if not await self.worked(wire):
+            if not await self.process(connection):
                 return False
         finally:
             self.running -= 1
-            await self.free.release()
-        return await self.reply(wire, request)
+            await self.free_slots.release()
+        return await self.reply(connection, request)
 
-    async def worked(self, wire: Wire) -> bool:
+    async def process(self, connection: Wire) -> bool:
         """Work; return False if the other end closed meanwhile, which ends the work."""
         faults = self.faults
-        seconds = 3600 if faults.hang else self.work * faults.slow * faults.slowdown
-        watch = await curio.spawn(wire.closed, daemon=True)
+        seconds = 3600 if faults.hang else self.processing_time * faults.slow * faults.slowdown
+        watch = await curio.spawn(connection.closed, daemon=True)
         try:
             async with curio.ignore_after(seconds):
                 await watch.wait()
@@ -159,25 +170,25 @@
             await watch.cancel()
         return True
 
-    async def reply(self, wire: Wire, request: Incoming) -> bool:
+    async def reply(self, connection: Wire, request: Incoming) -> bool:
         faults = self.faults
-        if self.chance(faults.reset) or self.chance(faults.lose):
+        if self.occurs(faults.reset) or self.occurs(faults.lose):
             return False
-        headers = self.common(request)
-        if self.chance(faults.fail):
-            return await wire.answer(500, [*headers, SIGNATURE], b"failed")
+        headers = self.common_headers(request)
+        if self.occurs(faults.fail):
+            return await connection.answer(500, [*headers, SIGNATURE], b"failed")
         if not faults.unsigned:
             headers.append(SIGNATURE)
         body = f"{self.id} {request.header(b'x-attempt-id')} {len(request.body)}".encode()
         if faults.until_close:
             lines = [b"HTTP/1.1 200 OK"] + [name + b": " + value for name, value in headers]
-            await wire.sock.sendall(b"\r\n".join(lines) + b"\r\n\r\n" + body)
+            await connection.sock.sendall(b"\r\n".join(lines) + b"\r\n\r\n" + body)
             return False
-        kept = await wire.answer(200, headers, body, cut=self.chance(faults.cut))
+        kept = await connection.answer(200, headers, body, cut=self.occurs(faults.cut))
         if faults.extra or faults.late_extra:
             if faults.late_extra:
                 await curio.sleep(0.05)
             extra = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
             extra += b"X-Attempt-Id: " + request.header(b"x-attempt-id").encode()
-            await wire.sock.sendall(extra + b"\r\nX-Server-Signature: s\r\n\r\nextra")
+            await connection.sock.sendall(extra + b"\r\nX-Server-Signature: s\r\n\r\nextra")
         return kept
--- a/sequoiabridge/tests/test_gateway.py
+++ b/sequoiabridge/tests/test_gateway.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ..relay.messages import RequestCrashed
-from .platform.environment import document, path, run_in_environment
+from .platform.environment import document, route, run_in_environment
 from .platform.upstream_emulator import UpstreamEmulator
 
 READ, APPROVE, UPLOAD = "/read/x?q=1", "/approve/x", "/upload/x"
@@ -24,7 +24,7 @@
         assert reply.status == 200 and reply.is_complete
         assert reply.headers[b"x-server-signature"] == b"signed"
         assert reply.headers[b"x-attempt-id"] == b"c7"
-        (seen,) = [r for u in env.upstreams.values() for r in u.seen]
+        (seen,) = [r for u in env.upstreams.values() for r in u.requests]
         assert (seen.method, seen.target, seen.body) == ("POST", APPROVE, b"12345")
         assert 0 < int(seen.header(b"x-deadline-ms")) <= 1000
 
@@ -33,7 +33,7 @@
 
 def test_routes_are_found_by_host_and_longest_prefix_and_only_a_current_daemon_says_404():
     async def test(env):
-        nested = path("/read/special/", "idempotent", "approvals")
+        nested = route("/read/special/", "idempotent", "approvals")
         await env.store.put("op", "config", document(2, [nested]))
         await env.wait_until(lambda: env.gateway.configuration.version == 2)
         assert (await env.call("/read/special/1")).body.startswith(b"a")
@@ -190,7 +190,7 @@
 
 def test_a_newer_configuration_is_applied_and_an_older_one_is_not():
     async def test(env):
-        await env.store.put("op", "config", document(5, [path("/new/", "idempotent", "reads")]))
+        await env.store.put("op", "config", document(5, [route("/new/", "idempotent", "reads")]))
         await env.wait_until(lambda: env.gateway.configuration.version == 5)
         assert (await env.call("/new/x")).status == 200
         env.store.forget_history()
@@ -205,10 +205,10 @@
 def test_calls_are_served_while_the_store_is_unavailable_and_changes_follow_later():
     async def test(env):
         env.store.faults.refuse = 10**6
-        await env.store.cut()
+        await env.store.reset_connections()
         await env.wait_until(lambda: env.gateway.followers["configuration"].store_unavailable)
         assert (await env.call(READ)).status == 200
-        await env.store.put("op", "config", document(9, [path("/new/", "idempotent", "reads")]))
+        await env.store.put("op", "config", document(9, [route("/new/", "idempotent", "reads")]))
         env.store.faults.refuse = 0
         await env.wait_until(lambda: env.gateway.configuration.version == 9, 2.0)
         assert (await env.call("/new/x")).status == 200
@@ -220,11 +220,11 @@
     async def test(env):
         followers = env.gateway.followers.values()
         await env.wait_until(lambda: env.store.calls.get("/rows-feed", 0) >= 2)
-        env.store.faults.silent = True
+        env.store.faults.unresponsive = True
         await env.store.put("op", "config", document(2))
         await env.add_upstream("r9", "reads")
         await env.wait_until(lambda: any(f.store_unavailable for f in followers))
-        env.store.faults.silent = False
+        env.store.faults.unresponsive = False
         await env.wait_until(lambda: env.gateway.configuration.version == 2)
         await env.wait_until(lambda: "r9" in env.gateway.upstreams.by_id)
 
@@ -234,7 +234,7 @@
 def test_a_planned_stop_turns_unready_first_and_cuts_off_no_call():
     async def test(env):
         for upstream in env.upstreams.values():
-            upstream.work = 0.8
+            upstream.processing_time = 0.8
         kept = await env.connect()
         assert (await kept.call(READ)).status == 200
         env.gateway.readiness.stopping = True
@@ -322,7 +322,7 @@
 def test_a_popular_request_is_not_blocked_for_unrelated_crashes():
     async def test(env):
         for upstream in env.upstreams.values():
-            upstream.work = 0.3
+            upstream.processing_time = 0.3
         for id in ("r0", "r1"):
             connections = [await env.connect() for _ in range(8)]
             for number, connection in enumerate(connections):
@@ -338,7 +338,7 @@
 
 def test_open_calls_end_soon_when_their_upstream_restarts_under_the_same_id():
     async def test(env):
-        slow = path("/slow/", "non_idempotent", "approvals", timeout_s=8.0)
+        slow = route("/slow/", "non_idempotent", "approvals", timeout_s=8.0)
         await env.store.put("op", "config", document(2, [slow]))
         await env.wait_until(lambda: env.gateway.configuration.version == 2)
         old, known = env.upstreams["a0"], env.gateway.upstreams.by_id
