--- a/sequoiabridge/tests/platform/soak/__main__.py
+++ b/sequoiabridge/tests/platform/soak/__main__.py
@@ -6,7 +6,7 @@
 import defopt
 
 from ....selector import LazySelector
-from .plan import Soak
+from .soak import Soak
 
 
 def main(*, seed: int = 1, seeds: int = 1, seconds: float = 20.0, daemons: int = 4) -> int:
@@ -20,13 +20,13 @@
     bad = 0
     for number in range(seed, seed + seeds):
         soak = Soak(number, seconds, daemons)
-        found = curio.run(soak.run, selector=LazySelector())
-        print(f"seed {number}: {soak.summary()}, broken {len(found)}", flush=True)
-        for sentence in found:
+        violations = curio.run(soak.run, selector=LazySelector())
+        print(f"seed {number}: {soak.summary()}, broken {len(violations)}", flush=True)
+        for sentence in violations:
             print(f"  BROKEN {sentence}", flush=True)
-        if found:
+        if violations:
             bad += 1
-            print(f"  logs: {soak.keep_logs()}", flush=True)
+            print(f"  logs: {soak.save_logs()}", flush=True)
         soak.close()
     print(f"seeds {seeds}, with a broken promise {bad}")
     return 1 if bad else 0
--- a/sequoiabridge/tests/platform/soak/deployment.py
+++ b/sequoiabridge/tests/platform/soak/deployment.py
@@ -13,11 +13,11 @@
 from ..environment import HOST, SETTINGS, Connection, document, free_port, route
 from ..store_emulator import StoreEmulator
 from ..upstream_emulator import UpstreamEmulator
-from .oracle import Record, Run
+from .oracle import Record, UpstreamRun
 from .proxy import Proxy
 
 READY_TIMEOUT = 15.0
-RESTART_PAUSE = 0.1
+RESTART_DELAY = 0.1
 
 
 class Daemon:
@@ -34,33 +34,33 @@
         text = text.replace("callers = 127.0.0.1:0", f"callers = 127.0.0.1:{self.callers}")
         text = text.replace("ready = 127.0.0.1:0", f"ready = 127.0.0.1:{self.ready}")
         self.settings.write_text(text.replace("retry_slack = 10000", "retry_slack = 60"))
-        self.child: subprocess.Popen | None = None
+        self.process: subprocess.Popen | None = None
         self.starts = 1
 
     def start(self) -> None:
         """Start the process; its log is added to."""
         command = [sys.executable, "-m", "sequoiabridge.commands.gateway", str(self.settings)]
         with open(self.log, "ab") as log:
-            self.child = subprocess.Popen(command, stdout=log, stderr=log)
+            self.process = subprocess.Popen(command, stdout=log, stderr=log)
 
     def signal(self, number: int) -> None:
         """Send a signal to the process, by its id."""
-        if self.child.poll() is None:
-            os.kill(self.child.pid, number)
+        if self.process.poll() is None:
+            os.kill(self.process.pid, number)
 
     async def supervise(self) -> None:
         """Start the process again whenever it has ended, as the platform does."""
         while True:
-            await curio.sleep(RESTART_PAUSE)
-            if self.child.poll() is not None:
+            await curio.sleep(RESTART_DELAY)
+            if self.process.poll() is not None:
                 self.starts += 1
                 self.start()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """End the process for good."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
-        self.child.wait()
+        self.process.wait()
 
 
 class RecordedUpstream(UpstreamEmulator):
@@ -71,12 +71,12 @@
         self.record = record
         self.clock = clock
 
-    async def run(self, wire, request):
+    async def run(self, connection, request):
         """Enter the request, then run it."""
         call_id = request.header(b"x-attempt-id")
         size = len(request.body)
-        self.record.runs.append(Run(call_id, self.id, self.service, self.clock(), size))
-        return await super().run(wire, request)
+        self.record.runs.append(UpstreamRun(call_id, self.id, self.service, self.clock(), size))
+        return await super().run(connection, request)
 
 
 class Deployment:
@@ -88,34 +88,34 @@
         self.record = Record()
         self.store = StoreEmulator()
         self.folder = tempfile.TemporaryDirectory(prefix="sequoia-soak-")
-        self.count = daemons
+        self.daemon_count = daemons
         self.daemons: list[Daemon] = []
         self.upstreams: dict[str, RecordedUpstream] = {}
         self.proxies: dict[str, Proxy] = {}
         self.version = 0
-        self.made = 0
+        self.upstream_count = 0
 
     async def start(self) -> None:
         """Start everything and wait until all daemons are ready."""
         sock = curio.tcp_server_socket("127.0.0.1", 0, backlog=512)
         address = "{}:{}".format(*sock.getsockname()[:2])
         await curio.spawn(curio.network.run_server, sock, self.store.serve, daemon=True)
-        await self.change()
+        await self.change_configuration()
         for service, count in (("reads", 5), ("approvals", 4)):
             for _ in range(count):
-                await self.add(service)
-        for number in range(self.count):
+                await self.add_upstream(service)
+        for number in range(self.daemon_count):
             proxy = Proxy(address, self.random)
             await proxy.start()
-            centre = ("here", "there")[number % 2]
-            daemon = Daemon(f"vm-{number}", centre, proxy, Path(self.folder.name))
+            data_centre = ("here", "there")[number % 2]
+            daemon = Daemon(f"vm-{number}", data_centre, proxy, Path(self.folder.name))
             self.daemons.append(daemon)
             daemon.start()
             await curio.spawn(daemon.supervise(), daemon=True)
         for daemon in self.daemons:
-            await self.until_ready(daemon)
+            await self.wait_until_ready(daemon)
 
-    async def until_ready(self, daemon: Daemon) -> bool:
+    async def wait_until_ready(self, daemon: Daemon) -> bool:
         """Wait until a daemon says that it is ready."""
         async with curio.ignore_after(READY_TIMEOUT):
             while not await self.is_ready(daemon):
@@ -134,27 +134,27 @@
         except (OSError, curio.TaskTimeout):
             return False
 
-    async def change(self) -> None:
+    async def change_configuration(self) -> None:
         """Write a new configuration, in which one route goes to the other service."""
         self.version += 1
         service = ("reads", "approvals")[self.version % 2]
-        marker = route("/mark/", "idempotent", service)
-        self.record.marks.append((self.clock(), service))
-        await self.store.put("op", "config", document(self.version, [marker]))
+        alternating_route = route("/mark/", "idempotent", service)
+        self.record.route_changes.append((self.clock(), service))
+        await self.store.put("op", "config", document(self.version, [alternating_route]))
 
-    async def add(self, service: str) -> str:
+    async def add_upstream(self, service: str) -> str:
         """Start an upstream behind a proxy and list it."""
-        self.made += 1
-        id = f"{service}-{self.made}"
-        centre = self.random.choice(("here", "there"))
+        self.upstream_count += 1
+        id = f"{service}-{self.upstream_count}"
+        data_centre = self.random.choice(("here", "there"))
         upstream = RecordedUpstream(
             self.record,
             self.clock,
             id=id,
             service=service,
-            data_centre=centre,
+            data_centre=data_centre,
             processing_time=0.03,
-            seed=self.made,
+            seed=self.upstream_count,
         )
         await upstream.start()
         proxy = Proxy(upstream.address, self.random)
@@ -164,7 +164,7 @@
         await self.store.put("servers", id, upstream.entry())
         return id
 
-    async def drain(self, id: str) -> None:
+    async def drain_upstream(self, id: str) -> None:
         """List an upstream as leaving; it serves on for a while and ends."""
         upstream = self.upstreams.pop(id)
         upstream.draining = True
@@ -177,7 +177,7 @@
     def close(self) -> None:
         """End all processes that were started here."""
         for daemon in self.daemons:
-            daemon.end()
+            daemon.kill()
         self.folder.cleanup()
 
 
--- a/sequoiabridge/tests/platform/soak/oracle.py
+++ b/sequoiabridge/tests/platform/soak/oracle.py
@@ -1,41 +1,41 @@
 """What callers and upstreams saw, and which promises that breaks."""
 
 READ, APPROVE, UPLOAD, MARK = "read", "approve", "upload", "mark"
-PROMISED_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 MAX_ATTEMPTS = 2
-DRAIN_BOUND = 2.0
+DRAIN_SECONDS = 2.0
 """Seconds in which a leaving upstream must stop getting calls, once the store has told."""
-APPLY_BOUND = 2.0
+APPLY_SECONDS = 2.0
 """Seconds in which a configuration must be in force, once the store has told."""
-CALM = 3.0
+SETTLE_SECONDS = 3.0
 """Seconds without any fault before a moment at which the bounds in time hold."""
-SLACK = 0.5
+DELIVERY_SECONDS = 0.5
 """Seconds for the way of a request through busy processes of one machine."""
 
 
-class Told:
+class CallRecord:
     """One call: what was sent, when, and what came back."""
 
-    def __init__(self, call_id, kind, daemon, sent):
+    def __init__(self, call_id, kind, daemon, sent_at):
         self.id = call_id
         self.kind = kind
         self.daemon = daemon
-        self.sent = sent
-        self.ended = 0.0
+        self.sent_at = sent_at
+        self.ended_at = 0.0
         self.status = 0
-        self.whole = False
+        self.is_complete = False
         self.body = b""
         self.connected = False
 
 
-class Run:
+class UpstreamRun:
     """One call that an upstream began to run."""
 
-    def __init__(self, call_id, upstream, service, at, size):
+    def __init__(self, call_id, upstream, service, started_at, size):
         self.id = call_id
         self.upstream = upstream
         self.service = service
-        self.at = at
+        self.started_at = started_at
         self.size = size
 
 
@@ -51,64 +51,70 @@
     """
 
     def __init__(self):
-        self.told: list[Told] = []
-        self.runs: list[Run] = []
+        self.calls: list[CallRecord] = []
+        self.runs: list[UpstreamRun] = []
         self.faults: list[tuple[float, float, str]] = []
         self.drains: dict[str, float] = {}
-        self.marks: list[tuple[float, str]] = []
+        self.route_changes: list[tuple[float, str]] = []
         self.stops: list[tuple[float, str]] = []
-        self.body_size: dict[str, int] = {}
+        self.body_sizes: dict[str, int] = {}
 
-    def calm(self, at: float, until: float | None = None) -> bool:
+    def is_fault_free(self, at: float, until: float | None = None) -> bool:
         """Return whether there was no fault from `CALM` seconds before `at` on."""
         end = until or at
-        return not any(start <= end and at - CALM <= stop for start, stop, _ in self.faults)
+        return not any(
+            start <= end and at - SETTLE_SECONDS <= stop for start, stop, _ in self.faults
+        )
 
 
-def broken(record: Record) -> list[str]:
+def find_violations(record: Record) -> list[str]:
     """Return one sentence for each broken promise."""
-    runs: dict[str, list[Run]] = {}
+    runs: dict[str, list[UpstreamRun]] = {}
     for run in record.runs:
         runs.setdefault(run.id, []).append(run)
-    found = []
-    for told in record.told:
-        found += of_call(record, told, runs.get(told.id, []))
-    known = {told.id for told in record.told}
-    found += [f"{id}: ran, and nobody sent it" for id in runs if id not in known]
-    found += late_work(record)
-    found += cut_by_stops(record)
-    return found
+    violations = []
+    for call in record.calls:
+        violations += check_call(record, call, runs.get(call.id, []))
+    known = {call.id for call in record.calls}
+    violations += [f"{id}: ran, and nobody sent it" for id in runs if id not in known]
+    violations += check_drains(record)
+    violations += check_stops(record)
+    return violations
 
 
-def of_call(record: Record, told: Told, runs: list[Run]) -> list[str]:
+def check_call(record: Record, call: CallRecord, runs: list[UpstreamRun]) -> list[str]:
     """Return what is wrong with one call."""
-    found = []
-    name = f"{told.id} ({told.kind} at {told.daemon}, {told.sent:.2f})"
-    if told.kind in (APPROVE, UPLOAD) and len(runs) > 1:
-        found.append(f"{name}: ran {len(runs)} times")
+    violations = []
+    name = f"{call.id} ({call.kind} at {call.daemon}, {call.sent_at:.2f})"
+    if call.kind in (APPROVE, UPLOAD) and len(runs) > 1:
+        violations.append(f"{name}: ran {len(runs)} times")
     if len({run.upstream for run in runs}) > MAX_ATTEMPTS:
-        found.append(f"{name}: ran at {len(runs)} upstreams")
-    if told.status in PROMISED_NOT_RUN and told.kind in (APPROVE, UPLOAD) and runs:
-        found.append(f"{name}: told {told.status}, and ran")
-    if told.status == 200 and told.whole:
-        by = told.body.split(b" ")
-        if len(by) != 3 or by[1] != told.id.encode():
-            found.append(f"{name}: got the answer {told.body[:60]!r}")
+        violations.append(f"{name}: ran at {len(runs)} upstreams")
+    if call.status in NOT_RUN_STATUSES and call.kind in (APPROVE, UPLOAD) and runs:
+        violations.append(f"{name}: told {call.status}, and ran")
+    if call.status == 200 and call.is_complete:
+        by = call.body.split(b" ")
+        if len(by) != 3 or by[1] != call.id.encode():
+            violations.append(f"{name}: got the answer {call.body[:60]!r}")
         elif not any(run.upstream.encode() == by[0] for run in runs):
-            found.append(f"{name}: answered by {by[0]!r}, which did not run it")
-    size = record.body_size.get(told.id, 0)
-    found += [f"{name}: ran with {r.size} of {size} bytes" for r in runs if r.size != size]
-    if told.kind == MARK:
-        found += wrong_mark(record, told, runs, name)
-    return found
+            violations.append(f"{name}: answered by {by[0]!r}, which did not run it")
+    size = record.body_sizes.get(call.id, 0)
+    violations += [f"{name}: ran with {r.size} of {size} bytes" for r in runs if r.size != size]
+    if call.kind == MARK:
+        violations += check_routing(record, call, runs, name)
+    return violations
 
 
-def wrong_mark(record: Record, told: Told, runs: list[Run], name: str) -> list[str]:
+def check_routing(
+    record: Record, call: CallRecord, runs: list[UpstreamRun], name: str
+) -> list[str]:
     """Return whether a call went by a configuration that was no longer in force."""
-    if not record.calm(told.sent, told.ended):
+    if not record.is_fault_free(call.sent_at, call.ended_at):
         return []
-    allowed = [s for at, s in record.marks if at <= told.ended]
-    current = [s for at, s in record.marks if at <= told.sent - APPLY_BOUND - SLACK]
+    allowed = [s for at, s in record.route_changes if at <= call.ended_at]
+    current = [
+        s for at, s in record.route_changes if at <= call.sent_at - APPLY_SECONDS - DELIVERY_SECONDS
+    ]
     # From the last change that had to be in force when it was sent, any later one may count.
     allowed = allowed[max(0, len(current) - 1) :]
     return [
@@ -116,26 +122,26 @@
     ]
 
 
-def late_work(record: Record) -> list[str]:
+def check_drains(record: Record) -> list[str]:
     """Return calls that reached an upstream long after it was leaving."""
-    bound = DRAIN_BOUND + SLACK
-    found = []
+    time_limit = DRAIN_SECONDS + DELIVERY_SECONDS
+    violations = []
     for run in record.runs:
-        since = run.at - record.drains.get(run.upstream, run.at)
-        if since > bound and record.calm(run.at):
-            found.append(f"{run.id}: reached {run.upstream} {since:.2f} s after it left")
-    return found
+        since = run.started_at - record.drains.get(run.upstream, run.started_at)
+        if since > time_limit and record.is_fault_free(run.started_at):
+            violations.append(f"{run.id}: reached {run.upstream} {since:.2f} s after it left")
+    return violations
 
 
-def cut_by_stops(record: Record) -> list[str]:
+def check_stops(record: Record) -> list[str]:
     """Return calls without a whole answer at a daemon that was being stopped as planned."""
-    found = []
+    violations = []
     for at, daemon in record.stops:
-        for told in record.told:
-            near = told.daemon == daemon and at - 1.0 <= told.sent <= at + 6.0
-            lost = told.connected and not told.whole and told.sent <= at + 2.0
-            if near and lost and record.calm(told.sent, told.ended):
-                found.append(
-                    f"{told.id} ({told.kind}): cut off by the stop of {daemon} at {at:.2f}"
+        for call in record.calls:
+            near = call.daemon == daemon and at - 1.0 <= call.sent_at <= at + 6.0
+            lost = call.connected and not call.is_complete and call.sent_at <= at + 2.0
+            if near and lost and record.is_fault_free(call.sent_at, call.ended_at):
+                violations.append(
+                    f"{call.id} ({call.kind}): cut off by the stop of {daemon} at {at:.2f}"
                 )
-    return found
+    return violations
--- a/sequoiabridge/tests/platform/soak/proxy.py
+++ b/sequoiabridge/tests/platform/soak/proxy.py
@@ -5,18 +5,18 @@
 
 import curio
 
-PIECE = 65536
-FOREVER = 3600.0
+CHUNK_SIZE = 65536
+HANG_SECONDS = 3600.0
 
 
-class Harm(Enum):
+class LinkFault(Enum):
     """What a proxy does to its connections."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
     ONE_WAY = "one-way"
-    SILENT = "silent"
+    BLACKHOLE = "silent"
 
 
 class Proxy:
@@ -25,7 +25,7 @@
     def __init__(self, target: str, random: Random):
         self.target = target
         self.random = random
-        self.harm = Harm.NONE
+        self.fault = LinkFault.NONE
         self.address = ""
         self.pairs: set[tuple] = set()
 
@@ -35,18 +35,18 @@
         self.address = "{}:{}".format(*sock.getsockname()[:2])
         await curio.spawn(curio.network.run_server, sock, self.serve, daemon=True)
 
-    def set(self, harm: Harm) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Begin to harm; a reset ends what is open, the others harm that as well."""
-        self.harm = harm
-        if harm is Harm.RESET:
+        self.fault = fault
+        if fault is LinkFault.RESET:
             for pair in list(self.pairs):
                 for side in pair:
-                    end(side)
+                    abort(side)
 
     async def serve(self, client, peer) -> None:
         """Forward one connection."""
-        if self.harm is Harm.RESET:
-            end(client)
+        if self.fault is LinkFault.RESET:
+            abort(client)
             return
         host, _, port = self.target.rpartition(":")
         try:
@@ -63,21 +63,23 @@
         for side in pair:
             await side.close()
 
-    async def forward(self, source, sink, answers: bool) -> None:
+    async def forward(self, source, sink, to_client: bool) -> None:
         """Forward one direction until its end."""
         try:
-            while data := await source.recv(PIECE):
-                if self.harm is Harm.SILENT or (self.harm is Harm.ONE_WAY and answers):
-                    await curio.sleep(FOREVER)
-                if self.harm is Harm.DELAY:
+            while data := await source.recv(CHUNK_SIZE):
+                if self.fault is LinkFault.BLACKHOLE or (
+                    self.fault is LinkFault.ONE_WAY and to_client
+                ):
+                    await curio.sleep(HANG_SECONDS)
+                if self.fault is LinkFault.DELAY:
                     await curio.sleep(self.random.uniform(0.02, 0.3))
                 await sink.sendall(data)
         except OSError:
             pass  # One side has gone; the other is ended below.
-        end(sink)
+        abort(sink)
 
 
-def end(sock) -> None:
+def abort(sock) -> None:
     """End a connection at once."""
     try:
         with sock.blocking() as raw:
--- a/sequoiabridge/tests/platform/soak/plan.py
+++ b/sequoiabridge/tests/platform/soak/soak.py
@@ -10,32 +10,32 @@
 
 from ..environment import Connection
 from .deployment import Daemon, Deployment
-from .oracle import APPROVE, MARK, READ, UPLOAD, Told, broken
-from .proxy import Harm
+from .oracle import APPROVE, MARK, READ, UPLOAD, CallRecord, find_violations
+from .proxy import LinkFault
 
-CALM_END = 6.0
+RECOVERY_SECONDS = 6.0
 """Seconds without new faults at the end of a soak, in which all must be well again."""
 
-RECOVERED = 4.0
+RECOVERED_SECONDS = 4.0
 """Last seconds of them, in which nearly all calls must be answered."""
 
-WELL = 0.95
+MIN_ANSWERED_SHARE = 0.95
 """Share of those that must be: some upstreams answer slowly by chance."""
 
-CALLERS_EACH = 6
+CALLERS_PER_DAEMON = 6
 """Callers of each daemon; they keep their connections until these end."""
 
-READY_PAUSE = 0.3
+READY_POLL_INTERVAL = 0.3
 """Seconds before a caller looks again for a daemon that is ready."""
 
-PAUSE = 0.06
+MEAN_CALL_INTERVAL = 0.06
 """Mean seconds between two calls of a caller."""
 
-KINDS = ((READ, 0.5), (APPROVE, 0.3), (UPLOAD, 0.1), (MARK, 0.1))
-GAP = 0.4
+CALL_KINDS = ((READ, 0.5), (APPROVE, 0.3), (UPLOAD, 0.1), (MARK, 0.1))
+MEAN_FAULT_INTERVAL = 0.4
 """Mean seconds between the beginnings of two faults; they last 0.5 to 3 s, so several overlap."""
 
-PATIENCE_MS = 2000
+CALL_TIMEOUT_MS = 2000
 UPLOAD_SIZE = 70_000
 
 
@@ -46,48 +46,52 @@
         self.seed = seed
         self.seconds = seconds
         self.random = Random(seed)
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.deployment = Deployment(seed, daemons, self.now)
         self.stopping = False
-        self.counter = 0
+        self.call_count = 0
 
     def now(self) -> float:
         """Return the seconds since the soak was made."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     async def run(self) -> list[str]:
         """Run the soak and return what was broken."""
         deployment = self.deployment
         await deployment.start()
         callers = [
-            await curio.spawn(self.caller(daemon, Random(self.random.random())))
+            await curio.spawn(self.run_caller(daemon, Random(self.random.random())))
             for daemon in deployment.daemons
-            for _ in range(CALLERS_EACH)
+            for _ in range(CALLERS_PER_DAEMON)
         ]
         end = self.now() + self.seconds
-        faults = await curio.spawn(self.faults(end - CALM_END))
+        faults = await curio.spawn(self.inject_faults(end - RECOVERY_SECONDS))
         await faults.join()
         await curio.sleep(max(0.0, end - self.now()))
         self.stopping = True
         for task in callers:
             await task.join()
-        return broken(deployment.record) + self.not_recovered(end)
+        return find_violations(deployment.record) + self.check_recovery(end)
 
-    def not_recovered(self, end: float) -> list[str]:
+    def check_recovery(self, end: float) -> list[str]:
         """Return a sentence if calls still fail long after the last fault."""
-        last = [t for t in self.deployment.record.told if end - RECOVERED < t.sent < end - 1.0]
-        good = sum(t.status == 200 and t.whole for t in last)
-        if good >= WELL * len(last):
+        recent_calls = [
+            call
+            for call in self.deployment.record.calls
+            if end - RECOVERED_SECONDS < call.sent_at < end - 1.0
+        ]
+        good = sum(call.status == 200 and call.is_complete for call in recent_calls)
+        if good >= MIN_ANSWERED_SHARE * len(recent_calls):
             return []
-        return [f"only {good} of {len(last)} calls answered in the calm end"]
+        return [f"only {good} of {len(recent_calls)} calls answered in the calm end"]
 
     def summary(self) -> str:
         """Say what was done."""
         record = self.deployment.record
-        good = sum(t.status == 200 and t.whole for t in record.told)
-        return f"{len(record.faults)} faults, {len(record.told)} calls, {good} answered"
+        good = sum(call.status == 200 and call.is_complete for call in record.calls)
+        return f"{len(record.faults)} faults, {len(record.calls)} calls, {good} answered"
 
-    def keep_logs(self) -> str:
+    def save_logs(self) -> str:
         """Copy the daemons' logs to a folder that stays; return its name."""
         kept = tempfile.mkdtemp(prefix=f"soak-seed-{self.seed}-")
         shutil.copytree(self.deployment.folder.name, kept, dirs_exist_ok=True)
@@ -97,11 +101,11 @@
         """End what was started."""
         self.deployment.close()
 
-    async def caller(self, daemon: Daemon, random: Random) -> None:
+    async def run_caller(self, daemon: Daemon, random: Random) -> None:
         """Call one daemon, on one connection for as long as that lasts."""
         connection = None
         while not self.stopping:
-            await curio.sleep(random.expovariate(1 / PAUSE))
+            await curio.sleep(random.expovariate(1 / MEAN_CALL_INTERVAL))
             if connection is None:
                 connection = await self.connect(daemon)
             if connection is not None and not await self.call(connection, daemon, random):
@@ -116,7 +120,7 @@
         As behind the platform's balancer, a daemon that does not say that it is ready gets none.
         """
         if not await self.deployment.is_ready(daemon):
-            await curio.sleep(READY_PAUSE)
+            await curio.sleep(READY_POLL_INTERVAL)
             return None
         try:
             async with curio.timeout_after(1.0):
@@ -126,121 +130,134 @@
 
     async def call(self, connection: Connection, daemon: Daemon, random: Random) -> bool:
         """Make one call; return whether the connection can be used again."""
-        self.counter += 1
-        kind = random.choices([k for k, _ in KINDS], [share for _, share in KINDS])[0]
-        told = Told(f"s{self.seed}-{self.counter}", kind, daemon.name, self.now())
+        self.call_count += 1
+        kind = random.choices([k for k, _ in CALL_KINDS], [share for _, share in CALL_KINDS])[0]
+        call = CallRecord(f"s{self.seed}-{self.call_count}", kind, daemon.name, self.now())
         body = {APPROVE: b"a" * 200, UPLOAD: b"u" * UPLOAD_SIZE}.get(kind, b"")
-        self.deployment.record.told.append(told)
-        self.deployment.record.body_size[told.id] = len(body)
+        self.deployment.record.calls.append(call)
+        self.deployment.record.body_sizes[call.id] = len(body)
         method = "POST" if body else "GET"
         reply = None
         try:
-            async with curio.timeout_after(PATIENCE_MS / 1000 + 1.0):
+            async with curio.timeout_after(CALL_TIMEOUT_MS / 1000 + 1.0):
                 await connection.send(
-                    f"/{kind}/x", told.id, method=method, body=body, timeout_ms=PATIENCE_MS
+                    f"/{kind}/x", call.id, method=method, body=body, timeout_ms=CALL_TIMEOUT_MS
                 )
-                told.connected = True
+                call.connected = True
                 reply = await connection.reply()
         except (OSError, curio.TaskTimeout):
-            told.connected = False
-        told.ended = self.now()
+            call.connected = False
+        call.ended_at = self.now()
         if reply is None:
             return False
-        told.status, told.whole, told.body = reply.status, reply.is_complete, reply.body
+        call.status, call.is_complete, call.body = reply.status, reply.is_complete, reply.body
         return reply.is_complete and reply.headers.get(b"connection") != b"close"
 
-    async def faults(self, until: float) -> None:
+    async def inject_faults(self, until: float) -> None:
         """Let faults come, several at a time, until a moment."""
         running = []
         await curio.sleep(2.0)
         while self.now() < until:
-            fault = self.random.choice(self.kinds())
+            fault = self.random.choice(self.fault_kinds())
             running.append(await curio.spawn(fault(self.random.uniform(0.5, 3.0))))
-            await curio.sleep(self.random.expovariate(1 / GAP))
+            await curio.sleep(self.random.expovariate(1 / MEAN_FAULT_INTERVAL))
         for task in running:
             await task.join()
 
-    def kinds(self) -> list:
+    def fault_kinds(self) -> list:
         """Return the faults and the planned work that may come."""
-        planned = [self.stop, self.stop, self.change, self.change, self.drain, self.scale]
-        links = [self.harm_store, self.harm_upstream, self.harm_upstream]
+        planned = [
+            self.stop_daemon,
+            self.stop_daemon,
+            self.change_configuration,
+            self.change_configuration,
+            self.replace_upstream,
+            self.add_upstream,
+        ]
+        links = [self.disturb_store_link, self.disturb_upstream_link, self.disturb_upstream_link]
         return (
             planned
             + links
-            + [self.kill, self.pause, self.reload, self.store_away, self.upstream_ill]
+            + [
+                self.kill_daemon,
+                self.pause_daemon,
+                self.reload_settings,
+                self.inject_store_fault,
+                self.inject_upstream_fault,
+            ]
         )
 
-    def note(self, seconds: float, what: str) -> None:
+    def record_fault(self, seconds: float, what: str) -> None:
         """Enter a fault that lasts some seconds from now on."""
         self.deployment.record.faults.append((self.now(), self.now() + seconds, what))
 
-    async def stop(self, seconds: float) -> None:
+    async def stop_daemon(self, seconds: float) -> None:
         """Stop a daemon as planned."""
         daemon = self.random.choice(self.deployment.daemons)
         if await self.deployment.is_ready(daemon):
             self.deployment.record.stops.append((self.now(), daemon.name))
             daemon.signal(signal.SIGTERM)
 
-    async def kill(self, seconds: float) -> None:
+    async def kill_daemon(self, seconds: float) -> None:
         """Kill a daemon."""
         daemon = self.random.choice(self.deployment.daemons)
-        self.note(3.0, f"kill {daemon.name}")
+        self.record_fault(3.0, f"kill {daemon.name}")
         daemon.signal(signal.SIGKILL)
 
-    async def pause(self, seconds: float) -> None:
+    async def pause_daemon(self, seconds: float) -> None:
         """Let a daemon stand still."""
         daemon = self.random.choice(self.deployment.daemons)
-        self.note(seconds + 1.0, f"pause {daemon.name}")
+        self.record_fault(seconds + 1.0, f"pause {daemon.name}")
         daemon.signal(signal.SIGSTOP)
         await curio.sleep(seconds)
         daemon.signal(signal.SIGCONT)
 
-    async def reload(self, seconds: float) -> None:
+    async def reload_settings(self, seconds: float) -> None:
         """Tell a daemon that its settings have changed."""
         self.random.choice(self.deployment.daemons).signal(signal.SIGHUP)
 
-    async def change(self, seconds: float) -> None:
+    async def change_configuration(self, seconds: float) -> None:
         """Change the configuration, sometimes several times in a row."""
         for _ in range(self.random.choice((1, 1, 4))):
-            await self.deployment.change()
+            await self.deployment.change_configuration()
             await curio.sleep(0.15)
 
-    async def drain(self, seconds: float) -> None:
+    async def replace_upstream(self, seconds: float) -> None:
         """Let an upstream leave, and another come."""
         ids = [id for id in self.deployment.upstreams if id.startswith("reads")]
         if len(ids) > 3:
-            await self.deployment.add("reads")
-            await self.deployment.drain(self.random.choice(ids))
+            await self.deployment.add_upstream("reads")
+            await self.deployment.drain_upstream(self.random.choice(ids))
 
-    async def scale(self, seconds: float) -> None:
+    async def add_upstream(self, seconds: float) -> None:
         """Let an upstream come."""
         if len(self.deployment.upstreams) < 14:
-            await self.deployment.add(self.random.choice(("reads", "approvals")))
+            await self.deployment.add_upstream(self.random.choice(("reads", "approvals")))
 
-    async def harm_store(self, seconds: float) -> None:
+    async def disturb_store_link(self, seconds: float) -> None:
         """Harm the way of one daemon to the store."""
         daemon = self.random.choice(self.deployment.daemons)
-        await self.harm(daemon.store, seconds, f"store of {daemon.name}")
+        await self.disturb_link(daemon.store, seconds, f"store of {daemon.name}")
 
-    async def harm_upstream(self, seconds: float) -> None:
+    async def disturb_upstream_link(self, seconds: float) -> None:
         """Harm the way of all daemons to one upstream."""
         id = self.random.choice(list(self.deployment.upstreams))
-        await self.harm(self.deployment.proxies[id], seconds, id)
+        await self.disturb_link(self.deployment.proxies[id], seconds, id)
 
-    async def harm(self, proxy, seconds: float, what: str) -> None:
+    async def disturb_link(self, proxy, seconds: float, what: str) -> None:
         """Harm the connections through a proxy for some seconds."""
-        harm = self.random.choice([h for h in Harm if h is not Harm.NONE])
-        self.note(seconds + 3.0, f"{harm.value} {what}")
-        proxy.set(harm)
+        fault = self.random.choice([f for f in LinkFault if f is not LinkFault.NONE])
+        self.record_fault(seconds + 3.0, f"{fault.value} {what}")
+        proxy.set_fault(fault)
         await curio.sleep(seconds)
         # What was forwarded to nowhere meanwhile is lost; such connections end.
-        proxy.set(Harm.RESET)
-        proxy.set(Harm.NONE)
+        proxy.set_fault(LinkFault.RESET)
+        proxy.set_fault(LinkFault.NONE)
 
-    async def store_away(self, seconds: float) -> None:
+    async def inject_store_fault(self, seconds: float) -> None:
         """Let the store refuse, lose answers, be slow, or forget its history."""
         faults = self.deployment.store.faults
-        self.note(seconds + 3.0, "store")
+        self.record_fault(seconds + 3.0, "store")
         kind = self.random.choice(("refuse", "lose", "slow", "forget"))
         if kind == "refuse":
             faults.refuse = 10**6
@@ -254,13 +271,13 @@
         await curio.sleep(seconds)
         faults.refuse, faults.delay, faults.lose_answers = 0, 0.0, 0
 
-    async def upstream_ill(self, seconds: float) -> None:
+    async def inject_upstream_fault(self, seconds: float) -> None:
         """Let an upstream misbehave."""
         upstream = self.random.choice(list(self.deployment.upstreams.values()))
         kind = self.random.choice(("reset", "lose", "cut", "fail", "slow", "shed", "late_extra"))
         value = {"slow": 10.0, "shed": True, "late_extra": True}.get(kind, 0.4)
-        usual = getattr(upstream.faults, kind)
-        self.note(seconds + 1.0, f"{kind} {upstream.id}")
+        previous = getattr(upstream.faults, kind)
+        self.record_fault(seconds + 1.0, f"{kind} {upstream.id}")
         setattr(upstream.faults, kind, value)
         await curio.sleep(seconds)
-        setattr(upstream.faults, kind, usual)
+        setattr(upstream.faults, kind, previous)
--- a/sequoiabridge/tests/platform/soak/test_soak.py
+++ b/sequoiabridge/tests/platform/soak/test_soak.py
@@ -4,8 +4,17 @@
 import pytest
 
 from ....selector import LazySelector
-from .oracle import APPROVE, DRAIN_BOUND, MARK, READ, Record, Run, Told, broken
-from .plan import Soak
+from .oracle import (
+    APPROVE,
+    DRAIN_SECONDS,
+    MARK,
+    READ,
+    CallRecord,
+    Record,
+    UpstreamRun,
+    find_violations,
+)
+from .soak import Soak
 
 SEEDS = [
     pytest.param(1, 14.0, id="1"),
@@ -22,45 +31,45 @@
     soak = Soak(seed, seconds, daemons=4)
     try:
         assert curio.run(soak.run, selector=LazySelector()) == []
-        assert len(soak.deployment.record.told) > 200
+        assert len(soak.deployment.record.calls) > 200
     finally:
         soak.close()
 
 
-def told(kind, status=200, whole=True, sent=10.0, body=b"u1 c1 0"):
-    call = Told("c1", kind, "vm-1", sent)
-    call.status, call.whole, call.body, call.connected = status, whole, body, True
-    call.ended = sent + 0.1
+def make_call(kind, status=200, is_complete=True, sent=10.0, body=b"u1 c1 0"):
+    call = CallRecord("c1", kind, "vm-1", sent)
+    call.status, call.is_complete, call.body, call.connected = status, is_complete, body, True
+    call.ended_at = sent + 0.1
     return call
 
 
 @pytest.mark.parametrize(
     ("call", "runs", "word"),
     [
-        (told(APPROVE), 2, "ran 2 times"),
-        (told(READ), 3, "ran at 3 upstreams"),
-        (told(APPROVE, 503), 1, "told 503, and ran"),
-        (told(READ, body=b"u1 c2 0"), 1, "got the answer"),
-        (told(READ, body=b"u9 c1 0"), 1, "which did not run it"),
-        (told(MARK), 1, "allowed"),
+        (make_call(APPROVE), 2, "ran 2 times"),
+        (make_call(READ), 3, "ran at 3 upstreams"),
+        (make_call(APPROVE, 503), 1, "told 503, and ran"),
+        (make_call(READ, body=b"u1 c2 0"), 1, "got the answer"),
+        (make_call(READ, body=b"u9 c1 0"), 1, "which did not run it"),
+        (make_call(MARK), 1, "allowed"),
     ],
 )
 def test_the_oracle_sees_each_kind_of_broken_promise(call, runs, word):
     record = Record()
-    record.told.append(call)
-    record.marks = [(0.0, "other"), (1.0, "new")]
-    record.runs = [Run("c1", f"u{n + 1}", "reads", 10.0, 0) for n in range(runs)]
-    assert any(word in sentence for sentence in broken(record))
+    record.calls.append(call)
+    record.route_changes = [(0.0, "other"), (1.0, "new")]
+    record.runs = [UpstreamRun("c1", f"u{n + 1}", "reads", 10.0, 0) for n in range(runs)]
+    assert any(word in sentence for sentence in find_violations(record))
 
 
 def test_the_oracle_sees_late_work_unasked_work_and_calls_cut_by_a_stop():
     record = Record()
     record.drains["u1"] = 10.0
-    record.runs.append(Run("c9", "u1", "reads", 10.0 + DRAIN_BOUND + 1, 0))
-    record.told.append(told(READ, status=200, whole=False, sent=20.0))
+    record.runs.append(UpstreamRun("c9", "u1", "reads", 10.0 + DRAIN_SECONDS + 1, 0))
+    record.calls.append(make_call(READ, status=200, is_complete=False, sent=20.0))
     record.stops.append((20.0, "vm-1"))
-    text = " ".join(broken(record))
+    text = " ".join(find_violations(record))
     assert "nobody sent it" in text and "after it left" in text and "cut off by the stop" in text
     record.faults.append((9.0, 25.0, "anything"))
-    text = " ".join(broken(record))
+    text = " ".join(find_violations(record))
     assert "after it left" not in text and "cut off" not in text and "nobody sent it" in text
