--- a/sequoiabridge/platform/client.py
+++ b/sequoiabridge/platform/client.py
@@ -26,22 +26,22 @@
 CALL_TIMEOUT = 1.5
 """Seconds for a call that answers at once; the store takes 4 ms, some 0.25 s when it is slow."""
 
-PROMPT_TIMEOUT = 0.6
+POLL_ANSWER_TIMEOUT = 0.6
 """Seconds for the answer to a question for changes beyond the time that it may wait; short, so that
 an outage and its end are noticed soon. A slow store takes 0.25 s."""
 
-MOST_CONNECTIONS = 256
+MAX_CONNECTIONS = 256
 """Connections to the store at a time; each call has one, and claims come in crowds."""
 
-LARGEST_PAGE = 500
+MAX_PAGE_ROWS = 500
 """Rows of one answer, as the platform fixes it."""
 
 IDLE_TIMEOUT = 20.0
 """Seconds that an idle connection to the store is used again."""
 
-JSON = ((b"content-type", b"application/json"),)
+JSON_HEADERS = ((b"content-type", b"application/json"),)
 
-Counter = Callable[[bool], None]
+CallObserver = Callable[[bool], None]
 """Told of each call, and whether it failed."""
 
 
@@ -52,51 +52,51 @@
         self,
         address: str,
         clock: Clock,
-        counted: Counter = lambda failed: None,
+        on_call: CallObserver = lambda failed: None,
         call_timeout: float = CALL_TIMEOUT,
     ):
         self.address = address
-        self.counted = counted
+        self.on_call = on_call
         self.call_timeout = call_timeout
         limits = ConnectorLimits(idle_timeout=IDLE_TIMEOUT)
-        self.connector = HttpConnector(clock, limits, MOST_CONNECTIONS)
+        self.connector = HttpConnector(clock, limits, MAX_CONNECTIONS)
 
     async def rows(
         self, table: str, part: str = "", start: str = "", end: str = "", limit: int = 0
     ) -> Rows:
-        page_size = min(limit or LARGEST_PAGE, LARGEST_PAGE)
-        found, version, query = [], 0, {"table": table, "part": part, "limit": page_size}
+        page_size = min(limit or MAX_PAGE_ROWS, MAX_PAGE_ROWS)
+        rows, version, query = [], 0, {"table": table, "part": part, "limit": page_size}
         if end:
             query["target"] = end
         while True:
             if start:
                 query["from"] = start
             page = await self._get("/rows-get", query, self.call_timeout)
-            found += _rows(page)
+            rows += _decode_rows(page)
             # Pages are read one after the other: only what the first saw is known of all.
             version = version or page["ver"]
-            if not page.get("has_more") or not page["rows"] or 0 < limit <= len(found):
-                return Rows(found[: limit or None], version)
+            if not page.get("has_more") or not page["rows"] or 0 < limit <= len(rows):
+                return Rows(rows[: limit or None], version)
             start = page["rows"][-1]["key"] + "\0"
 
     async def changes(self, table: str, after: int, wait: float) -> Changes:
         query = {"table": table, "after": after, "wait_ms": int(wait * 1000)}
-        page = await self._get("/rows-feed", query, wait + PROMPT_TIMEOUT)
-        return Changes(_rows(page), page["ver"])
+        page = await self._get("/rows-feed", query, wait + POLL_ANSWER_TIMEOUT)
+        return Changes(_decode_rows(page), page["ver"])
 
     async def transact(self, conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
         puts = [write for write in writes if write.value is not None]
-        removed = [write for write in writes if write.value is None]
+        removals = [write for write in writes if write.value is None]
         body = {
             "expected_rev": [
                 {"table": c.table, "part": c.part, "key": c.key, "ver": c.version}
                 for c in conditions
             ],
             "puts": [
-                {"table": w.table, "part": w.part, "key": w.key, "value": _text(w.value)}
+                {"table": w.table, "part": w.part, "key": w.key, "value": _encode_value(w.value)}
                 for w in puts
             ],
-            "remove": [{"table": w.table, "part": w.part, "key": w.key} for w in removed],
+            "remove": [{"table": w.table, "part": w.part, "key": w.key} for w in removals],
         }
         answer = await self._call(
             b"POST", b"/rows-tx", json.dumps(body).encode(), self.call_timeout
@@ -110,11 +110,11 @@
     async def _call(self, method: bytes, target: bytes, body: bytes, timeout: float) -> dict:
         failed = True
         try:
-            answer = decoded(await self.exchange(method, target, body, JSON, timeout))
+            answer = decode_answer(await self.exchange(method, target, body, JSON_HEADERS, timeout))
             failed = False
             return answer
         finally:
-            self.counted(failed)
+            self.on_call(failed)
 
     async def exchange(
         self,
@@ -138,9 +138,9 @@
             raise StoreUnavailable(message, sent=error.sent) from error
 
 
-def accepted(found: Fetched) -> bytes:
+def checked_body(answer: Fetched) -> bytes:
     """Return the body of a good answer, or raise what another one stands for."""
-    status = found.status
+    status = answer.status
     if status == HTTPStatus.GONE:
         raise HistoryLost("The store no longer knows what changed; read all rows.")
     if status == HTTPStatus.PRECONDITION_FAILED:
@@ -150,35 +150,35 @@
         raise StoreRefused(f"The store refused the call ({status}) and did nothing; try later.")
     if status != HTTPStatus.OK:
         raise StoreUnavailable(f"The store answered {status}; read back what was written.")
-    return found.body
+    return answer.body
 
 
-def decoded(found: Fetched) -> dict:
+def decode_answer(answer: Fetched) -> dict:
     """Return the fields of a good answer, or raise what another one stands for."""
     try:
-        return json.loads(accepted(found))
+        return json.loads(checked_body(answer))
     except ValueError as error:
         raise StoreUnavailable(f"The store's answer is not JSON: {error}.") from error
 
 
-def _rows(page: dict) -> list[StoredRow]:
+def _decode_rows(page: dict) -> list[StoredRow]:
     """Return the rows of an answer.
 
     Raises:
         StoreUnavailable: The answer is not of the store's form.
     """
     try:
-        return [_row(row) for row in page["rows"]]
+        return [_decode_row(row) for row in page["rows"]]
     except (KeyError, TypeError, AttributeError) as error:
         raise StoreUnavailable(f"The store's answer has no rows in it: {error!r}.") from error
 
 
-def _row(row: dict) -> StoredRow:
-    value = None if row.get("removed") else _bytes(row.get("value"))
+def _decode_row(row: dict) -> StoredRow:
+    value = None if row.get("removed") else _decode_value(row.get("value"))
     return StoredRow(row["table"], row.get("part", ""), row["key"], value, row.get("ver", 0))
 
 
-def _bytes(text: object) -> bytes:
+def _decode_value(text: object) -> bytes:
     """Return a row's value; one that cannot be read is that row's matter, and the others hold."""
     if not isinstance(text, str):
         return UNREADABLE
@@ -188,5 +188,5 @@
         return UNREADABLE
 
 
-def _text(value: bytes) -> str:
+def _encode_value(value: bytes) -> str:
     return b64encode(value).decode()
--- a/sequoiabridge/platform/configuration.py
+++ b/sequoiabridge/platform/configuration.py
@@ -12,7 +12,7 @@
 DEFAULT_MAX_ATTEMPTS = 1
 DEFAULT_TIMEOUT = 30.0
 DEFAULT_PRIORITY = 0
-DEFAULT_CONNECTIONS = 100
+DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_HEALTH_PATH = "/health"
 """What holds where the document is silent; the careful choice in each case."""
 
@@ -21,22 +21,26 @@
 )
 
 
-def route_table(document: Mapping) -> RouteTable:
+def decode_route_table(document: Mapping) -> RouteTable:
     """Return the route table of a configuration document.
 
     Raises:
         ValueError, KeyError, TypeError: It is not such a document.
     """
     hosts: dict[bytes, list[Route]] = {}
-    for virtual in document.get("virtual_hosts", ()):
-        host = virtual["hostname"].lower().encode()
-        hosts.setdefault(host, []).extend(_route(path) for path in virtual.get("paths", ()))
-    services = {service["name"]: _service(service) for service in document.get("services", ())}
-    limits = _limits(document.get("limits") or {})
+    for virtual_host in document.get("virtual_hosts", ()):
+        host = virtual_host["hostname"].lower().encode()
+        hosts.setdefault(host, []).extend(
+            _decode_route(path) for path in virtual_host.get("paths", ())
+        )
+    services = {
+        service["name"]: _decode_service(service) for service in document.get("services", ())
+    }
+    limits = _decode_limits(document.get("limits") or {})
     return RouteTable(int(document["version"]), hosts, services, limits)
 
 
-def _route(path: Mapping) -> Route:
+def _decode_route(path: Mapping) -> Route:
     return Route(
         name=str(path.get("name") or path["prefix"]),
         prefix=path["prefix"].encode(),
@@ -45,26 +49,26 @@
         target_latency=float(path.get("target_latency_s") or path.get("timeout_s") or 1.0),
         max_attempts=int(path.get("max_attempts") or DEFAULT_MAX_ATTEMPTS),
         priority=int(path.get("priority") or DEFAULT_PRIORITY),
-        targets=_targets(path),
+        targets=_decode_targets(path),
     )
 
 
-def _targets(path: Mapping) -> tuple[Target, ...]:
-    split = path.get("weighted_services")
-    if not split:
+def _decode_targets(path: Mapping) -> tuple[Target, ...]:
+    weighted_services = path.get("weighted_services")
+    if not weighted_services:
         return (Target(path["service"], 1.0),)
-    return tuple(Target(part["service"], float(part["weight"])) for part in split)
+    return tuple(Target(part["service"], float(part["weight"])) for part in weighted_services)
 
 
-def _service(service: Mapping) -> ServiceSettings:
+def _decode_service(service: Mapping) -> ServiceSettings:
     return ServiceSettings(
         name=service["name"],
         health_path=(service.get("health_check_path") or DEFAULT_HEALTH_PATH).encode(),
-        max_connections=int(service.get("max_connections") or DEFAULT_CONNECTIONS),
+        max_connections=int(service.get("max_connections") or DEFAULT_MAX_CONNECTIONS),
     )
 
 
-def _limits(limits: Mapping) -> CallLimits:
+def _decode_limits(limits: Mapping) -> CallLimits:
     default = DEFAULT_LIMITS
     return CallLimits(
         max_head=int(limits.get("max_header_bytes") or default.max_head),
--- a/sequoiabridge/platform/feeds.py
+++ b/sequoiabridge/platform/feeds.py
@@ -8,8 +8,8 @@
 from ..store.rows import Changes, Rows, StoredRow
 from ..store.tables import Tables
 from ..untrusted_json import as_object, parse_json
-from .configuration import route_table
-from .entries import upstream_record
+from .configuration import decode_route_table
+from .entries import decode_upstream_record
 from .names import CONFIGURATION_KEY, CONFIGURATION_TABLE, UPSTREAM_TABLE
 
 
@@ -31,7 +31,7 @@
     def decode(self, row: StoredRow) -> RouteTable | None:
         if row.key != CONFIGURATION_KEY:
             return None
-        return route_table(as_object(parse_json(row.value or b""), "the configuration"))
+        return decode_route_table(as_object(parse_json(row.value or b""), "the configuration"))
 
 
 class UpstreamFeed(Feed[UpstreamRecord]):
@@ -50,4 +50,4 @@
         return await self.tables.changes(UPSTREAM_TABLE, after, wait)
 
     def decode(self, row: StoredRow) -> UpstreamRecord:
-        return upstream_record(row)
+        return decode_upstream_record(row)
--- a/sequoiabridge/platform/names.py
+++ b/sequoiabridge/platform/names.py
@@ -3,13 +3,13 @@
 CALL_ID = b"x-attempt-id"
 """Names one attempt of a caller; upstreams repeat it on their answers."""
 
-TIME_LEFT = b"x-deadline-ms"
+TIMEOUT_MS = b"x-deadline-ms"
 """Milliseconds that the sender still waits; not a point in time."""
 
 SIGNATURE = b"x-server-signature"
 """An upstream's signature over its answer."""
 
-MEANT_FOR = b"x-expect-instance"
+INTENDED_UPSTREAM = b"x-expect-instance"
 """Id of the upstream that is meant; any other answers 421 and runs nothing."""
 
 LOAD = b"x-instance-load"
@@ -24,7 +24,7 @@
 RETRY_AFTER = b"retry-after"
 """Seconds, with fractions."""
 
-ENCODING = b"content-encoding"
+CONTENT_ENCODING = b"content-encoding"
 """Nobody asks for an encoding; a body that has one is not the upstream's."""
 
 CONFIGURATION_TABLE = "op"
@@ -34,5 +34,5 @@
 UPSTREAM_TABLE = "servers"
 """The upstreams' own entries, by id."""
 
-OTHER_UPSTREAM = 421
+MISDIRECTED_REQUEST = 421
 """Status of an upstream that was not the one meant."""
--- a/sequoiabridge/platform/services.py
+++ b/sequoiabridge/platform/services.py
@@ -27,24 +27,24 @@
     Write,
 )
 from ..timers import Clock
-from .client import PlatformClient, accepted
+from .client import PlatformClient, checked_body
 
 VM_TABLE = "vms"
 """The table that lists VMs, by name."""
 
 NO_PART = ""
 ONLY_IF_ABSENT = (b"if-none-match", b"*")
-LONGEST_CALL = 60.0
+CLIENT_TIMEOUT = 60.0
 """Seconds of the client's own limit; the callers' limits are shorter."""
 
-LAST = "\U0010ffff"
+MAX_KEY = "\U0010ffff"
 """Sorts after every character of a key."""
 
-VM = msgspec.json.Decoder(ListedVm)
+VM_DECODER = msgspec.json.Decoder(ListedVm)
 
 
-async def settled(
-    call: Callable[[], Awaitable], take: Callable[[object], object], timeout: float
+async def call_store(
+    call: Callable[[], Awaitable], convert: Callable[[object], object], timeout: float
 ) -> Result:
     """Make a call within `timeout` seconds; return what it gave, or what is known after a failure.
 
@@ -52,7 +52,7 @@
     has left proves nothing.
     """
     try:
-        return Ok(take(await curio.timeout_after(timeout, call)))
+        return Ok(convert(await curio.timeout_after(timeout, call)))
     except ConditionFailed as error:
         return Error(StoreError(StoreErrorKind.CONDITION_FAILED, str(error)))
     except StoreRefused as error:
@@ -65,7 +65,7 @@
         return Error(StoreError(StoreErrorKind.UNKNOWN, text))
 
 
-def nothing(_answer: object) -> None:
+def discard(_answer: object) -> None:
     """Take an answer that says nothing."""
 
 
@@ -73,34 +73,38 @@
     """The table service; all rows lie in one part, so that a transaction may cover any of them."""
 
     def __init__(self, address: str, clock: Clock):
-        self.client = PlatformClient(address, clock, call_timeout=LONGEST_CALL)
+        self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
 
     async def transact(
         self, conditions: list[Condition], writes: list[Write], timeout: float
     ) -> Result[None, StoreError]:
-        held = [stored.Condition(c.table, NO_PART, c.key, c.version) for c in conditions]
-        made = [stored.Write(w.table, NO_PART, w.key, w.value) for w in writes]
-        return await settled(lambda: self.client.transact(held, made), nothing, timeout)
+        store_conditions = [
+            stored.Condition(c.table, NO_PART, c.key, c.version) for c in conditions
+        ]
+        store_writes = [stored.Write(w.table, NO_PART, w.key, w.value) for w in writes]
+        return await call_store(
+            lambda: self.client.transact(store_conditions, store_writes), discard, timeout
+        )
 
     async def read(self, table: str, key: str, timeout: float) -> Result[Row | None, StoreError]:
-        def first(found: stored.Rows) -> Row | None:
-            return row_of(found.rows[0]) if found.rows else None
+        def first_row(rows: stored.Rows) -> Row | None:
+            return to_row(rows.rows[0]) if rows.rows else None
 
         end = key + "\0"
-        return await settled(
-            lambda: self.client.rows(table, NO_PART, key, end, limit=1), first, timeout
+        return await call_store(
+            lambda: self.client.rows(table, NO_PART, key, end, limit=1), first_row, timeout
         )
 
     async def scan(
         self, table: str, prefix: str, after: str, limit: int, timeout: float
     ) -> Result[list[Row], StoreError]:
-        def some(found: stored.Rows) -> list[Row]:
-            return [row_of(row) for row in found.rows]
+        def to_rows(rows: stored.Rows) -> list[Row]:
+            return [to_row(row) for row in rows.rows]
 
         start = max(prefix, after + "\0") if after else prefix
-        end = prefix + LAST if prefix else ""
-        return await settled(
-            lambda: self.client.rows(table, NO_PART, start, end, limit=limit), some, timeout
+        end = prefix + MAX_KEY if prefix else ""
+        return await call_store(
+            lambda: self.client.rows(table, NO_PART, start, end, limit=limit), to_rows, timeout
         )
 
 
@@ -108,60 +112,64 @@
     """The object store; a name is one path segment."""
 
     def __init__(self, address: str, clock: Clock):
-        self.client = PlatformClient(address, clock, call_timeout=LONGEST_CALL)
+        self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
 
     async def put(self, name: str, data: bytes, timeout: float) -> Result[None, StoreError]:
-        return await settled(
+        return await call_store(
             lambda: self._call(b"PUT", "/blob-put/", name, data, (ONLY_IF_ABSENT,)),
-            nothing,
+            discard,
             timeout,
         )
 
     async def get(self, name: str, timeout: float) -> Result[bytes | None, StoreError]:
-        return await settled(lambda: self._call(b"GET", "/blob-get/", name), same, timeout)
+        return await call_store(lambda: self._call(b"GET", "/blob-get/", name), identity, timeout)
 
     async def delete(self, name: str, timeout: float) -> Result[None, StoreError]:
-        return await settled(lambda: self._call(b"DELETE", "/blob-drop/", name), nothing, timeout)
+        return await call_store(
+            lambda: self._call(b"DELETE", "/blob-drop/", name), discard, timeout
+        )
 
     async def names(
         self, prefix: str, after: str, limit: int, timeout: float
     ) -> Result[list[str], StoreError]:
         query = urlencode({"prefix": prefix, "after": after})
 
-        def some(data: bytes | None) -> list[str]:
+        def to_names(data: bytes | None) -> list[str]:
             return msgspec.json.decode(data or b"{}").get("names", [])[:limit]
 
-        return await settled(lambda: self._call(b"GET", f"/blob-list?{query}", ""), some, timeout)
+        return await call_store(
+            lambda: self._call(b"GET", f"/blob-list?{query}", ""), to_names, timeout
+        )
 
     async def _call(
         self, method: bytes, path: str, name: str, data: bytes = b"", headers: tuple = ()
     ) -> bytes | None:
         """Return an answer's body, None if there is no such object."""
         target = (path + quote(name, safe="")).encode()
-        found = await self.client.exchange(method, target, data, headers)
-        if found.status == HTTPStatus.NOT_FOUND:
+        answer = await self.client.exchange(method, target, data, headers)
+        if answer.status == HTTPStatus.NOT_FOUND:
             return None
-        return accepted(found)
+        return checked_body(answer)
 
 
 class PlatformVmList(VmList):
     """The list of VMs, which lies in a table."""
 
     def __init__(self, address: str, clock: Clock):
-        self.client = PlatformClient(address, clock, call_timeout=LONGEST_CALL)
+        self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
 
     async def vms(self, timeout: float) -> Result[list[ListedVm], StoreError]:
-        def all_of(found: stored.Rows) -> list[ListedVm]:
-            return [VM.decode(row.value) for row in found.rows]
+        def to_vms(rows: stored.Rows) -> list[ListedVm]:
+            return [VM_DECODER.decode(row.value) for row in rows.rows]
 
-        return await settled(lambda: self.client.rows(VM_TABLE), all_of, timeout)
+        return await call_store(lambda: self.client.rows(VM_TABLE), to_vms, timeout)
 
 
-def row_of(row: stored.StoredRow) -> Row:
+def to_row(row: stored.StoredRow) -> Row:
     """Return a stored row as the daemon's other parts know it."""
     return Row(row.table, row.key, row.value, row.version)
 
 
-def same(data: bytes | None) -> bytes | None:
+def identity(data: bytes | None) -> bytes | None:
     """Return an object's bytes as they are."""
     return data
--- a/sequoiabridge/tests/platform/service.py
+++ b/sequoiabridge/tests/platform/service.py
@@ -21,22 +21,22 @@
 from ...timers import SystemClock
 from ..standins.memory import Faults, MemoryObjects, MemoryTables, MemoryVmList
 
-BURST = 0.25
+BURST_SECONDS = 0.25
 """Seconds of the rate that may come at once."""
 
 ENCODER = msgspec.json.Encoder()
-VMS = msgspec.json.Decoder(list[ListedVm])
+VM_LIST_DECODER = msgspec.json.Decoder(list[ListedVm])
 
-STATUS_OF = {
+STATUS_BY_ERROR = {
     StoreErrorKind.CONDITION_FAILED: HTTPStatus.PRECONDITION_FAILED,
     StoreErrorKind.REJECTED: HTTPStatus.TOO_MANY_REQUESTS,
 }
 
 
-LARGEST_LIST = 1000
+MAX_LISTED_NAMES = 1000
 
 
-class Named(msgspec.Struct):
+class RowReference(msgspec.Struct):
     """A row as transactions name it."""
 
     table: str
@@ -49,9 +49,9 @@
 class Transaction(msgspec.Struct):
     """Body of `POST /rows-tx`."""
 
-    expected_rev: list[Named] = []
-    puts: list[Named] = []
-    remove: list[Named] = []
+    expected_rev: list[RowReference] = []
+    puts: list[RowReference] = []
+    remove: list[RowReference] = []
 
     def conditions(self) -> list[Condition]:
         return [Condition(n.table, n.key, n.ver) for n in self.expected_rev]
@@ -61,32 +61,32 @@
         return put + [Write(n.table, n.key, None) for n in self.remove]
 
 
-class Rate:
+class RateLimiter:
     """Refuses what comes over `per_second`; 0 means no limit."""
 
     def __init__(self, per_second: float):
         self.per_second = per_second
-        self.left = per_second * BURST
-        self.at = time.monotonic()
+        self.tokens = per_second * BURST_SECONDS
+        self.updated_at = time.monotonic()
         self.passed = self.refused = 0
 
-    def allows(self, cost: float = 1.0) -> bool:
+    def try_acquire(self, cost: float = 1.0) -> bool:
         now = time.monotonic()
-        gain = (now - self.at) * self.per_second
-        self.left, self.at = min(self.per_second * BURST, self.left + gain), now
-        if self.per_second and self.left <= 0:
+        gain = (now - self.updated_at) * self.per_second
+        self.tokens, self.updated_at = min(self.per_second * BURST_SECONDS, self.tokens + gain), now
+        if self.per_second and self.tokens <= 0:
             self.refused += 1
             return False
-        self.left -= cost
+        self.tokens -= cost
         self.passed += 1
         return True
 
 
-class Unanswered(Exception):
+class ConnectionDropped(Exception):
     """The connection is closed without an answer."""
 
 
-class Platform:
+class PlatformEmulator:
     """Table service, object store and VM list behind one port."""
 
     def __init__(self, writes: float, reads: float, count_rows: bool, vms: list[ListedVm]):
@@ -94,31 +94,31 @@
         self.tables = MemoryTables(self.faults)
         self.objects = MemoryObjects(self.faults)
         self.vms = MemoryVmList(SystemClock(), vms, self.faults)
-        self.writes, self.reads = Rate(writes), Rate(reads)
+        self.writes, self.reads = RateLimiter(writes), RateLimiter(reads)
         self.count_rows = count_rows
 
     async def answer(self, method: str, target: str, body: bytes) -> tuple[int, bytes]:
         url = urlsplit(target)
-        part, _, rest = url.path.strip("/").partition("/")
-        if part == "control":
+        endpoint, _, name = url.path.strip("/").partition("/")
+        if endpoint == "control":
             return self.control(method, body)
         if self.faults.down:
-            raise Unanswered
-        if part == "vms":
+            raise ConnectionDropped
+        if endpoint == "vms":
             return await self.put_vms(body)
         query = {key: values[0] for key, values in parse_qs(url.query, True).items()}
-        if part == "rows-get" and query["table"] == VM_TABLE:
-            return await self.listed_vms()
+        if endpoint == "rows-get" and query["table"] == VM_TABLE:
+            return await self.list_vms()
         writes = method != "GET"
-        cost = self.cost(body) if part == "rows-tx" else 1
-        if not (self.writes.allows(cost) if writes else self.reads.allows()):
+        cost = self.cost(body) if endpoint == "rows-tx" else 1
+        if not (self.writes.try_acquire(cost) if writes else self.reads.try_acquire()):
             return HTTPStatus.TOO_MANY_REQUESTS, b""
-        if part == "rows-tx":
+        if endpoint == "rows-tx":
             call = msgspec.json.decode(body, type=Transaction)
             return await self.write(self.tables, call.conditions(), call.writes())
-        if part == "rows-get":
+        if endpoint == "rows-get":
             return await self.get_rows(query)
-        return await self.use_objects(method, unquote(rest), query, body)
+        return await self.use_objects(method, unquote(name), query, body)
 
     def cost(self, body: bytes) -> int:
         if not self.count_rows:
@@ -134,40 +134,40 @@
         return HTTPStatus.OK, ENCODER.encode({"faults": self.faults, **counts})
 
     async def put_vms(self, body: bytes) -> tuple[int, bytes]:
-        self.vms.set(VMS.decode(body))
+        self.vms.set(VM_LIST_DECODER.decode(body))
         return HTTPStatus.OK, b"{}"
 
-    async def listed_vms(self) -> tuple[int, bytes]:
-        found = await self.vms.vms(60.0)
-        if found.is_error():
-            raise Unanswered
-        rows = [Row(VM_TABLE, vm.name, ENCODER.encode(vm), 1) for vm in found.ok]
+    async def list_vms(self) -> tuple[int, bytes]:
+        result = await self.vms.vms(60.0)
+        if result.is_error():
+            raise ConnectionDropped
+        rows = [Row(VM_TABLE, vm.name, ENCODER.encode(vm), 1) for vm in result.ok]
         return self.page(rows)
 
     async def get_rows(self, query: dict) -> tuple[int, bytes]:
         table, limit = query["table"], int(query["limit"])
-        found = await self.tables.scan(table, "", "", 1 << 30, 60.0)
-        if found.is_error():
-            return self.reply(found)
+        result = await self.tables.scan(table, "", "", 1 << 30, 60.0)
+        if result.is_error():
+            return self.reply(result)
         start, end = query.get("from", ""), query.get("target", "\U0010ffff" * 2)
-        rows = [row for row in found.ok if start <= row.key < end]
+        rows = [row for row in result.ok if start <= row.key < end]
         return self.page(rows[:limit], len(rows) > limit)
 
     def page(self, rows: list[Row], more: bool = False) -> tuple[int, bytes]:
-        listed = [
+        encoded_rows = [
             {"table": r.table, "part": "", "key": r.key, "value": r.value, "ver": r.version}
             for r in rows
         ]
-        return HTTPStatus.OK, ENCODER.encode({"rows": listed, "has_more": more, "ver": 1})
+        return HTTPStatus.OK, ENCODER.encode({"rows": encoded_rows, "has_more": more, "ver": 1})
 
     async def write(self, tables: MemoryTables, conditions, writes) -> tuple[int, bytes]:
-        late = len(tables.waiting)
+        waiting_before = len(tables.waiting)
         result = await tables.transact(conditions, writes, 60.0)
-        if len(tables.waiting) > late:
-            await curio.spawn(self.land_later, tables, daemon=True)
+        if len(tables.waiting) > waiting_before:
+            await curio.spawn(self.apply_late_writes, tables, daemon=True)
         return self.reply(result)
 
-    async def land_later(self, tables: MemoryTables) -> None:
+    async def apply_late_writes(self, tables: MemoryTables) -> None:
         await curio.sleep(self.faults.late_after)
         tables.land_late()
 
@@ -177,19 +177,21 @@
         if method == "DELETE":
             return self.reply(await self.objects.delete(name, 60.0))
         if not name:
-            found = await self.objects.names(query["prefix"], query["after"], LARGEST_LIST, 60.0)
-            return self.reply(found.map(lambda names: {"names": names, "has_more": False}))
-        found = await self.objects.get(name, 60.0)
-        if found.is_ok():
-            return (HTTPStatus.OK, found.ok) if found.ok is not None else (404, b"")
-        return self.reply(found)
+            result = await self.objects.names(
+                query["prefix"], query["after"], MAX_LISTED_NAMES, 60.0
+            )
+            return self.reply(result.map(lambda names: {"names": names, "has_more": False}))
+        result = await self.objects.get(name, 60.0)
+        if result.is_ok():
+            return (HTTPStatus.OK, result.ok) if result.ok is not None else (404, b"")
+        return self.reply(result)
 
     def reply(self, result) -> tuple[int, bytes]:
         if result.is_ok():
             return HTTPStatus.OK, ENCODER.encode(result.ok if result.ok is not None else {"ver": 1})
-        if result.error.kind not in STATUS_OF:
-            raise Unanswered
-        return STATUS_OF[result.error.kind], b""
+        if result.error.kind not in STATUS_BY_ERROR:
+            raise ConnectionDropped
+        return STATUS_BY_ERROR[result.error.kind], b""
 
     async def serve(self, sock, _address) -> None:
         codec, request, parts = h11.Connection(h11.SERVER), None, []
@@ -211,7 +213,7 @@
     async def respond(self, sock, codec, request, body: bytes) -> bool:
         try:
             status, data = await self.answer(request.method.decode(), request.target.decode(), body)
-        except Unanswered:
+        except ConnectionDropped:
             return False
         head = h11.Response(status_code=status, headers=[("content-length", str(len(data)))])
         await sock.sendall(
@@ -223,7 +225,7 @@
         return True
 
 
-async def listen(host: str, port: int, platform: Platform) -> None:
+async def listen(host: str, port: int, platform: PlatformEmulator) -> None:
     sock = curio.tcp_server_socket(host, port, backlog=256)
     print("{}:{}".format(*sock.getsockname()[:2]), flush=True)
     await run_server(sock, platform.serve)
@@ -247,7 +249,7 @@
     """
     host, _, port = address.rpartition(":")
     vms = [ListedVm(*entry.split("=")) for entry in vm]
-    platform = Platform(writes, reads, count_rows, vms)
+    platform = PlatformEmulator(writes, reads, count_rows, vms)
     try:
         curio.run(listen, host, int(port), platform)
     except KeyboardInterrupt:
--- a/sequoiabridge/tests/platform/test_dialect.py
+++ b/sequoiabridge/tests/platform/test_dialect.py
@@ -5,7 +5,7 @@
 from ...exceptions import Refusal
 from ...outcome import Outcome, Reason
 from ...pipeline.exchange import Answer, Request
-from ...platform.dialect import PlatformDialect, load_of
+from ...platform.dialect import PlatformDialect, parse_load
 
 DIALECT = PlatformDialect()
 
@@ -47,7 +47,7 @@
     ],
 )
 def test_a_load_is_read_or_is_none(text, load):
-    found = load_of([(b"x-instance-load", text)])
+    found = parse_load([(b"x-instance-load", text)])
     assert (found and (found.running, found.waiting, found.slots, found.slowdown)) == load
 
 
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -9,7 +9,7 @@
 
 from ...exceptions import BadEntry, StoreUnavailable
 from ...platform import client
-from ...platform.entries import upstream_record
+from ...platform.entries import decode_upstream_record
 from ...platform.feeds import UpstreamFeed
 from ...relay.entry_errors import EntryErrorLog
 from ...relay.messages import MAX_DATAGRAM_BYTES, decode_message
@@ -51,7 +51,7 @@
 
 
 def test_a_good_entry_is_read_whole():
-    found = upstream_record(row(GOOD))
+    found = decode_upstream_record(row(GOOD))
     assert (found.id, found.service, found.address) == ("i-1", "s", "10.0.0.7:8080")
     assert (found.data_centre, found.slots, found.draining, found.cold_seconds) == (
         "here",
@@ -61,7 +61,7 @@
     )
     assert found.born == 1_700_000_000_000
     without = {name: value for name, value in GOOD.items() if name != "born"}
-    assert upstream_record(row(without)).born is None
+    assert decode_upstream_record(row(without)).born is None
 
 
 BAD_FIELDS = [
@@ -104,19 +104,19 @@
 @pytest.mark.parametrize(("place", "value"), BAD_FIELDS)
 def test_an_entry_with_a_field_of_another_kind_names_no_upstream(place, value):
     with pytest.raises(BadEntry):
-        upstream_record(row(changed(place, value)))
+        decode_upstream_record(row(changed(place, value)))
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"{", b"7", b"null", b"[]", DEEP, b"1" * 9999])
 def test_bytes_that_cannot_be_read_name_no_upstream(value):
     with pytest.raises(BadEntry):
-        upstream_record(row(value))
+        decode_upstream_record(row(value))
 
 
 @pytest.mark.parametrize("key", ["", "i-1\n", "i-\u00e9", "i-1\r\nx: y"])
 def test_an_id_that_no_header_can_carry_names_no_upstream(key):
     with pytest.raises(BadEntry):
-        upstream_record(row(GOOD, key))
+        decode_upstream_record(row(GOOD, key))
 
 
 @pytest.mark.parametrize("value", ["%%%", "AB", 7, None, ["QUJD"], "\u00e9"])
@@ -126,7 +126,7 @@
         {"table": "servers", "key": "bad", "value": value, "ver": 2},
         {"table": "servers", "key": "i-1", "value": good, "ver": 1},
     ]
-    update = UpstreamFeed(None).replace_rows(Rows(client._rows({"rows": rows}), 2))
+    update = UpstreamFeed(None).replace_rows(Rows(client._decode_rows({"rows": rows}), 2))
     assert [record.id for record in update.entries] == ["i-1"]
     assert update.unusable == ["bad"]
 
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("page", [{}, {"rows": None}, {"rows": [7]}, {"rows": [{"value": ""}]}])
 def test_an_answer_that_is_not_of_the_stores_form_is_no_answer(page):
     with pytest.raises(StoreUnavailable):
-        client._rows(page)
+        client._decode_rows(page)
 
 
 @settings(max_examples=150, deadline=None)
@@ -142,7 +142,7 @@
 def test_whatever_a_field_holds_the_entry_is_read_or_refused(place, value):
     entry = changed(place, value)
     try:
-        found = upstream_record(row(entry))
+        found = decode_upstream_record(row(entry))
     except BadEntry:
         return
     assert found.slots >= 1 and 0.0 <= found.cold_seconds < 1e6
--- a/sequoiabridge/tests/platform/test_services.py
+++ b/sequoiabridge/tests/platform/test_services.py
@@ -8,7 +8,7 @@
 from ...platform.services import PlatformObjects, PlatformTables, PlatformVmList
 from ...store.base import Condition, ListedVm, StoreErrorKind, Write
 from ...timers import SystemClock
-from .service import Platform
+from .service import PlatformEmulator
 
 WRITE = [Write("t", "a", b"\x00value")]
 ABSENT = [Condition("t", "a", 0)]
@@ -29,7 +29,7 @@
 
 def run(check, writes=0.0):
     vms = [ListedVm("vm1", "127.0.0.1:9", "dc1")]
-    curio.run(with_platform, check, Platform(writes, 0.0, False, vms))
+    curio.run(with_platform, check, PlatformEmulator(writes, 0.0, False, vms))
 
 
 def test_rows_objects_and_list_over_one_connection_each():
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -8,8 +8,8 @@
 
 from ...exceptions import ConditionFailed, HistoryLost, StoreRefused, StoreUnavailable
 from ...platform import names
-from ...platform.client import PlatformClient, accepted
-from ...platform.configuration import route_table
+from ...platform.client import PlatformClient, checked_body
+from ...platform.configuration import decode_route_table
 from ...platform.feeds import ConfigurationFeed, UpstreamFeed
 from ...store.rows import Condition, Write
 from ...timers import SystemClock
@@ -36,7 +36,9 @@
 
 def test_a_route_has_its_terms_and_uploads_may_run_once():
     split = [{"service": "reads", "weight": 90}, {"service": "approvals", "weight": 10}]
-    table = route_table(document(7, [route("/s/", "idempotent", None, weighted_services=split)]))
+    table = decode_route_table(
+        document(7, [route("/s/", "idempotent", None, weighted_services=split)])
+    )
     read = table.match(b"Reads.Example:80", b"/read/x")
     assert (read.idempotent, read.timeout, read.max_attempts) == (True, 1.0, 2)
     assert not table.match(b"reads.example", b"/upload/x").idempotent
@@ -122,7 +124,7 @@
 )
 def test_only_an_answer_that_says_so_proves_that_nothing_was_written(status, refused):
     with pytest.raises(StoreUnavailable) as found:
-        accepted(Fetched(status, b""))
+        checked_body(Fetched(status, b""))
     assert isinstance(found.value, StoreRefused) is refused
 
 
