--- a/sequoiabridge/callers/connection.py
+++ b/sequoiabridge/callers/connection.py
@@ -10,15 +10,15 @@
 
 from ..codec import END_OF_MESSAGE, body_writer, encode_body_event, encode_response_head
 from ..exceptions import CallerGone, Refusal, SequoiaError, UpstreamFailed
-from ..fields import (
-    BODILESS,
+from ..header_fields import (
+    BODILESS_STATUSES,
     CONNECTION,
     CONTENT_LENGTH,
-    FRAMING,
     HTTP_11,
+    PER_CONNECTION_FIELDS,
     TRANSFER_ENCODING,
-    Fields,
-    Head,
+    MessageHead,
+    ValidatedHeaders,
 )
 from ..headers import DRAIN, LOAD, NOT_RUN
 from ..logs import get_log
@@ -33,7 +33,7 @@
 
 log = get_log("callers")
 
-NOT_TO_CALLERS = FRAMING | {LOAD, DRAIN, NOT_RUN}
+NOT_TO_CALLERS = PER_CONNECTION_FIELDS | {LOAD, DRAIN, NOT_RUN}
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 CLOSE = (CONNECTION, b"close")
 CHUNKED = (TRANSFER_ENCODING, b"chunked")
@@ -41,7 +41,7 @@
 
 def standalone(answer: Answer) -> bytes:
     """Return the bytes of an answer to a caller whose request is not read; it says close."""
-    fields = Fields([*answer.headers, (CONTENT_LENGTH, b"%d" % answer.length), CLOSE])
+    fields = ValidatedHeaders([*answer.headers, (CONTENT_LENGTH, b"%d" % answer.length), CLOSE])
     response = h11.Response(status_code=answer.status, headers=fields)
     return encode_response_head(response) + answer.body.data
 
@@ -113,7 +113,7 @@
                     raise too_slow("head")
                 return None, b""
 
-    async def _exchange(self, event: h11.Request, head: Head) -> bool:
+    async def _exchange(self, event: h11.Request, head: MessageHead) -> bool:
         """Have the handler answer a request; return True if another may follow."""
         request = self._request(event, head)
         body = request.body  # The handler may put another in its place.
@@ -144,7 +144,7 @@
             await handler.finished(request, answer, clean)
         return clean and await self._next_cycle(body)
 
-    def _request(self, event: h11.Request, head: Head) -> Request:
+    def _request(self, event: h11.Request, head: MessageHead) -> Request:
         length = None if head.chunked else head.length or 0
         body = None
         if length != 0:
@@ -186,7 +186,7 @@
         if unread or self.server.stopping:
             self.keeps_alive = False
         wire.probeable = False
-        bodiless = method == b"HEAD" or status in BODILESS
+        bodiless = method == b"HEAD" or status in BODILESS_STATUSES
         fields = self._fields(answer, bodiless)
         reason = REASON_PHRASES.get(status, b"")
         head = encode_response_head(h11.Response(status_code=status, headers=fields, reason=reason))
@@ -209,7 +209,7 @@
             message = f"The answer's body is not as long as it says: {error}."
             raise UpstreamFailed(message, sent=True) from error
 
-    def _fields(self, answer: Answer, bodiless: bool) -> Fields:
+    def _fields(self, answer: Answer, bodiless: bool) -> ValidatedHeaders:
         pairs = [pair for pair in answer.headers if pair[0] not in NOT_TO_CALLERS]
         length = answer.length
         if answer.body is None and not bodiless:
@@ -220,7 +220,7 @@
             pairs.append(CHUNKED)
         if not self.keeps_alive:
             pairs.append(CLOSE)
-        return Fields(pairs)
+        return ValidatedHeaders(pairs)
 
     def _cut_off(self, answer: Answer) -> None:
         """Let the caller see that the answer is not whole.
--- a/sequoiabridge/callers/framing.py
+++ b/sequoiabridge/callers/framing.py
@@ -9,15 +9,15 @@
 
 import h11
 
-from ..fields import FRAMING, HTTP_11, Head
-from ..headers import OWN
+from ..header_fields import HTTP_11, PER_CONNECTION_FIELDS, MessageHead
+from ..headers import RESERVED
 from .refusals import bad_request
 
-DROPPED = FRAMING | OWN
+DROPPED = PER_CONNECTION_FIELDS | RESERVED
 LENGTHS = re.compile(rb"\ncontent-length:([^\n]*)", re.IGNORECASE)
 
 
-def checked_head(event: h11.Request, raw: bytes) -> Head:
+def checked_head(event: h11.Request, raw: bytes) -> MessageHead:
     """Return the head of a request that h11 parsed from the bytes `raw`.
 
     Raises:
@@ -25,7 +25,7 @@
     """
     if b"\n " in raw or b"\n\t" in raw:
         raise bad_request("A header is folded over two lines. Write it on one.")
-    head = Head(event, DROPPED)
+    head = MessageHead(event, DROPPED)
     if head.length is not None:
         _check_length(head, raw)
     if head.chunked and event.http_version != HTTP_11:
@@ -35,7 +35,7 @@
     return head
 
 
-def _check_length(head: Head, raw: bytes) -> None:
+def _check_length(head: MessageHead, raw: bytes) -> None:
     if head.chunked:
         raise bad_request("Content-Length and Transfer-Encoding are both given. Send one.")
     lengths = LENGTHS.findall(raw)
--- a/sequoiabridge/codec.py
+++ b/sequoiabridge/codec.py
@@ -24,8 +24,8 @@
 )
 
 from .exceptions import SequoiaError
-from .fields import HTTP_11
 from .header_cache import HeaderCache
+from .header_fields import HTTP_11
 
 READ_SIZE = 64 * 1024
 """Most bytes taken from a socket at once; bounds the memory of a streamed body."""
--- a/sequoiabridge/header_cache.py
+++ b/sequoiabridge/header_cache.py
@@ -9,7 +9,7 @@
 from h11._headers import normalize_and_validate
 from h11._readers import _decode_header_lines
 
-from .fields import CONTENT_LENGTH, TRANSFER_ENCODING, Headers
+from .header_fields import CONTENT_LENGTH, TRANSFER_ENCODING, Headers
 
 MAX_CACHED_LINE_BYTES = 256
 """Bytes of a line that is worth remembering."""
--- a/sequoiabridge/fields.py
+++ b/sequoiabridge/header_fields.py
@@ -13,22 +13,22 @@
 KEEP_ALIVE = b"keep-alive"
 HTTP_11 = b"1.1"
 
-FRAMING = HOP_BY_HOP | {CONTENT_LENGTH}
+PER_CONNECTION_FIELDS = HOP_BY_HOP | {CONTENT_LENGTH}
 """Fields that each side writes anew for its own connection."""
 
-BODILESS = frozenset({204, 304})
+BODILESS_STATUSES = frozenset({204, 304})
 """Statuses of answers that never have a body, whatever their fields say."""
 
-KEPT_FOR = re.compile(rb"timeout=(\d{1,6})")
+KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(rb"timeout=(\d{1,6})")
 """The part of a Keep-Alive field that says how many seconds an idle connection is kept."""
 
-ORDINARY_OPTIONS = frozenset({b"close", b"keep-alive", b""})
+STANDARD_OPTIONS = frozenset({b"close", b"keep-alive", b""})
 
 Headers = type(h11.EndOfMessage().headers)
 """h11's class of checked header fields; it has no public name."""
 
 
-class Fields(Headers):
+class ValidatedHeaders(Headers):
     """Header fields known to be well formed, names in lower case, in the form that h11 takes.
 
     h11 checks each field of a plain list by regular expressions. Fields that a parser has passed
@@ -45,7 +45,7 @@
         return iter(self.pairs)
 
 
-class Head:
+class MessageHead:
     """The fields of a received head that go on, and its framing.
 
     Attributes:
@@ -53,18 +53,25 @@
         length: The Content-Length as sent, or None.
         chunked: True if the body is chunked; with a length too, the framing is ambiguous.
         keeps_alive: True if the sender means to go on with the connection.
-        kept_for: Seconds for which the sender keeps the connection when idle, None if unsaid.
+        keep_alive_timeout: Seconds until the sender closes an idle connection, or None.
         expects_continue: True if the sender waits for 100 (Continue) before its body.
     """
 
-    __slots__ = ("pairs", "length", "chunked", "keeps_alive", "kept_for", "expects_continue")
+    __slots__ = (
+        "pairs",
+        "length",
+        "chunked",
+        "keeps_alive",
+        "keep_alive_timeout",
+        "expects_continue",
+    )
 
     def __init__(self, event: h11.Request | h11.Response, drop: frozenset[bytes]):
         self.pairs: list[tuple[bytes, bytes]] = []
         self.length: int | None = None
         self.chunked = False
         self.keeps_alive = event.http_version == HTTP_11
-        self.kept_for: int | None = None
+        self.keep_alive_timeout: int | None = None
         self.expects_continue = False
         options: list[bytes] = []
         for name, value in event.headers:
@@ -76,17 +83,17 @@
                 self.chunked = True
             elif name == CONNECTION:
                 options.append(value)
-            elif name == KEEP_ALIVE and (found := KEPT_FOR.search(value)):
-                self.kept_for = int(found[1])
+            elif name == KEEP_ALIVE and (found := KEEP_ALIVE_TIMEOUT_PATTERN.search(value)):
+                self.keep_alive_timeout = int(found[1])
             elif name == EXPECT:
                 self.expects_continue = value.lower() == b"100-continue" and self.keeps_alive
         if options:
-            self._obey(options)
+            self._apply_connection_options(options)
 
-    def _obey(self, options: list[bytes]) -> None:
+    def _apply_connection_options(self, options: list[bytes]) -> None:
         named = {option.strip().lower() for value in options for option in value.split(b",")}
         if b"close" in named:
             self.keeps_alive = False
-        named -= ORDINARY_OPTIONS
+        named -= STANDARD_OPTIONS
         if named:
             self.pairs = [pair for pair in self.pairs if pair[0] not in named]
--- a/sequoiabridge/headers.py
+++ b/sequoiabridge/headers.py
@@ -45,7 +45,7 @@
 UPLOAD_DIGEST = b"sequoia-upload-digest"
 """To upstreams: SHA-256 of the whole upload, in hexadecimal."""
 
-OWN = frozenset({REQUEST_ID, OUTCOME, REASON, REPLAYED, LOAD, DRAIN, INCARNATION, NOT_RUN})
+RESERVED = frozenset({REQUEST_ID, OUTCOME, REASON, REPLAYED, LOAD, DRAIN, INCARNATION, NOT_RUN})
 """Headers that a caller may not send; the daemon strips them."""
 
 HOP_BY_HOP = frozenset(
--- a/sequoiabridge/pipeline/attempt.py
+++ b/sequoiabridge/pipeline/attempt.py
@@ -164,7 +164,7 @@
         self.answered_at = self.clock.now()
         passed_on = []
         for field in answer.headers:
-            if field[0] in headers.OWN:
+            if field[0] in headers.RESERVED:
                 self._record_metadata(field)
             else:
                 passed_on.append(field)
--- a/sequoiabridge/tests/test_codec.py
+++ b/sequoiabridge/tests/test_codec.py
@@ -13,26 +13,28 @@
     encode_request_head,
     encode_response_head,
 )
-from ..fields import Fields
+from ..header_fields import ValidatedHeaders
 
 HOST = (b"host", b"a")
 LENGTH = (b"content-length", b"5")
 
 
 def test_heads_are_what_h11s_connection_writes():
-    request = h11.Request(method=b"PUT", target=b"/x", headers=Fields([HOST, LENGTH]))
+    request = h11.Request(method=b"PUT", target=b"/x", headers=ValidatedHeaders([HOST, LENGTH]))
     assert encode_request_head(request) == h11.Connection(h11.CLIENT).send(request)
     server = h11.Connection(h11.SERVER)
     server.receive_data(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
     server.next_event()
-    response = h11.Response(status_code=200, headers=Fields([LENGTH]), reason=b"OK")
+    response = h11.Response(status_code=200, headers=ValidatedHeaders([LENGTH]), reason=b"OK")
     assert encode_response_head(response) == server.send(response)
 
 
 @pytest.mark.parametrize("value", [b"a\r\nSequoia-Outcome: not-run", b"a\nb", b"a\rb"])
 def test_line_break_in_a_value_never_leaves(value):
     with pytest.raises(UnsafeHeader):
-        encode_response_head(h11.Response(status_code=200, headers=Fields([(b"x", value)])))
+        encode_response_head(
+            h11.Response(status_code=200, headers=ValidatedHeaders([(b"x", value)]))
+        )
 
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -148,7 +148,7 @@
         if link.opened < pool.suspected:
             return False
         idle_for = self.clock.now() - link.last_heard
-        if idle_for > min(self.limits.idle_timeout, link.kept_for):
+        if idle_for > min(self.limits.idle_timeout, link.keep_alive_timeout):
             return False
         return link.usable()
 
@@ -182,4 +182,4 @@
 def useless(now: float, idle_timeout: float, suspected: float, link: Link) -> bool:
     """Return whether an idle connection will not be used again."""
     idle_for = now - link.last_heard
-    return link.opened < suspected or idle_for > min(idle_timeout, link.kept_for)
+    return link.opened < suspected or idle_for > min(idle_timeout, link.keep_alive_timeout)
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -17,7 +17,14 @@
     encode_request_head,
 )
 from ..exceptions import UpstreamFailed
-from ..fields import BODILESS, CONTENT_LENGTH, FRAMING, TRANSFER_ENCODING, Fields, Head
+from ..header_fields import (
+    BODILESS_STATUSES,
+    CONTENT_LENGTH,
+    PER_CONNECTION_FIELDS,
+    TRANSFER_ENCODING,
+    MessageHead,
+    ValidatedHeaders,
+)
 from ..headers import OUTCOME, REASON, REPLAYED, REQUEST_ID
 from ..pipeline.exchange import Answer, Body, BytesBody
 from .base import UpstreamConnection, UpstreamRequest
@@ -26,7 +33,7 @@
 if TYPE_CHECKING:
     from .connections import HttpConnector
 
-NOT_FROM_UPSTREAMS = FRAMING | {OUTCOME, REASON, REPLAYED, REQUEST_ID}
+NOT_FROM_UPSTREAMS = PER_CONNECTION_FIELDS | {OUTCOME, REASON, REPLAYED, REQUEST_ID}
 """What the daemon says to callers itself is not taken from an upstream."""
 WITH_BODY = frozenset({b"POST", b"PUT", b"PATCH"})
 """Methods whose requests say so when they have no body (RFC 9110, 8.6)."""
@@ -124,10 +131,10 @@
         link = self.link
         event, head = await self._own_head()
         link.keeps_alive = head.keeps_alive
-        if head.kept_for is not None:
-            link.kept_for = head.kept_for * TRUSTED_SHARE
+        if head.keep_alive_timeout is not None:
+            link.keep_alive_timeout = head.keep_alive_timeout * TRUSTED_SHARE
         status, length = event.status_code, head.length
-        if self.method == b"HEAD" or status in BODILESS:
+        if self.method == b"HEAD" or status in BODILESS_STATUSES:
             return await self._whole(Answer(status, head.pairs, length, None))
         reader = self._reader(head)
         if length is None or len(link.received) < length:
@@ -136,7 +143,7 @@
             Answer(status, head.pairs, length, BytesBody(link.received.take(length)))
         )
 
-    async def _own_head(self) -> tuple[h11.Response, Head]:
+    async def _own_head(self) -> tuple[h11.Response, MessageHead]:
         """Return the head of the answer to this request; late ones to others are passed over."""
         link = self.link
         event = link.early
@@ -145,20 +152,20 @@
                 event = link.response(self.connector.limits.max_head)
                 if event is None:
                     await link.receive()
-            head = Head(event, NOT_FROM_UPSTREAMS)
+            head = MessageHead(event, NOT_FROM_UPSTREAMS)
             if self.is_answer is None or self.is_answer(head.pairs):
                 return event, head
             await self._pass_over(head)
             event = link.early = None
 
-    async def _pass_over(self, head: Head) -> None:
+    async def _pass_over(self, head: MessageHead) -> None:
         """Read and drop the body of an answer that belongs to an earlier request."""
         self.link.spoiled = True
         reader = self._reader(head)
         while type(await self.link.read_body_event(reader)) is h11.Data:
             pass
 
-    def _reader(self, head: Head) -> BodyReader:
+    def _reader(self, head: MessageHead) -> BodyReader:
         """Return what reads the body after `head`."""
         if head.chunked != (head.length is not None):
             return body_reader(head.length)
@@ -234,15 +241,19 @@
 
 def _event(request: UpstreamRequest, address: str) -> h11.Request:
     """Return the request as h11's event, with the framing of its body."""
-    pairs = [pair for pair in request.headers if pair[0] not in FRAMING]
+    pairs = [pair for pair in request.headers if pair[0] not in PER_CONNECTION_FIELDS]
     if request.length is None:
         pairs.append(CHUNKED)
     elif request.length or request.method in WITH_BODY:
         pairs.append((CONTENT_LENGTH, b"%d" % request.length))
     try:
-        return h11.Request(method=request.method, target=request.target, headers=Fields(pairs))
+        return h11.Request(
+            method=request.method, target=request.target, headers=ValidatedHeaders(pairs)
+        )
     except h11.LocalProtocolError:
         if any(name == b"host" for name, _ in pairs):
             raise
     pairs.append((b"host", address.encode()))
-    return h11.Request(method=request.method, target=request.target, headers=Fields(pairs))
+    return h11.Request(
+        method=request.method, target=request.target, headers=ValidatedHeaders(pairs)
+    )
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -41,7 +41,7 @@
         request_ended: True once the whole request was sent.
         answer_ended: True once the whole answer has been read.
         keeps_alive: True if the upstream takes another request.
-        kept_for: Seconds of silence after which the upstream may close it; infinite if unsaid.
+        keep_alive_timeout: Seconds of silence after which the upstream may close it; infinite if unsaid.
         spoiled: True once an answer came that belonged to no request of this time.
     """
 
@@ -59,7 +59,7 @@
         "request_ended",
         "answer_ended",
         "keeps_alive",
-        "kept_for",
+        "keep_alive_timeout",
         "spoiled",
         "waiting",
         "closed",
@@ -77,7 +77,7 @@
         self.early: h11.Response | None = None
         self.received = InputBuffer()
         self._renew()
-        self.kept_for = float("inf")
+        self.keep_alive_timeout = float("inf")
         self.spoiled = False
         self.waiting = False
         self.closed = False
