--- a/sequoiabridge/commands/daemon.py
+++ b/sequoiabridge/commands/daemon.py
@@ -8,7 +8,7 @@
 
 from ..config.settings import Settings
 from ..exceptions import ConfigurationError, SequoiaError
-from ..logs import set_up
+from ..logs import configure_logging
 
 BAD_INPUT = ConfigurationError.exit_code
 
@@ -37,7 +37,7 @@
         return BAD_INPUT
     if check:
         return 0
-    set_up(loaded.ok.log.level)
+    configure_logging(loaded.ok.log.level)
     try:
         return start(loaded.ok)
     except SequoiaError as error:
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -31,7 +31,7 @@
 from .config.gateway_settings import GatewaySettings
 from .config.problem import Invalid
 from .exceptions import SequoiaError
-from .logs import ROOT, get_log, quiet_curio
+from .logs import ROOT_LOGGER, get_log, silence_curio_timeouts
 from .platform.client import PlatformClient
 from .platform.dialect import PlatformDialect
 from .platform.feeds import ConfigurationFeed, UpstreamFeed
@@ -263,9 +263,9 @@
 
     async def _start(self) -> None:
         """Listen first, so that no connection is refused, then start the other parts."""
-        logging.getLogger(ROOT).addHandler(DecisionLogHandler(self.decisions))
-        logging.getLogger(ROOT).setLevel(logging.INFO)
-        quiet_curio()
+        logging.getLogger(ROOT_LOGGER).addHandler(DecisionLogHandler(self.decisions))
+        logging.getLogger(ROOT_LOGGER).setLevel(logging.INFO)
+        silence_curio_timeouts()
         settings = self.settings
         self.ready.bind(settings.listen.ready)
         self.callers.bind(settings.listen.callers)
--- a/sequoiabridge/logs.py
+++ b/sequoiabridge/logs.py
@@ -6,7 +6,7 @@
 
 import logging
 
-ROOT = "sequoiabridge"
+ROOT_LOGGER = "sequoiabridge"
 """Name of the logger above those of all parts."""
 
 
@@ -19,10 +19,10 @@
 
 def get_log(part: str) -> PrefixAdapter:
     """Return the log of one part; each module keeps its own as `log`."""
-    return PrefixAdapter(logging.getLogger(f"{ROOT}.{part}"), {"prefix": part})
+    return PrefixAdapter(logging.getLogger(f"{ROOT_LOGGER}.{part}"), {"prefix": part})
 
 
-def set_up(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Send logs of `level` ("debug", "info", "warning", "error") and above to standard error."""
     from absl import flags
     from absl import logging as absl_logging
@@ -30,10 +30,10 @@
     flags.FLAGS.mark_as_parsed()  # The command line is defopt's; absl would warn that it is not.
     absl_logging.use_absl_handler()
     absl_logging.set_verbosity(level)
-    logging.getLogger(ROOT).setLevel(level.upper())
-    quiet_curio()
+    logging.getLogger(ROOT_LOGGER).setLevel(level.upper())
+    silence_curio_timeouts()
 
 
-def quiet_curio() -> None:
+def silence_curio_timeouts() -> None:
     """Silence curio's warning of waits that ended just after their timeout: no news under load."""
     logging.getLogger("curio.time").setLevel(logging.ERROR)
--- a/sequoiabridge/pipeline/admit.py
+++ b/sequoiabridge/pipeline/admit.py
@@ -7,7 +7,7 @@
 from ..exceptions import Refusal
 from ..outcome import Outcome, Reason
 from ..policy.tickets import Ticket, Verdict
-from ..timers import Clock, OnDemand, Timers
+from ..timers import Clock, OnDemandTimer, Timers
 from .base import DEFAULT_RETRY_AFTER, Filter
 from .exchange import Exchange
 from .services import Services, ServiceState
@@ -48,12 +48,12 @@
         self.clock = clock
         self.tickets: dict[str, Ticket] = {}
         self.queued_calls: dict[Ticket, QueuedCall] = {}
-        self.expiry_timer: OnDemand | None = None
+        self.expiry_timer: OnDemandTimer | None = None
 
     def subscribe(self, timers: Timers) -> None:
         """Look for calls that wait in vain, while any call waits."""
         needed = self.queued_calls.__len__
-        self.expiry_timer = OnDemand(timers, EXPIRE_INTERVAL, "admission", self.expire, needed)
+        self.expiry_timer = OnDemandTimer(timers, EXPIRE_INTERVAL, "admission", self.expire, needed)
 
     async def enter(self, exchange: Exchange) -> None:
         state = self.services.state_of(exchange)
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from ..timers import Clock, OnDemand, Timers
+from ..timers import Clock, OnDemandTimer, Timers
 from ..upstreams.probes import Prober
 from .attempt_recorder import Observer, apply_drain
 from .services import Services, ServiceState
@@ -49,7 +49,7 @@
         """Ask from time to time."""
         timers.every(DRAINED_PROBE_INTERVAL, "returning upstreams", self.probe_drained)
         needed = self.services.busy.__len__
-        timer = OnDemand(
+        timer = OnDemandTimer(
             timers, FAILED_PROBE_INTERVAL, "failed upstreams", self.probe_failed, needed
         )
         self.services.on_busy.append(timer.wake)
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -7,7 +7,7 @@
 import curio
 
 from ..metrics import Metrics
-from ..timers import Clock, OnDemand, Timers
+from ..timers import Clock, OnDemandTimer, Timers
 from ..upstreams.probes import Probe, Prober
 from .attempt_recorder import Observer, apply_drain
 from .services import Services, ServiceState
@@ -36,7 +36,7 @@
     def subscribe(self, timers: Timers) -> None:
         """Look from time to time whom to probe, while calls pay for it."""
         needed = self.services.busy.__len__
-        timer = OnDemand(
+        timer = OnDemandTimer(
             timers, BACKGROUND_PROBE_INTERVAL, "probing", self.send_background_probes, needed
         )
         self.services.on_busy.append(timer.wake)
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -12,7 +12,7 @@
 from ..policy.crashes import CrashLedger
 from ..policy.suspicions import is_local_suspect
 from ..policy.upstream_state import UpstreamState
-from ..timers import Clock, OnDemand, Timers
+from ..timers import Clock, OnDemandTimer, Timers
 from .attempt_recorder import Observer
 from .crash_guard import request_fingerprint
 from .exchange import Exchange
@@ -61,7 +61,7 @@
 
     def subscribe(self, timers: Timers) -> None:
         """Tell load while there are calls, and retries from time to time."""
-        timer = OnDemand(
+        timer = OnDemandTimer(
             timers, LOAD_INTERVAL, "sharing load", self.publish_load, self._has_load_to_publish
         )
         self.services.on_busy.append(timer.wake)
--- a/sequoiabridge/tests/test_timers.py
+++ b/sequoiabridge/tests/test_timers.py
@@ -1,6 +1,6 @@
 """The timer service: order, repetition, cancellation, and no catching up after a pause."""
 
-from ..timers import IDLE_WAIT, ManualClock, OnDemand, Timers
+from ..timers import MAX_WAIT_SECONDS, ManualClock, OnDemandTimer, Timers
 
 
 def make():
@@ -40,13 +40,13 @@
 def test_on_demand_work_ends_when_nothing_is_left_and_begins_anew():
     clock, timers = make()
     work, calls = [1], []
-    looks = OnDemand(timers, 1.0, "look", lambda: calls.append(work.pop()), lambda: bool(work))
+    looks = OnDemandTimer(timers, 1.0, "look", lambda: calls.append(work.pop()), lambda: bool(work))
     looks.wake()
     looks.wake()
     for _ in range(3):
         clock.advance(1.0)
         timers.run_due()
-    assert calls == [1] and timers.next_due() == IDLE_WAIT
+    assert calls == [1] and timers.next_due() == MAX_WAIT_SECONDS
     work.append(2)
     looks.wake()
     clock.advance(1.0)
--- a/sequoiabridge/timers.py
+++ b/sequoiabridge/timers.py
@@ -17,7 +17,7 @@
 
 Callback = Callable[[], Coroutine | None]
 
-IDLE_WAIT = 3600.0
+MAX_WAIT_SECONDS = 3600.0
 """Seconds to sleep when nothing is subscribed."""
 
 
@@ -63,11 +63,11 @@
 class Subscription:
     """One entry of the timer service; `cancel` ends it."""
 
-    __slots__ = ("name", "when", "interval", "callback", "cancelled")
+    __slots__ = ("name", "due_at", "interval", "callback", "cancelled")
 
-    def __init__(self, name: str, when: float, interval: float | None, callback: Callback):
+    def __init__(self, name: str, due_at: float, interval: float | None, callback: Callback):
         self.name = name
-        self.when = when
+        self.due_at = due_at
         self.interval = interval
         self.callback = callback
         self.cancelled = False
@@ -77,7 +77,7 @@
         self.cancelled = True
 
 
-class OnDemand:
+class OnDemandTimer:
     """Calls a callback each `interval` seconds, but only while there is something to do.
 
     Whoever makes work calls `wake`, which is cheap while awake. Once `needed` says that nothing
@@ -104,9 +104,9 @@
     def wake(self) -> None:
         """Call the callback from now on, unless that is so already."""
         if self.subscription is None:
-            self.subscription = self.timers.every(self.interval, self.name, self._due)
+            self.subscription = self.timers.every(self.interval, self.name, self._run_if_needed)
 
-    def _due(self) -> Coroutine | None:
+    def _run_if_needed(self) -> Coroutine | None:
         if self.needed():
             return self.callback()
         self.subscription.cancel()
@@ -124,14 +124,14 @@
     def __init__(self, clock: Clock):
         self.clock = clock
         self.heap: list[tuple[float, int, Subscription]] = []
-        self.order = count()
+        self.sequence = count()
         self.changed = curio.UniversalEvent()
-        self.sleeping_until = 0.0
+        self.wake_at = 0.0
 
     def every(self, interval: float, name: str, callback: Callback) -> Subscription:
         """Call `callback` each `interval` seconds, first after one interval."""
-        when = self.clock.now() + interval
-        return self._add(Subscription(name, when, interval, callback))
+        due_at = self.clock.now() + interval
+        return self._add(Subscription(name, due_at, interval, callback))
 
     def after(self, delay: float, name: str, callback: Callback) -> Subscription:
         """Call `callback` once, in `delay` seconds."""
@@ -145,7 +145,7 @@
             _, _, subscription = heapq.heappop(self.heap)
             if subscription.cancelled:
                 continue
-            self._repeat(subscription, now)
+            self._reschedule(subscription, now)
             try:
                 result = subscription.callback()
             except Exception:
@@ -159,8 +159,8 @@
     def next_due(self) -> float:
         """Return the seconds until the next callback, at most `IDLE_WAIT`."""
         if not self.heap:
-            return IDLE_WAIT
-        return max(0.0, min(IDLE_WAIT, self.heap[0][0] - self.clock.now()))
+            return MAX_WAIT_SECONDS
+        return max(0.0, min(MAX_WAIT_SECONDS, self.heap[0][0] - self.clock.now()))
 
     async def run(self) -> None:
         """Serve subscriptions until cancelled; the daemon runs this as one task."""
@@ -168,7 +168,7 @@
             for coroutine in self.run_due():
                 await curio.spawn(coroutine, daemon=True)
             wait = self.next_due()
-            self.sleeping_until = self.clock.now() + wait
+            self.wake_at = self.clock.now() + wait
             async with curio.ignore_after(wait):
                 await self.changed.wait()
             self.changed.clear()
@@ -177,17 +177,17 @@
         """Describe the subscriptions for the state dump."""
         now = self.clock.now()
         live = [entry[2] for entry in sorted(self.heap) if not entry[2].cancelled]
-        return [{"name": s.name, "due_s": round(s.when - now, 3)} for s in live]
+        return [{"name": s.name, "due_s": round(s.due_at - now, 3)} for s in live]
 
-    def _repeat(self, subscription: Subscription, now: float) -> None:
+    def _reschedule(self, subscription: Subscription, now: float) -> None:
         if subscription.interval is None or subscription.cancelled:
             return
         # After a pause of the whole process the missed calls are not made up for.
-        subscription.when = max(subscription.when + subscription.interval, now)
-        heapq.heappush(self.heap, (subscription.when, next(self.order), subscription))
+        subscription.due_at = max(subscription.due_at + subscription.interval, now)
+        heapq.heappush(self.heap, (subscription.due_at, next(self.sequence), subscription))
 
     def _add(self, subscription: Subscription) -> Subscription:
-        heapq.heappush(self.heap, (subscription.when, next(self.order), subscription))
-        if subscription.when < self.sleeping_until:
+        heapq.heappush(self.heap, (subscription.due_at, next(self.sequence), subscription))
+        if subscription.due_at < self.wake_at:
             self.changed.set()
         return subscription
