--- a/sequoiabridge/pipeline/exchange.py
+++ b/sequoiabridge/pipeline/exchange.py
@@ -66,9 +66,9 @@
 class Request:
     """The request as the caller sent it, after the HTTP layer has checked its framing.
 
-    `headers` has no hop-by-hop headers and none of `headers.RESERVED`. `length` is the body's size in
-    bytes, 0 for no body, None for a chunked one. `body` is None when there is none. `exchange` is
-    set by the pipeline.
+    `headers` has no hop-by-hop headers and none of `headers.RESERVED`. `length` is the body's size
+    in bytes, 0 for no body, None for a chunked one. `body` is None when there is none. `exchange`
+    is set by the pipeline.
     """
 
     __slots__ = ("method", "target", "headers", "length", "body", "peer", "exchange")
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -41,7 +41,7 @@
         request_ended: True once the whole request was sent.
         answer_ended: True once the whole answer has been read.
         keeps_alive: True if the upstream takes another request.
-        keep_alive_timeout: Seconds of silence after which the upstream may close it; infinite if unsaid.
+        keep_alive_timeout: Seconds until the upstream may close an idle connection, or infinity.
         spoiled: True once an answer came that belonged to no request of this time.
     """
 
