--- a/sequoiabridge/assembly/stopping.py
+++ b/sequoiabridge/assembly/stopping.py
@@ -18,14 +18,14 @@
 """Seconds between two looks whether all work has ended."""
 
 
-def catch_signals(daemon: Daemon) -> None:
+def install_signal_handlers(daemon: Daemon) -> None:
     """Begin a planned stop at SIGTERM or SIGINT; a second one ends the process at once."""
 
     def on_signal(number: int, frame: object) -> None:
         if daemon.readiness.stopping:
             raise SystemExit(1)
         daemon.readiness.stopping = True
-        daemon.stop_asked.set()
+        daemon.stop_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, on_signal)
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -38,16 +38,16 @@
 
 log = get_log("configuration")
 
-POLL_EVERY = 2.0
+POLL_INTERVAL = 2.0
 """Seconds between two looks at the table's head row."""
 
 PROPOSE_TIMEOUT = 5.0
 """Seconds in which a proposal is committed, or its outcome stays open."""
 
-SPREAD_WAIT = 1.0
+CONFIRMATION_TIMEOUT = 1.0
 """Seconds to wait for other VMs to confirm before the operator is answered."""
 
-SPREAD_LOOK = 0.02
+CONFIRMATION_POLL_INTERVAL = 0.02
 """Seconds between two looks at who has confirmed."""
 
 
@@ -57,7 +57,7 @@
     Args:
         versions: The table's rows of the configuration.
         fleet: Spreads changes and decides whether this VM is current.
-        applied: Called with each document that comes into force.
+        on_applied: Called with each document that comes into force.
     """
 
     name = "configuration"
@@ -67,24 +67,24 @@
         versions: Versions,
         fleet: FleetNode,
         clock: Clock,
-        applied: Callable[[Document], None],
+        on_applied: Callable[[Document], None],
     ):
         self.versions = versions
         self.fleet = fleet
         self.clock = clock
-        self.applied = applied
+        self.on_applied = on_applied
         self.in_force = Document.empty()
         self.applied_at = clock.now()
         self.polling = False
         self.timers: Timers | None = None
-        fleet.subscribe(ConfigurationItem, lambda item, origin: self.apply_held())
-        fleet.exchange_documents(self.give_document, self.take_document)
+        fleet.subscribe(ConfigurationItem, lambda item, origin: self.apply_received_changes())
+        fleet.exchange_documents(self.provide_document, self.receive_document)
 
     def subscribe(self, timers: Timers) -> None:
-        """Look at the table at once, then every `POLL_EVERY` seconds."""
+        """Look at the table at once, then every `POLL_INTERVAL` seconds."""
         self.timers = timers
         timers.after(0.0, "configuration load", self.poll)
-        timers.every(POLL_EVERY, "configuration poll", self.poll)
+        timers.every(POLL_INTERVAL, "configuration poll", self.poll)
 
     def document(self) -> Document:
         return self.in_force
@@ -113,7 +113,7 @@
             if not wanted:
                 return Error(NotFound(f"Version {version} is not kept; see show history."))
             for row in wanted:
-                document = _changed(document, row)
+                document = _with_change(document, row)
         return Ok(document)
 
     async def propose(self, change: Change, author: str, expect: int) -> Result[int, SequoiaError]:
@@ -124,31 +124,31 @@
             outcome = await self.versions.resolve(outcome, PROPOSE_TIMEOUT)
         if not isinstance(outcome, Accepted):
             await self.poll()
-            return Error(_not_accepted(outcome))
+            return Error(_proposal_error(outcome))
         # What was proposed is at hand: the table may be down by now.
         self._apply(outcome.row)
-        await self._take_from_table(outcome.version)
-        await self._wait_for_others(outcome.version)
+        await self._fetch_changes(outcome.version)
+        await self._wait_for_confirmations(outcome.version)
         await curio.spawn(self.save_snapshot(outcome.version), daemon=True)
         return Ok(outcome.version)
 
     def spread(self, version: int) -> tuple[int, int]:
         return self.fleet.spread(version)
 
-    def apply_held(self) -> None:
+    def apply_received_changes(self) -> None:
         """Apply the changes heard from other VMs that follow the version in force."""
         while (item := self.fleet.currency.take()) is not None:
             encoded = change_of(item)
             if not encoded:
-                self._look_soon()
+                self._poll_now()
                 return
             self._apply(CHANGE_DECODER.decode(encoded))
 
-    def give_document(self) -> tuple[int, bytes]:
+    def provide_document(self) -> tuple[int, bytes]:
         """Return the version in force and its document, for a VM that asks for all of it."""
         return self.in_force.version, self.in_force.encode()
 
-    def take_document(self, version: int, data: bytes) -> None:
+    def receive_document(self, version: int, data: bytes) -> None:
         """Put a document that another VM gave in force, if it is newer, and what follows it."""
         if version <= self.in_force.version:
             return
@@ -157,9 +157,9 @@
             log.warning("A VM gave a document %d that can't be used; asking again.", version)
             return
         self._put_in_force(decoded.ok)
-        self.apply_held()
+        self.apply_received_changes()
 
-    def _look_soon(self) -> None:
+    def _poll_now(self) -> None:
         """Read the table now: a change was too large to be spread."""
         if self.timers is not None:
             self.timers.after(0.0, "configuration read", self.poll)
@@ -192,11 +192,11 @@
         if self.in_force.version == 0:
             loaded = await self.versions.load()
             if loaded.is_ok():
-                self._load(loaded.ok)
+                self._load_snapshot(loaded.ok)
             return
-        await self._take_from_table(version)
+        await self._fetch_changes(version)
 
-    async def _take_from_table(self, version: int) -> None:
+    async def _fetch_changes(self, version: int) -> None:
         while self.in_force.version < version:
             rows = await self.versions.changes_since(self.in_force.version)
             if rows.is_error() or not rows.ok:
@@ -206,7 +206,7 @@
             for row in rows.ok:
                 self._apply(row)
 
-    def _load(self, loaded: LoadedConfiguration) -> None:
+    def _load_snapshot(self, loaded: LoadedConfiguration) -> None:
         document = _from_snapshot(loaded.snapshot.version, loaded.snapshot.data)
         if loaded.snapshot.version > self.in_force.version:
             self._put_in_force(document)
@@ -216,7 +216,7 @@
     def _apply(self, row: ChangeRow) -> None:
         if row.version != self.in_force.version + 1:
             return
-        self._put_in_force(_changed(self.in_force, row))
+        self._put_in_force(_with_change(self.in_force, row))
         encoded = ENCODER.encode(row)
         self.fleet.publish(ConfigurationItem(row.version, encoded), Urgency.CONFIGURATION)
 
@@ -225,17 +225,17 @@
             return
         self.in_force = document
         self.applied_at = self.clock.now()
-        self.applied(document)
+        self.on_applied(document)
         log.info("Version %d by %s is in force.", document.version, document.author)
 
-    async def _wait_for_others(self, version: int) -> None:
+    async def _wait_for_confirmations(self, version: int) -> None:
         self.fleet.track(version)
-        end = self.clock.now() + SPREAD_WAIT
+        end = self.clock.now() + CONFIRMATION_TIMEOUT
         while self.clock.now() < end:
             confirmed, live = self.spread(version)
             if confirmed >= live:
                 return
-            await curio.sleep(SPREAD_LOOK)
+            await curio.sleep(CONFIRMATION_POLL_INTERVAL)
 
     async def save_snapshot(self, version: int) -> None:
         """Store the document as of `version`, if one is due and it is still in force."""
@@ -249,13 +249,13 @@
     return Document.decode(data).ok
 
 
-def _changed(document: Document, row: ChangeRow) -> Document:
+def _with_change(document: Document, row: ChangeRow) -> Document:
     change = Change.decode(row.change).ok
     changed = document.changed(change, row.version, row.author, row.at, committed=True)
     return changed.ok
 
 
-def _not_accepted(outcome: ProposalResult) -> SequoiaError:
+def _proposal_error(outcome: ProposalResult) -> SequoiaError:
     if isinstance(outcome, Conflict):
         return ConflictError(
             f"Version {outcome.version} by {outcome.author} came first, at {outcome.at:.0f}; "
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -47,7 +47,7 @@
         self.random = Random()
         self.metrics = Metrics()
         self.journal = Journal(self.clock, self.vm)
-        self.fleet = self._fleet()
+        self.fleet = self._build_fleet()
         self._build_store()
         self.uploads = Uploads(self.store, self.store.objects, self.clock, self.vm)
         self._build_configuration()
@@ -62,7 +62,7 @@
         self.admin = build_admin(self)
         declare_daemon_metrics(self)
         self.schedule = Schedule(self)
-        self.stop_asked = curio.UniversalEvent()
+        self.stop_requested = curio.UniversalEvent()
 
     def components(self) -> list[Component]:
         """Return what the state dump shows."""
@@ -85,14 +85,14 @@
 
     async def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
-        self._catch_signals()
+        self._install_signal_handlers()
         await self._start()
         log.info("VM %s serves callers on %s.", self.vm, self.callers.address)
-        await self.stop_asked.wait()
+        await self.stop_requested.wait()
         await self._stop()
         return 0
 
-    def _fleet(self) -> FleetNode:
+    def _build_fleet(self) -> FleetNode:
         settings = self.settings
         return FleetNode(
             self.vm,
@@ -145,8 +145,8 @@
         gc.collect()
         gc.freeze()
 
-    def _catch_signals(self) -> None:
-        stopping.catch_signals(self)
+    def _install_signal_handlers(self) -> None:
+        stopping.install_signal_handlers(self)
 
     async def _stop(self) -> None:
         await stopping.stop(self)
--- a/sequoiabridge/tests/matrix/vm.py
+++ b/sequoiabridge/tests/matrix/vm.py
@@ -62,8 +62,8 @@
     def _catch_signals(self) -> None:
         """Signals concern the test's own process."""
 
-    def _fleet(self) -> FleetNode:
-        fleet = super()._fleet()
+    def _build_fleet(self) -> FleetNode:
+        fleet = super()._build_fleet()
         publish = fleet.publish
 
         def step_and_publish(item, urgency) -> None:
@@ -172,7 +172,7 @@
         if not self.up or self.daemon.readiness.stopping:
             return
         self.daemon.readiness.stopping = True
-        await self.daemon.stop_asked.set()
+        await self.daemon.stop_requested.set()
 
     async def connect(self) -> Socket:
         """Return a new connection of a caller."""
--- a/sequoiabridge/tests/test_documents.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -32,7 +32,7 @@
     """VMs with the real configuration in force, over one platform in memory."""
 
     def __init__(self, count):
-        self.bench, self.pump, self.gates = system_clock_platform(), Pump(count), []
+        self.bench, self.pump, self.configurations = system_clock_platform(), Pump(count), []
         for node in self.pump.all():
             self.join(node)
         assert self.pump.run_until(self.pump.complete, 20) is not None
@@ -41,16 +41,20 @@
         """Give a node its configuration; returns that, and all versions that came in force."""
         versions, seen = Versions(self.bench.client(), self.bench.clock), []
         clock = self.bench.clock
-        gate = ConfigurationInForce(versions, node, clock, lambda doc: seen.append(doc.version))
-        gate.subscribe(Timers(self.pump.clock))
-        self.gates.append(gate)
-        return gate, seen
+        configuration = ConfigurationInForce(
+            versions, node, clock, lambda doc: seen.append(doc.version)
+        )
+        configuration.subscribe(Timers(self.pump.clock))
+        self.configurations.append(configuration)
+        return configuration, seen
 
     def accept(self, change, lost=True):
         """Accept a change at the first VM; the store is lost with its commit."""
         self.bench.faults.down_after = int(lost)
-        gate = self.gates[0]
-        assert curio.run(gate.propose, change, "anna", gate.in_force.version).is_ok()
+        configuration = self.configurations[0]
+        assert curio.run(
+            configuration.propose, change, "anna", configuration.in_force.version
+        ).is_ok()
         assert self.bench.faults.down == lost
 
     def everywhere(self, version, limit):
@@ -59,10 +63,12 @@
 
     def all_have(self, version):
         """Look at the table where that is due; True if a version is in force on all VMs."""
-        for gate in self.gates:
-            for look in gate.timers.run_due():
+        for configuration in self.configurations:
+            for look in configuration.timers.run_due():
                 curio.run(look)
-        return all(gate.in_force.version == version for gate in self.gates)
+        return all(
+            configuration.in_force.version == version for configuration in self.configurations
+        )
 
 
 def test_a_new_vm_is_ready_from_its_peers_while_the_table_is_down_and_never_older():
@@ -74,10 +80,10 @@
         node.spreader.changes = ChangeLog()  # As after many more changes.
         node.spreader.queue.queues[Urgency.CONFIGURATION].clear()
     node = fleet.pump.add(5)
-    gate, seen = fleet.join(node)
+    configuration, seen = fleet.join(node)
     assert fleet.pump.run_until(lambda: node.currency.ready(fleet.pump.clock.now()), 30) is not None
     assert seen == [1]
-    assert gate.in_force.encode() == fleet.gates[0].in_force.encode()
+    assert configuration.in_force.encode() == fleet.configurations[0].in_force.encode()
 
 
 def test_a_change_of_300_instances_is_in_force_though_the_store_is_lost_right_after():
@@ -113,18 +119,18 @@
     fleet = VirtualFleet(3)
     fleet.pump.cut(fleet.pump.all()[:1], fleet.pump.all()[1:])
     fleet.accept(SERVICE)
-    assert fleet.gates[0].spread(1) == (1, 3)
+    assert fleet.configurations[0].spread(1) == (1, 3)
     fleet.pump.cuts.clear()
     assert fleet.everywhere(1, 20) is not None
     fleet.pump.run(5)
-    assert fleet.gates[0].spread(1) == (3, 3)
+    assert fleet.configurations[0].spread(1) == (3, 3)
 
 
 def test_a_document_that_is_older_or_unreadable_changes_nothing():
     fleet = VirtualFleet(1)
     fleet.accept(SERVICE)
-    gate = fleet.gates[0]
-    gate.take_document(1, Document.empty().encode())
-    gate.take_document(2, b"\xc1 not a document")
-    gate.take_document(2, gate.in_force.encode())
-    assert gate.in_force.version == 1 and "spendview" in gate.in_force.services
+    configuration = fleet.configurations[0]
+    configuration.receive_document(1, Document.empty().encode())
+    configuration.receive_document(2, b"\xc1 not a document")
+    configuration.receive_document(2, configuration.in_force.encode())
+    assert configuration.in_force.version == 1 and "spendview" in configuration.in_force.services
