--- a/sequoiabridge/assembly/operators.py
+++ b/sequoiabridge/assembly/operators.py
@@ -46,13 +46,13 @@
         daemon.journal,
     )
     releases = DaemonReleases(services, daemon.claim_admin, fleet, clock, daemon.uploads)
-    gatherer = Gatherer(lambda: peers(daemon), daemon.settings.admin.token)
+    gatherer = Gatherer(lambda: list_admin_peers(daemon), daemon.settings.admin.token)
     return Executor(
         daemon.vm, clock, state, daemon.configuration, releases, daemon.journal, gatherer
     )
 
 
-def peers(daemon: Daemon) -> list[Peer]:
+def list_admin_peers(daemon: Daemon) -> list[Peer]:
     """Return the other VMs' admin ports: every VM uses the same port number for it."""
     port = daemon.admin.address.rpartition(":")[2]
     others = daemon.fleet.membership.live()
--- a/sequoiabridge/assembly/schedule.py
+++ b/sequoiabridge/assembly/schedule.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from .platform import PlatformWork
+from .platform_tasks import PlatformTasks
 
 if TYPE_CHECKING:
     from ..daemon import Daemon
 
-IDLE_SWEEP = 5.0
+IDLE_CHECK_INTERVAL = 5.0
 """Seconds between two looks for connections that have been idle too long."""
 
-DELIVER_EVERY = 1.0
+DELIVERY_INTERVAL = 1.0
 """Seconds between two looks for uploads to deliver."""
 
-COLLECT_EVERY = 30.0
+ORPHAN_REMOVAL_INTERVAL = 30.0
 """Seconds between two steps of the removal of orphan chunks."""
 
 
@@ -26,9 +26,9 @@
         self.clock = daemon.clock
         self.timers = daemon.timers
         self.fleet = daemon.fleet
-        self.platform = PlatformWork(daemon)
+        self.platform = PlatformTasks(daemon)
         self.path = daemon.path
-        self.store_parts = (
+        self.store_components = (
             daemon.store,
             daemon.claims,
             daemon.claim_admin,
@@ -38,17 +38,17 @@
     def subscribe(self) -> None:
         """Subscribe everything; the timers must not run yet."""
         timers, path = self.timers, self.path
-        for part in self.store_parts:
-            part.subscribe(timers)
+        for component in self.store_components:
+            component.subscribe(timers)
         path.services.subscribe(timers)
         path.sharing.subscribe(timers)
         path.probing.subscribe(timers)
         path.drain_checker.subscribe(timers)
         self.fleet.on_event(lambda event: path.services.share_connections())
         path.admit.subscribe(timers)
-        timers.every(IDLE_SWEEP, "idle connections", path.connector.sweep)
-        timers.every(DELIVER_EVERY, "deliveries", self.deliver)
-        timers.every(COLLECT_EVERY, "orphans", self.collect)
+        timers.every(IDLE_CHECK_INTERVAL, "idle connections", path.connector.sweep)
+        timers.every(DELIVERY_INTERVAL, "deliveries", self.deliver)
+        timers.every(ORPHAN_REMOVAL_INTERVAL, "orphans", self.collect)
         self.platform.subscribe()
 
     async def deliver(self) -> None:
--- a/sequoiabridge/assembly/stopping.py
+++ b/sequoiabridge/assembly/stopping.py
@@ -14,7 +14,7 @@
 
 log = get_log("daemon")
 
-STOP_LOOK = 0.1
+STOP_POLL_INTERVAL = 0.1
 """Seconds between two looks whether all work has ended."""
 
 
@@ -40,9 +40,9 @@
     await path.callers.stop_accepting()
     await path.callers.wait_idle()
     while not (daemon.uploads.idle and path.deliveries.idle):
-        await curio.sleep(STOP_LOOK)
+        await curio.sleep(STOP_POLL_INTERVAL)
     while await _open_claims(daemon) and not daemon.store.is_down:
-        await curio.sleep(STOP_LOOK)
+        await curio.sleep(STOP_POLL_INTERVAL)
     await daemon.fleet.leave()
     await path.connector.close()
     log.info("Stopped: nothing was cut off.")
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -1,6 +1,6 @@
 """One daemon: its parts in the order in which they are built, and its run from start to stop.
 
-`assembly.path` builds what calls go through, `assembly.operators` the admin port;
+`assembly.call_path` builds what calls go through, `assembly.operators` the admin port;
 `assembly.schedule` has the periodic work and `assembly.stopping` the planned stop.
 """
 
@@ -12,8 +12,8 @@
 import curio
 
 from .assembly import stopping
+from .assembly.call_path import CallPath
 from .assembly.operators import build_admin, declare_daemon_metrics
-from .assembly.path import CallPath
 from .assembly.schedule import Schedule
 from .component import Component
 from .config.document import Document
--- a/sequoiabridge/readiness.py
+++ b/sequoiabridge/readiness.py
@@ -6,7 +6,7 @@
 
 from .operators.bases import Readiness
 
-STOPPING = "A planned stop has begun."
+STOPPING_MESSAGE = "A planned stop has begun."
 
 
 class DaemonReadiness(Readiness):
@@ -26,6 +26,6 @@
 
     def check(self) -> tuple[bool, str]:
         if self.stopping:
-            return False, STOPPING
+            return False, STOPPING_MESSAGE
         why = self.why_not_current()
         return not why, why or "The configuration is current."
