--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -18,7 +18,7 @@
 from ...upstreams.base import Connector, UpstreamConnection
 
 
-class Act(Enum):
+class Behaviour(Enum):
     """What an upstream does with a request."""
 
     ANSWER = "answer"
@@ -28,45 +28,45 @@
     RESET = "reset"
     CRASH = "crash"
     CUT = "cut"
-    CUT_LEAVING = "cut, and leaving"
-    LOSE_FIRST_PIECE = "break before a byte has left, but after the body was begun"
+    CUT_DRAINING = "cut, and leaving"
+    BREAK_BEFORE_SEND = "break before a byte has left, but after the body was begun"
     STAY_SILENT = "stay silent"
-    LEAVE = "answer, and say that it is leaving"
+    ANSWER_DRAINING = "answer, and say that it is leaving"
 
 
 class FakeConnection(UpstreamConnection):
     """One connection to an upstream that acts as told."""
 
-    def __init__(self, network, address, act):
-        self.network = network
+    def __init__(self, connector, address, behaviour):
+        self.connector = connector
         self.address = address
-        self.act = act
-        self.opened = self.last_heard = network.clock.now()
+        self.behaviour = behaviour
+        self.opened = self.last_heard = connector.clock.now()
         self.requests = 0
         self.closed = False
 
     async def send(self, request):
-        self.network.received.append((self.address, request))
+        self.connector.received.append((self.address, request))
         body = b""
         while request.body is not None and (piece := await request.body.read()):
             body += piece
-            if self.act is Act.LOSE_FIRST_PIECE:
-                self.network.bodies.append(body)
+            if self.behaviour is Behaviour.BREAK_BEFORE_SEND:
+                self.connector.bodies.append(body)
                 raise UpstreamFailed("broken", sent=False)
-        self.network.bodies.append(body)
+        self.connector.bodies.append(body)
 
     async def read_head(self):
-        if self.act is Act.STAY_SILENT:
+        if self.behaviour is Behaviour.STAY_SILENT:
             await curio.sleep(3600)
-        if self.act in (Act.RESET, Act.CRASH):
+        if self.behaviour in (Behaviour.RESET, Behaviour.CRASH):
             raise UpstreamFailed("reset", sent=True)
-        if self.act is Act.SHED:
+        if self.behaviour is Behaviour.SHED:
             return Answer(503, [(NOT_RUN, b"1")], 0, None)
-        status = 500 if self.act is Act.FAIL else 200
+        status = 500 if self.behaviour is Behaviour.FAIL else 200
         fields = [(b"x-from", self.address.encode())]
-        if self.act in (Act.LEAVE, Act.CUT_LEAVING):
+        if self.behaviour in (Behaviour.ANSWER_DRAINING, Behaviour.CUT_DRAINING):
             fields.append((DRAIN, b"7"))
-        return Answer(status, fields, 5, Streamed(self.act))
+        return Answer(status, fields, 5, StreamedBody(self.behaviour))
 
     @property
     def clean(self):
@@ -76,33 +76,33 @@
         self.closed = True
 
 
-class Streamed(Body):
+class StreamedBody(Body):
     """The body `hello`, or one that breaks off after its first bytes."""
 
-    def __init__(self, act):
+    def __init__(self, behaviour):
         self.pieces = [b"hel", b"lo"]
-        self.act = act
+        self.behaviour = behaviour
 
     async def read(self):
-        if self.act in (Act.CUT, Act.CUT_LEAVING) and len(self.pieces) == 1:
+        if self.behaviour in (Behaviour.CUT, Behaviour.CUT_DRAINING) and len(self.pieces) == 1:
             raise UpstreamFailed("cut off", sent=True)
         return self.pieces.pop(0) if self.pieces else b""
 
 
-class FakeNetwork(Connector):
+class FakeConnector(Connector):
     """Upstreams by address; `received` has what reached them, in order."""
 
-    def __init__(self, acts):
+    def __init__(self, behaviours):
         self.clock = SystemClock()
-        self.acts = acts
+        self.behaviours = behaviours
         self.received = []
         self.bodies = []
         self.connections = []
 
     async def acquire(self, address, *, fresh, timeout):
-        if self.acts[address] is Act.REFUSE_CONNECTION:
+        if self.behaviours[address] is Behaviour.REFUSE_CONNECTION:
             raise UpstreamFailed("refused", sent=False)
-        connection = FakeConnection(self, address, self.acts[address])
+        connection = FakeConnection(self, address, self.behaviours[address])
         self.connections.append(connection)
         return connection
 
@@ -113,22 +113,22 @@
         return None
 
     async def reachable(self, address, timeout):
-        return self.acts[address] not in (Act.CRASH, Act.REFUSE_CONNECTION)
+        return self.behaviours[address] not in (Behaviour.CRASH, Behaviour.REFUSE_CONNECTION)
 
 
-class Quiet(Observer):
+class CountingObserver(Observer):
     """An observer that only counts."""
 
     def __init__(self):
         self.failures = []
-        self.back = []
-        self.leaving = []
+        self.returned = []
+        self.drained = []
 
     def record_drain(self, upstream, incarnation):
-        self.leaving.append((upstream, incarnation))
+        self.drained.append((upstream, incarnation))
 
     def record_return(self, upstream, incarnation):
-        self.back.append((upstream, incarnation))
+        self.returned.append((upstream, incarnation))
 
     def record_failure(self, exchange, upstream, failure):
         self.failures.append(failure)
@@ -146,7 +146,7 @@
         return None
 
 
-class Blaming(Quiet):
+class LedgerObserver(CountingObserver):
     """An observer that enters each crash in the service's ledger, as a daemon does."""
 
     def __init__(self, ledger, clock):
@@ -169,17 +169,19 @@
     return parse_document("\n".join(lines)).ok
 
 
-class Bench:
+class DispatchScene:
     """A dispatch over a fake network; `acts` are those of upstreams u1, u2, …"""
 
-    def __init__(self, *acts: Act, seed=7, **rule):
-        self.network = FakeNetwork({f"127.0.0.1:{n}": act for n, act in enumerate(acts, 1)})
-        self.clock = self.network.clock
-        self.observer = Quiet()
+    def __init__(self, *behaviours: Behaviour, seed=7, **rule):
+        self.connector = FakeConnector(
+            {f"127.0.0.1:{n}": behaviour for n, behaviour in enumerate(behaviours, 1)}
+        )
+        self.clock = self.connector.clock
+        self.observer = CountingObserver()
         self.services = Services(self.clock, Random(seed), lambda address, count: None, lambda: 1)
-        self.document = document(len(acts), **rule)
+        self.document = document(len(behaviours), **rule)
         self.services.update(self.document)
-        self.dispatch = Dispatch(self.services, self.network, self.clock, self.observer)
+        self.dispatch = Dispatch(self.services, self.connector, self.clock, self.observer)
 
     def exchange(self, window=30.0) -> Exchange:
         """Return a call that matched the rule."""
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle.py
@@ -12,9 +12,9 @@
 from ...pipeline.sharing import LOAD_SLICES, Sharing
 from ...policy.admission import Decision, Verdict
 from ...timers import ManualClock, Timers
-from .fakes import Act, Bench
+from .fakes import Behaviour, DispatchScene
 
-IDLE_GAP = 1.0
+MIN_IDLE_INTERVAL = 1.0
 """Seconds that an idle daemon's fastest timer here leaves between two looks, at least."""
 
 
@@ -36,7 +36,7 @@
         self.items.append(item)
 
 
-class Starved:
+class StalledQueue:
     """A queue that lets every call wait until it is too late."""
 
     displaced = ()
@@ -56,32 +56,32 @@
         return []
 
 
-def on_manual_clock(bench):
+def use_manual_clock(scene):
     """Return a manual clock and timers; the bench's services work by them."""
     clock = ManualClock(100.0)
-    bench.services.clock = clock
+    scene.services.clock = clock
     return clock, Timers(clock)
 
 
-def look_at_all(sharing):
+def publish_all(sharing):
     """Go through all services once."""
     for _ in range(LOAD_SLICES):
         sharing.publish_load()
 
 
-def awake(timers):
+def active_timers(timers):
     """Return the names of what is done often and that the timers will do."""
     return {entry["name"] for entry in timers.dump()} & {"probing", "sharing load"}
 
 
 def test_looks_start_with_the_first_call_and_end_when_the_service_is_quiet():
-    bench = Bench(Act.ANSWER)
-    clock, timers = on_manual_clock(bench)
-    Probing(bench.services, None, Metrics(), bench.observer, clock).subscribe(timers)
-    Sharing("vm", bench.services, FakeFleet(), Metrics(), clock).subscribe(timers)
-    assert not awake(timers)
-    bench.services.record_call(bench.services.by_name["s"], clock.now())
-    assert timers.next_due() <= BACKGROUND_PROBE_INTERVAL and awake(timers) == {
+    scene = DispatchScene(Behaviour.ANSWER)
+    clock, timers = use_manual_clock(scene)
+    Probing(scene.services, None, Metrics(), scene.observer, clock).subscribe(timers)
+    Sharing("vm", scene.services, FakeFleet(), Metrics(), clock).subscribe(timers)
+    assert not active_timers(timers)
+    scene.services.record_call(scene.services.by_name["s"], clock.now())
+    assert timers.next_due() <= BACKGROUND_PROBE_INTERVAL and active_timers(timers) == {
         "probing",
         "sharing load",
     }
@@ -90,22 +90,22 @@
         for coroutine in timers.run_due():
             curio.run(coroutine)
         clock.advance(BACKGROUND_PROBE_INTERVAL)
-    assert not awake(timers)
-    bench.services.record_call(bench.services.by_name["s"], clock.now())
-    assert awake(timers) == {"probing", "sharing load"}
+    assert not active_timers(timers)
+    scene.services.record_call(scene.services.by_name["s"], clock.now())
+    assert active_timers(timers) == {"probing", "sharing load"}
 
 
 def test_a_queued_call_is_refused_in_time_though_nothing_looked_before_it_came():
-    bench = Bench(Act.ANSWER)
-    timers = Timers(bench.clock)
-    admit = Admit(bench.services, bench.clock)
+    scene = DispatchScene(Behaviour.ANSWER)
+    timers = Timers(scene.clock)
+    admit = Admit(scene.services, scene.clock)
     admit.subscribe(timers)
-    assert timers.next_due() > IDLE_GAP
-    bench.services.by_name["s"].queue = Starved()
+    assert timers.next_due() > MIN_IDLE_INTERVAL
+    scene.services.by_name["s"].queue = StalledQueue()
 
     async def call():
         await curio.spawn(timers.run, daemon=True)
-        await curio.timeout_after(5.0, admit.enter, bench.exchange())
+        await curio.timeout_after(5.0, admit.enter, scene.exchange())
 
     with pytest.raises(Refusal):
         curio.run(call)
@@ -113,56 +113,56 @@
 
 
 def test_a_suspicion_is_told_and_taken_back_without_a_further_call():
-    bench, fleet = Bench(Act.ANSWER, Act.ANSWER), FakeFleet()
-    clock, _ = on_manual_clock(bench)
-    sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
-    state = bench.services.by_name["s"]
+    scene, fleet = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER), FakeFleet()
+    clock, _ = use_manual_clock(scene)
+    sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
+    state = scene.services.by_name["s"]
     straggler = state.pool.upstreams["u1"]
-    bench.services.record_call(state, clock.now())
+    scene.services.record_call(state, clock.now())
     straggler.record_start(clock.now())
     clock.advance(2.0)
-    look_at_all(sharing)
+    publish_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
     straggler.record_end(clock.now(), 2.0)
     clock.advance(3.0)
-    look_at_all(sharing)
+    publish_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items[1:]] == [("u1", False)]
 
 
 def test_upstreams_without_calls_are_not_gone_through():
-    bench, fleet = Bench(Act.ANSWER), FakeFleet()
-    clock, _ = on_manual_clock(bench)
-    sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
-    bench.services.by_name["s"].pool.upstreams = None  # Whoever goes through them fails.
-    look_at_all(sharing)
+    scene, fleet = DispatchScene(Behaviour.ANSWER), FakeFleet()
+    clock, _ = use_manual_clock(scene)
+    sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
+    scene.services.by_name["s"].pool.upstreams = None  # Whoever goes through them fails.
+    publish_all(sharing)
     assert not fleet.items
 
 
 def test_an_upstream_slower_than_its_pool_is_told_without_a_call_in_flight():
-    bench, fleet = Bench(Act.ANSWER, Act.ANSWER, Act.ANSWER), FakeFleet()
-    clock, _ = on_manual_clock(bench)
-    sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
-    state = bench.services.by_name["s"]
-    bench.services.record_call(state, clock.now())
+    scene, fleet = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER, Behaviour.ANSWER), FakeFleet()
+    clock, _ = use_manual_clock(scene)
+    sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
+    state = scene.services.by_name["s"]
+    scene.services.record_call(state, clock.now())
     for name, upstream in state.pool.upstreams.items():
         for _ in range(10):
             state.pool.record_send(upstream, clock.now())
             elapsed = 0.5 if name == "u1" else 0.005
             state.pool.record_answer(upstream, clock.now(), 200, elapsed)
-    look_at_all(sharing)
+    publish_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
 
 
 def test_what_other_vms_suspect_is_not_told_on_as_own_suspicion():
-    bench, fleet = Bench(*[Act.ANSWER] * 4), FakeFleet()
-    clock, _ = on_manual_clock(bench)
-    sharing = Sharing("vm", bench.services, fleet, Metrics(), clock)
-    state = bench.services.by_name["s"]
-    bench.services.record_call(state, clock.now())
+    scene, fleet = DispatchScene(*[Behaviour.ANSWER] * 4), FakeFleet()
+    clock, _ = use_manual_clock(scene)
+    sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
+    state = scene.services.by_name["s"]
+    scene.services.record_call(state, clock.now())
     for other in ("vm-2", "vm-3", "vm-4"):
         sharing.handle_load(LoadItem("u1", 0, 6000, True, 0), other)
     clock.advance(0.1)  # Words of other VMs take effect together, with the next choice.
     state.pool.choose(clock.now())
     assert state.pool.upstreams["u1"].suspected
-    look_at_all(sharing)
+    publish_all(sharing)
     assert not any(item.suspect for item in fleet.items)
--- a/sequoiabridge/tests/pipeline/test_pipeline.py
+++ b/sequoiabridge/tests/pipeline/test_pipeline.py
@@ -14,7 +14,7 @@
 from ...timers import ManualClock
 
 
-class Leaves(Filter):
+class LeaveOnly(Filter):
     """Has only a hook on the way out."""
 
     def __init__(self, name, seen):
@@ -24,7 +24,7 @@
         self.seen.append(self.name)
 
 
-class Both(Leaves):
+class EnterAndLeave(LeaveOnly):
     """Has both hooks; refuses if told to."""
 
     refuses = False
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize(("refusing", "left"), [(1, ["a"]), (3, ["c", "b", "a"])])
 def test_a_refused_call_leaves_just_the_filters_that_it_has_entered(refusing, left):
     seen = []
-    kinds = (Leaves, Both, Leaves, Both, Leaves)
+    kinds = (LeaveOnly, EnterAndLeave, LeaveOnly, EnterAndLeave, LeaveOnly)
     filters = [kind(name, seen) for kind, name in zip(kinds, "abcde", strict=True)]
     filters[refusing].refuses = True
     pipeline = Pipeline(filters, None, RequestIds("vm-1", 1), ManualClock())
@@ -53,22 +53,22 @@
     assert seen == left and not pipeline.open_exchanges
 
 
-class Kept(Exchange):
+class WeakExchange(Exchange):
     """An exchange whose end can be noticed."""
 
     __slots__ = ("__weakref__",)
 
 
 def test_a_call_that_has_ended_is_freed_without_the_garbage_collector(monkeypatch):
-    kept = []
+    references = []
 
-    class Answers(Filter):
+    class AnsweringFilter(Filter):
         async def enter(self, exchange):
-            kept.append(weakref.ref(exchange))
+            references.append(weakref.ref(exchange))
             exchange.answer = object()
 
-    monkeypatch.setattr("sequoiabridge.pipeline.pipeline.Exchange", Kept)
-    pipeline = Pipeline([Answers()], None, RequestIds("vm-1", 1), ManualClock())
+    monkeypatch.setattr("sequoiabridge.pipeline.pipeline.Exchange", WeakExchange)
+    pipeline = Pipeline([AnsweringFilter()], None, RequestIds("vm-1", 1), ManualClock())
 
     async def call():
         request = Request(b"GET", b"/", [])
@@ -77,6 +77,6 @@
     gc.disable()
     try:
         curio.run(call)
-        assert kept[0]() is None
+        assert references[0]() is None
     finally:
         gc.enable()
--- a/sequoiabridge/tests/pipeline/test_removed_service.py
+++ b/sequoiabridge/tests/pipeline/test_removed_service.py
@@ -10,24 +10,24 @@
 from ...policy.concurrency import ConcurrencyLimit
 from ...policy.tickets import Ticket
 from ...timers import Timers
-from .fakes import Act, Bench
+from .fakes import Behaviour, DispatchScene
 
 
 def test_a_call_that_waits_is_refused_in_time_after_its_service_is_gone():
-    bench = Bench(Act.ANSWER)
-    state = bench.services.by_name["s"]
+    scene = DispatchScene(Behaviour.ANSWER)
+    state = scene.services.by_name["s"]
     state.queue.limit = ConcurrencyLimit(1, 1, 1)
-    state.queue.offer(Ticket("other", float("inf"), 0.0), bench.clock.now())
-    admit = Admit(bench.services, bench.clock)
-    timers = Timers(bench.clock)
+    state.queue.offer(Ticket("other", float("inf"), 0.0), scene.clock.now())
+    admit = Admit(scene.services, scene.clock)
+    timers = Timers(scene.clock)
     admit.subscribe(timers)
 
     async def wait():
         await curio.spawn(timers.run, daemon=True)
-        task = await curio.spawn(admit.enter, bench.exchange(window=0.2), daemon=True)
+        task = await curio.spawn(admit.enter, scene.exchange(window=0.2), daemon=True)
         while not admit.queued_calls:
             await curio.sleep(0)
-        bench.services.update(Document.empty())
+        scene.services.update(Document.empty())
         await curio.timeout_after(5.0, task.wait)
         return task.exception
 
@@ -37,20 +37,20 @@
 
 
 def test_a_call_that_was_admitted_finds_no_upstream_of_a_removed_service():
-    bench = Bench(Act.ANSWER)
-    exchange = bench.exchange()
-    bench.services.state_of(exchange)
-    bench.services.update(Document.empty())
+    scene = DispatchScene(Behaviour.ANSWER)
+    exchange = scene.exchange()
+    scene.services.state_of(exchange)
+    scene.services.update(Document.empty())
     with pytest.raises(Refusal) as caught:
-        bench.run(exchange)
+        scene.run(exchange)
     assert caught.value.outcome is Outcome.NOT_RUN
-    assert bench.network.received == []
+    assert scene.connector.received == []
 
 
 def test_a_call_that_comes_too_late_is_told_so():
-    bench = Bench(Act.ANSWER)
-    exchange = bench.exchange()
-    bench.services.update(Document.empty())
+    scene = DispatchScene(Behaviour.ANSWER)
+    exchange = scene.exchange()
+    scene.services.update(Document.empty())
     with pytest.raises(Refusal) as caught:
-        bench.run(exchange)
+        scene.run(exchange)
     assert caught.value.reason is Reason.NO_SERVICE
--- a/sequoiabridge/tests/pipeline/test_sharing.py
+++ b/sequoiabridge/tests/pipeline/test_sharing.py
@@ -3,37 +3,43 @@
 from ...fleet.base import CrashItem
 from ...metrics import Metrics
 from ...pipeline.sharing import Sharing
-from .fakes import Act, Bench
+from .fakes import Behaviour, DispatchScene
 
 
-class Wire:
+class DelayedFleet:
     """A fleet of two VMs; `late` holds what the first said and the second has not heard."""
 
     def __init__(self):
-        self.late = []
+        self.pending = []
 
     def subscribe(self, kind, callback):
         return None
 
     def publish(self, item, urgency):
-        self.late.append(item)
+        self.pending.append(item)
 
 
 def test_an_answer_clears_a_request_on_vms_that_hear_of_its_crashes_late():
-    here, there, wire = Bench(Act.ANSWER, Act.ANSWER), Bench(Act.ANSWER, Act.ANSWER), Wire()
-    first, second = (
-        Sharing(vm, bench.services, wire, Metrics(), bench.clock)
-        for vm, bench in (("vm-1", here), ("vm-2", there))
+    local_scene, peer_scene, fleet = (
+        DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER),
+        DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER),
+        DelayedFleet(),
     )
-    exchange = here.exchange()
+    local, peer = (
+        Sharing(vm, scene.services, fleet, Metrics(), scene.clock)
+        for vm, scene in (("vm-1", local_scene), ("vm-2", peer_scene))
+    )
+    exchange = local_scene.exchange()
     for upstream in ("u1", "u2"):
-        first.record_crash(exchange, upstream)
-    first.record_answer(exchange)
+        local.record_crash(exchange, upstream)
+    local.record_answer(exchange)
     # Between VMs, words may come in any order.
-    for item in reversed(wire.late):
+    for item in reversed(fleet.pending):
         assert isinstance(item, CrashItem)
-        second.handle_crash(item, "vm-1")
-    ledger = there.services.by_name["s"].ledger
+        peer.handle_crash(item, "vm-1")
+    ledger = peer_scene.services.by_name["s"].ledger
     assert not ledger.blocked_fingerprints
-    second.handle_crash(CrashItem(wire.late[0].fingerprint, "u1", there.clock.wall() + 60), "vm-1")
+    peer.handle_crash(
+        CrashItem(fleet.pending[0].fingerprint, "u1", peer_scene.clock.wall() + 60), "vm-1"
+    )
     assert ledger.by_fingerprint
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -17,7 +17,7 @@
 from ...store.upload_manifest import UploadState
 from ...store.upload_table import LATE_CALL
 from ..standins.uploads import Bytes, World, finish, incoming
-from .fakes import Act, Bench
+from .fakes import Behaviour, DispatchScene
 
 DATA = b"image of the reader"
 
@@ -25,7 +25,7 @@
 WINDOW = 20.0
 
 
-def handled(vm, body, length, deadline=0.0, **headers):
+def handle_upload(vm, body, length, deadline=0.0, **headers):
     fields = [(k.replace("_", "-").encode(), v) for k, v in headers.items()]
     request = Request(b"PUT", b"/image", fields, length, body)
     exchange = Exchange("r1", request, 0.0)
@@ -37,7 +37,7 @@
 
 
 def call(vm, data=DATA, **headers):
-    answer = finish(handled(vm, Bytes(data) if data else None, len(data), **headers))
+    answer = finish(handle_upload(vm, Bytes(data) if data else None, len(data), **headers))
     return answer.status, dict(answer.headers), msgspec.json.decode(finish(answer.body.read()))
 
 
@@ -53,8 +53,12 @@
     status, headers, _ = call(vm, content_type=b"image/x", host=b"h", sequoia_deadline_ms=b"9")
     upload = headers[b"sequoia-upload-id"]
     assert status == 202
-    status, headers, told = call(world.vm("b"), b"", sequoia_upload_id=upload)
-    assert (status, headers[b"sequoia-upload-offset"], told["state"]) == (200, b"19", "accepted")
+    status, headers, status_body = call(world.vm("b"), b"", sequoia_upload_id=upload)
+    assert (status, headers[b"sequoia-upload-offset"], status_body["state"]) == (
+        200,
+        b"19",
+        "accepted",
+    )
     manifest = world.manifests()[0]
     sent = delivery_request(manifest, None)
     digest = hashlib.sha256(DATA).hexdigest().encode()
@@ -70,12 +74,12 @@
     world = World()
     vm = world.vm("a")
     with pytest.raises(CallerGone):
-        finish(handled(vm, Bytes(DATA, cut=9), 19, idempotency_key=b"k"))
+        finish(handle_upload(vm, Bytes(DATA, cut=9), 19, idempotency_key=b"k"))
     known = {"idempotency_key": b"k"}
     _, headers, _ = call(vm, b"", sequoia_upload_offset=b"?", **known)
     assert headers[b"sequoia-upload-offset"] == b"9"
-    status, _, told = call(vm, DATA[9:], sequoia_upload_offset=b"9", **known)
-    assert (status, told["state"], told["offset"]) == (202, "accepted", 19)
+    status, _, status_body = call(vm, DATA[9:], sequoia_upload_offset=b"9", **known)
+    assert (status, status_body["state"], status_body["offset"]) == (202, "accepted", 19)
 
 
 def test_a_store_that_is_down_or_silent_is_told_truthfully():
@@ -102,7 +106,7 @@
     world = World()
     vm = world.vm("a", commit_every=99)
     started = world.clock.now()
-    task = handled(vm, Bytes(DATA), len(DATA), deadline=started + WINDOW)
+    task = handle_upload(vm, Bytes(DATA), len(DATA), deadline=started + WINDOW)
     while len(world.objects.objects) < (2 if when == "chunk" else 5):
         task.send(None)
     setattr(world.tables.faults, fault, value)
@@ -118,7 +122,7 @@
 def test_an_acceptance_that_cannot_be_read_back_is_not_called_not_run():
     world = World()
     vm = world.vm("a", commit_every=99)
-    task = handled(vm, Bytes(DATA), len(DATA), deadline=world.clock.now() + WINDOW)
+    task = handle_upload(vm, Bytes(DATA), len(DATA), deadline=world.clock.now() + WINDOW)
     while len(world.objects.objects) < 5:
         task.send(None)
     world.tables.faults.lose_answers = 1
@@ -147,7 +151,9 @@
             world.clock.advance(pause)
             return await super().read()
 
-    answer = finish(handled(world.vm("a"), Slow(DATA), 19, deadline=world.clock.now() + WINDOW))
+    answer = finish(
+        handle_upload(world.vm("a"), Slow(DATA), 19, deadline=world.clock.now() + WINDOW)
+    )
     assert answer.status == 202
 
 
@@ -190,25 +196,25 @@
     assert delivery_result(manifest, Answer(status, headers, 0, None)).delivery is expected
 
 
-def delivered_by_turns(world, act):
+def delivered_by_turns(world, behaviour):
     """Have one VM after the other try to deliver one upload to three upstreams."""
-    bench = Bench(act, act, act)
+    scene = DispatchScene(behaviour, behaviour, behaviour)
     request = incoming(DATA)
     request.service = "s"
     upload = finish(world.vm("a").receive(request)).id
     for name in "abcd":
         deliveries = world.deliveries(world.vm(name))
         deliveries.send = UploadSender(
-            bench.services, bench.network, bench.observer, bench.clock
+            scene.services, scene.connector, scene.observer, scene.clock
         ).send
         world.clock.advance(1000.0)
         curio.run(deliveries.deliver, upload)
-    return upload, [address for address, _ in bench.network.received]
+    return upload, [address for address, _ in scene.connector.received]
 
 
 def test_an_upload_that_crashes_its_upstreams_is_held_after_two_in_the_whole_fleet():
     world = World()
-    upload, reached = delivered_by_turns(world, Act.CRASH)
+    upload, reached = delivered_by_turns(world, Behaviour.CRASH)
     assert len(reached) == 2 == len(set(reached))
     row = upload_row(finish(world.vm("e").listed(1))[0], 0.0)
     assert (row.state, len(row.crashed.split(", "))) == ("failed", 2)
@@ -222,7 +228,7 @@
 
 def test_a_reset_by_an_upstream_that_lives_is_no_crash():
     world = World()
-    _, reached = delivered_by_turns(world, Act.RESET)
+    _, reached = delivered_by_turns(world, Behaviour.RESET)
     manifest = world.manifests()[0]
     assert (manifest.state, manifest.crashed) == (UploadState.ACCEPTED, ())
     assert len(reached) > 2
@@ -230,12 +236,12 @@
 
 def test_an_upstream_that_leaves_says_so_on_the_answer_to_a_delivery_too():
     world = World()
-    bench = Bench(Act.LEAVE)
+    scene = DispatchScene(Behaviour.ANSWER_DRAINING)
     request = incoming(DATA)
     request.service = "s"
     upload = finish(world.vm("a").receive(request)).id
     deliveries = world.deliveries(world.vm("a"))
-    sender = UploadSender(bench.services, bench.network, bench.observer, bench.clock)
+    sender = UploadSender(scene.services, scene.connector, scene.observer, scene.clock)
     deliveries.send = sender.send
     curio.run(deliveries.deliver, upload)
-    assert bench.services.by_name["s"].pool.upstreams["u1"].draining == 7
+    assert scene.services.by_name["s"].pool.upstreams["u1"].draining == 7
