--- a/sequoiabridge/benchmarks/upload_vm.py
+++ b/sequoiabridge/benchmarks/upload_vm.py
@@ -18,7 +18,7 @@
 from ..pipeline.uploads import UploadHandler, delivery_request, delivery_result
 from ..platform.services import PlatformObjects, PlatformTables
 from ..store.client import StoreClient
-from ..store.upload_delivery import Deliveries, Sent
+from ..store.upload_delivery import Deliveries, DeliveryResult
 from ..store.uploads import Uploads
 from ..timers import SystemClock, Timers
 from ..upstreams.connections import ConnectorLimits, HttpConnector
@@ -92,7 +92,7 @@
     async def finished(self, request: Request, answer: Answer, clean: bool) -> None:
         pass
 
-    async def send(self, manifest, body) -> Sent:
+    async def send(self, manifest, body) -> DeliveryResult:
         request = delivery_request(manifest, body)
         request.headers.append((b"host", self.upstream.encode()))
         connection = await self.connector.acquire(
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -8,7 +8,7 @@
 from ..exceptions import UpstreamFailed
 from ..policy.base import Failure
 from ..policy.upstream_state import UpstreamState
-from ..store.upload_delivery import Delivery, Sent
+from ..store.upload_delivery import DeliveryOutcome, DeliveryResult
 from ..store.upload_manifest import Manifest
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
@@ -41,14 +41,16 @@
         self.observer = observer
         self.clock = clock
 
-    async def send(self, manifest: Manifest, body: Body) -> Sent:
+    async def send(self, manifest: Manifest, body: Body) -> DeliveryResult:
         """Send one upload to an upstream on a new connection, and judge the answer."""
         state = self.services.by_name.get(manifest.service)
         if state is None:
-            return Sent(Delivery.RETRY, f"service {manifest.service} is not configured now")
+            return DeliveryResult(
+                DeliveryOutcome.RETRY, f"service {manifest.service} is not configured now"
+            )
         upstream = state.pool.choose(self.clock.now(), manifest.crashed)
         if upstream is None:
-            return Sent(Delivery.RETRY, "no upstream can take it now")
+            return DeliveryResult(DeliveryOutcome.RETRY, "no upstream can take it now")
         request = delivery_request(manifest, body)
         request.headers.append((HOST, upstream.address.encode()))
         timeout = CONNECT_TIMEOUT + ANSWER_TIMEOUT + manifest.size / MIN_BYTES_PER_SECOND
@@ -59,7 +61,9 @@
                 answer = await self._exchange(upstream, request)
         except curio.TaskTimeout:
             self._record_end(state, upstream, started, Failure.TIMEOUT)
-            return Sent(Delivery.RETRY, f"{upstream.name} did not answer in {timeout:.0f} s")
+            return DeliveryResult(
+                DeliveryOutcome.RETRY, f"{upstream.name} did not answer in {timeout:.0f} s"
+            )
         except UpstreamFailed as error:
             self._record_end(state, upstream, started, Failure.RESET)
             return await self._handle_broken_connection(state, manifest, upstream, error)
@@ -83,16 +87,18 @@
         manifest: Manifest,
         upstream: UpstreamState,
         error: UpstreamFailed,
-    ) -> Sent:
+    ) -> DeliveryResult:
         """Tell a death from a lost connection: a dead upstream takes no new connection."""
         dead = error.sent and not await self.connector.reachable(
             upstream.address, REACHABLE_TIMEOUT
         )
         if not dead:
-            return Sent(Delivery.RETRY, str(error))
+            return DeliveryResult(DeliveryOutcome.RETRY, str(error))
         # A suspect beside the calls that were with the upstream: they share the blame.
         self.observer.record_upload_crash(state.service.name, manifest.id, upstream.name)
-        return Sent(Delivery.CRASHED, f"{upstream.name} died while it had it", upstream.name)
+        return DeliveryResult(
+            DeliveryOutcome.CRASHED, f"{upstream.name} died while it had it", upstream.name
+        )
 
     async def _exchange(self, upstream: UpstreamState, request: UpstreamRequest) -> Answer:
         connection = await self.connector.acquire(
--- a/sequoiabridge/pipeline/uploads.py
+++ b/sequoiabridge/pipeline/uploads.py
@@ -10,7 +10,7 @@
 from .. import headers as names
 from ..exceptions import Refusal, SequoiaError, StoreUnavailable
 from ..outcome import Outcome, Reason
-from ..store.upload_delivery import Delivery, Sent
+from ..store.upload_delivery import DeliveryOutcome, DeliveryResult
 from ..store.upload_manifest import (
     Manifest,
     UploadConflict,
@@ -109,7 +109,7 @@
     return UpstreamRequest(manifest.method, manifest.target, headers, manifest.size, body)
 
 
-def delivery_result(manifest: Manifest, answer: Answer) -> Sent:
+def delivery_result(manifest: Manifest, answer: Answer) -> DeliveryResult:
     """Judge an upstream's answer to a delivery; only a 2xx confirms.
 
     An answer that carries `Sequoia-Upload-Digest` confirms that content, even if the upstream did
@@ -117,14 +117,18 @@
     """
     returned_digest = next((v for f, v in answer.headers if f == names.UPLOAD_DIGEST), None)
     if answer.status in REFUSING_STATUSES:
-        return Sent(Delivery.REFUSED, f"the upstream answered {answer.status}; see its log")
+        return DeliveryResult(
+            DeliveryOutcome.REFUSED, f"the upstream answered {answer.status}; see its log"
+        )
     if not 200 <= answer.status < 300:
-        return Sent(Delivery.RETRY, f"the upstream answered {answer.status}")
+        return DeliveryResult(DeliveryOutcome.RETRY, f"the upstream answered {answer.status}")
     if returned_digest is None:
-        return Sent(Delivery.CONFIRMED)
+        return DeliveryResult(DeliveryOutcome.CONFIRMED)
     if returned_digest.lower() != manifest.digest.encode():
-        return Sent(Delivery.RETRY, "the upstream confirmed another digest; see its log")
-    return Sent(Delivery.HELD_ALREADY)
+        return DeliveryResult(
+            DeliveryOutcome.RETRY, "the upstream confirmed another digest; see its log"
+        )
+    return DeliveryResult(DeliveryOutcome.ALREADY_STORED)
 
 
 def _parse_upload(exchange: Exchange) -> IncomingUpload:
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -53,12 +53,12 @@
 """Bytes of a chunk that are handed on at a time."""
 
 
-class Delivery(Enum):
+class DeliveryOutcome(Enum):
     """What an attempt at a delivery came to."""
 
     CONFIRMED = "confirmed"
     """The upstream took the whole body and has it for good."""
-    HELD_ALREADY = "held-already"
+    ALREADY_STORED = "held-already"
     """The upstream says that it has this id with this digest; the body need not be read."""
     RETRY = "retry"
     """Not confirmed; try again later."""
@@ -68,18 +68,18 @@
     """The upstream will never take it; hold it for the operator."""
 
 
-class Sent:
+class DeliveryResult:
     """The result of one attempt: `error` says why it was not confirmed, `upstream` who died."""
 
-    __slots__ = ("delivery", "error", "upstream")
+    __slots__ = ("outcome", "error", "upstream")
 
-    def __init__(self, delivery: Delivery, error: str = "", upstream: str = ""):
-        self.delivery = delivery
+    def __init__(self, outcome: DeliveryOutcome, error: str = "", upstream: str = ""):
+        self.outcome = outcome
         self.error = error
         self.upstream = upstream
 
 
-Send = Callable[[Manifest, Body], Awaitable[Sent]]
+SendUpload = Callable[[Manifest, Body], Awaitable[DeliveryResult]]
 """Sends a whole upload to an upstream; may raise any `SequoiaError`, which means `RETRY`."""
 
 
@@ -141,7 +141,7 @@
     def __init__(
         self,
         uploads: Uploads,
-        send: Send,
+        send: SendUpload,
         clock: Clock,
         *,
         random: Random | None = None,
@@ -247,10 +247,12 @@
                 body.held = await self.renew(body.held, digest)
             sent = await self.send(body.held.manifest, body)
         except SequoiaError as error:
-            sent = Sent(Delivery.RETRY, str(error))
-        if sent.delivery is Delivery.CONFIRMED and not body.complete:
-            sent = Sent(Delivery.RETRY, "the upstream answered before it had the whole body")
-        if sent.delivery in (Delivery.CONFIRMED, Delivery.HELD_ALREADY):
+            sent = DeliveryResult(DeliveryOutcome.RETRY, str(error))
+        if sent.outcome is DeliveryOutcome.CONFIRMED and not body.complete:
+            sent = DeliveryResult(
+                DeliveryOutcome.RETRY, "the upstream answered before it had the whole body"
+            )
+        if sent.outcome in (DeliveryOutcome.CONFIRMED, DeliveryOutcome.ALREADY_STORED):
             await self._confirm(manifest.id)
             return
         await self._give_back(body.held, sent)
@@ -276,21 +278,21 @@
             if not await self.uploads.chunks.discard(chunk_name(upload, chunk)):
                 return
 
-    async def _give_back(self, held: Held, sent: Sent) -> None:
+    async def _give_back(self, held: Held, sent: DeliveryResult) -> None:
         self.postponed += 1
         manifest, stamp = held.manifest, self.uploads.stamp()
         log.warning("Upload %s is not delivered: %s.", manifest.id, sent.error)
-        if sent.delivery is Delivery.CRASHED:
+        if sent.outcome is DeliveryOutcome.CRASHED:
             await self._record_crash(held, sent)
             return
-        if sent.delivery is Delivery.REFUSED:
+        if sent.outcome is DeliveryOutcome.REFUSED:
             change = failed(manifest, sent.error, stamp)
         else:
             delay = backoff(manifest.attempts, self.random)
             change = postponed(manifest, sent.error, delay, stamp)
         await self._advance(held, change)
 
-    async def _record_crash(self, held: Held, sent: Sent) -> None:
+    async def _record_crash(self, held: Held, sent: DeliveryResult) -> None:
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
         uploads, upload = self.uploads, held.manifest.id
         while held is not None and held.manifest.state in WAITING:
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -23,7 +23,7 @@
 from ...store.base import StoreErrorKind
 from ...store.breaker import CircuitBreaker
 from ...store.claim_rows import ClaimState, KeyStatus, key_status
-from ...store.upload_delivery import ChunkBody, Deliveries, Delivery, Sent
+from ...store.upload_delivery import ChunkBody, Deliveries, DeliveryOutcome, DeliveryResult
 from ...store.upload_writer import Received, Writer
 from ...store.uploads import Uploads
 from ...store.versions import Versions
@@ -256,8 +256,8 @@
 
         async def sent(manifest, body):
             found = await send(manifest, body)
-            if found.delivery is Delivery.RETRY:
-                return Sent(Delivery.HELD_ALREADY)
+            if found.outcome is DeliveryOutcome.RETRY:
+                return DeliveryResult(DeliveryOutcome.ALREADY_STORED)
             return found
 
         with mock.patch.object(self, "send", sent):
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -13,7 +13,7 @@
 from ...pipeline.exchange import Answer, Exchange, Request
 from ...pipeline.upload_sender import UploadSender
 from ...pipeline.uploads import UploadHandler, delivery_request, delivery_result
-from ...store.upload_delivery import Delivery
+from ...store.upload_delivery import DeliveryOutcome
 from ...store.upload_manifest import UploadState
 from ...store.upload_table import LATE_CALL
 from ..standins.uploads import Bytes, World, finish, incoming
@@ -181,19 +181,19 @@
 @pytest.mark.parametrize(
     ("status", "echo", "expected"),
     [
-        (200, None, Delivery.CONFIRMED),
-        (200, b"d", Delivery.HELD_ALREADY),
-        (200, b"e", Delivery.RETRY),
-        (503, b"d", Delivery.RETRY),
-        (302, None, Delivery.RETRY),
-        (404, None, Delivery.RETRY),
-        (422, None, Delivery.REFUSED),
+        (200, None, DeliveryOutcome.CONFIRMED),
+        (200, b"d", DeliveryOutcome.ALREADY_STORED),
+        (200, b"e", DeliveryOutcome.RETRY),
+        (503, b"d", DeliveryOutcome.RETRY),
+        (302, None, DeliveryOutcome.RETRY),
+        (404, None, DeliveryOutcome.RETRY),
+        (422, None, DeliveryOutcome.REFUSED),
     ],
 )
 def test_only_a_confirmation_of_this_content_counts(status, echo, expected):
     manifest = SimpleNamespace(digest="d")
     headers = [] if echo is None else [(b"sequoia-upload-digest", echo)]
-    assert delivery_result(manifest, Answer(status, headers, 0, None)).delivery is expected
+    assert delivery_result(manifest, Answer(status, headers, 0, None)).outcome is expected
 
 
 def delivered_by_turns(world, behaviour):
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -16,7 +16,7 @@
 from ...exceptions import CallerGone, UpstreamFailed
 from ...pipeline.exchange import Body
 from ...store.base import ObjectStore, TableService
-from ...store.upload_delivery import Deliveries, Delivery, Sent
+from ...store.upload_delivery import Deliveries, DeliveryOutcome, DeliveryResult
 from ...store.upload_index import MANIFESTS, chunk_name
 from ...store.upload_manifest import Manifest, UploadState
 from ...store.upload_orphans import Orphans
@@ -122,7 +122,7 @@
         self.lose_answers = 0
         self.refuses = False
 
-    async def send(self, manifest: Manifest, body: Body) -> Sent:
+    async def send(self, manifest: Manifest, body: Body) -> DeliveryResult:
         await pause()
         if self.down:
             raise UpstreamFailed("connection refused", sent=False)
@@ -133,13 +133,13 @@
         if hashlib.sha256(data).hexdigest() != manifest.digest:
             raise AssertionError("a whole body with another digest")
         if self.refuses:
-            return Sent(Delivery.REFUSED, "refused")
+            return DeliveryResult(DeliveryOutcome.REFUSED, "refused")
         assert self.kept.setdefault(manifest.id, data) == data, "two contents under one id"
         await pause()
         if self.lose_answers:
             self.lose_answers -= 1
             raise UpstreamFailed("no answer", sent=True)
-        return Sent(Delivery.CONFIRMED)
+        return DeliveryResult(DeliveryOutcome.CONFIRMED)
 
 
 class World:
--- a/sequoiabridge/tests/store/test_upload_deliveries.py
+++ b/sequoiabridge/tests/store/test_upload_deliveries.py
@@ -3,7 +3,7 @@
 from expression import Error
 
 from ...store.base import StoreError, StoreErrorKind
-from ...store.upload_delivery import Delivery, Sent
+from ...store.upload_delivery import DeliveryOutcome, DeliveryResult
 from ...store.upload_manifest import UploadState, keyed_id
 from ..standins.uploads import World, finish, incoming
 
@@ -31,7 +31,7 @@
 
 def crashing(name):
     async def send(manifest, body):
-        return Sent(Delivery.CRASHED, f"{name} died", name)
+        return DeliveryResult(DeliveryOutcome.CRASHED, f"{name} died", name)
 
     return send
 
--- a/sequoiabridge/tests/store/test_uploads.py
+++ b/sequoiabridge/tests/store/test_uploads.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ...exceptions import CallerGone, StoreUnavailable
-from ...store.upload_delivery import Delivery, Sent
+from ...store.upload_delivery import DeliveryOutcome, DeliveryResult
 from ...store.upload_manifest import (
     UploadConflict,
     UploadKeyReused,
@@ -186,16 +186,16 @@
     world = World()
     vm = world.vm("a")
     finish(receive(vm))
-    early = Delivery.CONFIRMED
+    early = DeliveryOutcome.CONFIRMED
 
     async def send(manifest, body):
         await body.read()
-        return Sent(early)
+        return DeliveryResult(early)
 
     world.upstream.send = send
     finish(world.deliveries(vm).deliver(ID))
     assert world.manifests()[0].state is UploadState.ACCEPTED
-    early = Delivery.HELD_ALREADY
+    early = DeliveryOutcome.ALREADY_STORED
     world.clock.advance(100.0)
     finish(world.deliveries(vm).deliver(ID))
     assert world.manifests()[0].state is UploadState.DELIVERED
