--- a/sequoiabridge/assembly/call_path.py
+++ b/sequoiabridge/assembly/call_path.py
@@ -24,7 +24,7 @@
 from ..pipeline.spool import Spool
 from ..pipeline.upload_sender import UploadSender
 from ..pipeline.uploads import UploadHandler
-from ..store.upload_delivery import Deliveries
+from ..store.upload_delivery import UploadDeliverer
 from ..store.upload_orphans import Orphans
 from ..upstreams.connections import ConnectorLimits, HttpConnector
 from ..upstreams.probes import Prober
@@ -50,7 +50,7 @@
         limits = caller_limits(daemon.settings)
         self.callers = CallerServer(self.pipeline, limits, clock, ids.next)
         sender = UploadSender(self.services, self.connector, self.sharing, clock)
-        self.deliveries = Deliveries(daemon.uploads, sender.send, clock)
+        self.deliveries = UploadDeliverer(daemon.uploads, sender.send, clock)
         self.orphans = Orphans(daemon.uploads)
 
     def _filters(self, daemon: Daemon) -> list[Filter]:
--- a/sequoiabridge/benchmarks/upload_vm.py
+++ b/sequoiabridge/benchmarks/upload_vm.py
@@ -18,7 +18,7 @@
 from ..pipeline.uploads import UploadHandler, delivery_request, delivery_result
 from ..platform.services import PlatformObjects, PlatformTables
 from ..store.client import StoreClient
-from ..store.upload_delivery import Deliveries, DeliveryResult
+from ..store.upload_delivery import DeliveryResult, UploadDeliverer
 from ..store.uploads import Uploads
 from ..timers import SystemClock, Timers
 from ..upstreams.connections import ConnectorLimits, HttpConnector
@@ -77,7 +77,7 @@
         self.connector = connector
         self.upstream = upstream
         self.uploads = uploads
-        self.deliveries = Deliveries(uploads, self.send, uploads.clock)
+        self.deliveries = UploadDeliverer(uploads, self.send, uploads.clock)
         self.spool = UploadHandler(uploads)
 
     def dump(self) -> dict:
--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -16,7 +16,7 @@
 from .readiness import DaemonReadiness
 from .store.claims import Claims
 from .store.client import StoreClient
-from .store.upload_delivery import Deliveries
+from .store.upload_delivery import UploadDeliverer
 from .store.uploads import Uploads
 
 SERVICE_LABEL = ("service",)
@@ -107,7 +107,7 @@
     )
 
 
-def declare_upload_metrics(metrics: Metrics, uploads: Uploads, deliveries: Deliveries) -> None:
+def declare_upload_metrics(metrics: Metrics, uploads: Uploads, deliveries: UploadDeliverer) -> None:
     """Show what became of requests to uploads, and of deliveries."""
     metrics.counter(
         "sequoia_uploads",
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -31,7 +31,7 @@
 
 
 class UploadSender:
-    """The `send` of `store.upload_delivery.Deliveries`."""
+    """The `send` of `store.upload_delivery.UploadDeliverer`."""
 
     __slots__ = ("services", "connector", "observer", "clock")
 
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -89,10 +89,10 @@
     Renews the lease as it goes and ends with `UploadCut` when the lease is someone else's.
     """
 
-    __slots__ = ("deliveries", "held", "next", "chunk", "at", "complete")
+    __slots__ = ("deliverer", "held", "next", "chunk", "at", "complete")
 
-    def __init__(self, deliveries: "Deliveries", held: Held):
-        self.deliveries = deliveries
+    def __init__(self, deliverer: "UploadDeliverer", held: Held):
+        self.deliverer = deliverer
         self.held = held
         self.next = 0
         self.chunk = b""
@@ -115,20 +115,20 @@
             self.complete = True
             return False
         chunk = manifest.chunks[self.next]
-        self.chunk = await self.deliveries.uploads.chunks.get(manifest.id, chunk)
+        self.chunk = await self.deliverer.uploads.chunks.get(manifest.id, chunk)
         self.next += 1
-        self.deliveries.progress[manifest.id] = chunk.offset + chunk.length
+        self.deliverer.progress[manifest.id] = chunk.offset + chunk.length
         return True
 
     async def renew(self) -> None:
         """Keep the lease if it is time to. Raises `UploadCut` if it is someone else's."""
         try:
-            self.held = await self.deliveries.renew(self.held, self.held.manifest.digest)
+            self.held = await self.deliverer.renew(self.held, self.held.manifest.digest)
         except UploadConflict as error:
             raise UploadCut(str(error)) from error
 
 
-class Deliveries(Component):
+class UploadDeliverer(Component):
     """Delivers accepted uploads.
 
     Attributes:
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -23,7 +23,7 @@
 from ...store.base import StoreErrorKind
 from ...store.breaker import CircuitBreaker
 from ...store.claim_rows import ClaimState, KeyStatus, key_status
-from ...store.upload_delivery import ChunkBody, Deliveries, DeliveryOutcome, DeliveryResult
+from ...store.upload_delivery import ChunkBody, DeliveryOutcome, DeliveryResult, UploadDeliverer
 from ...store.upload_writer import Received, Writer
 from ...store.uploads import Uploads
 from ...store.versions import Versions
@@ -249,7 +249,7 @@
 
 
 def confirm_undelivered() -> list[Patch]:
-    attempt = Deliveries._attempt
+    attempt = UploadDeliverer._attempt
 
     async def hopeful(self, held) -> None:
         send = self.send
@@ -263,7 +263,7 @@
         with mock.patch.object(self, "send", sent):
             await attempt(self, held)
 
-    return [(Deliveries, "_attempt", hopeful)]
+    return [(UploadDeliverer, "_attempt", hopeful)]
 
 
 # Upstreams, stops, measuring, recovery.
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -16,7 +16,7 @@
 from ...exceptions import CallerGone, UpstreamFailed
 from ...pipeline.exchange import Body
 from ...store.base import ObjectStore, TableService
-from ...store.upload_delivery import Deliveries, DeliveryOutcome, DeliveryResult
+from ...store.upload_delivery import DeliveryOutcome, DeliveryResult, UploadDeliverer
 from ...store.upload_index import MANIFESTS, chunk_name
 from ...store.upload_manifest import Manifest, UploadState
 from ...store.upload_orphans import Orphans
@@ -168,8 +168,8 @@
             **settings,
         )
 
-    def deliveries(self, vm: Uploads) -> Deliveries:
-        return Deliveries(vm, self.upstream.send, self.clock, random=Random(1), lease=LEASE)
+    def deliveries(self, vm: Uploads) -> UploadDeliverer:
+        return UploadDeliverer(vm, self.upstream.send, self.clock, random=Random(1), lease=LEASE)
 
     def orphans(self, vm: Uploads, **options) -> Orphans:
         return Orphans(vm, **options)
