--- a/sequoiabridge/assembly/call_path.py
+++ b/sequoiabridge/assembly/call_path.py
@@ -25,7 +25,7 @@
 from ..pipeline.upload_sender import UploadSender
 from ..pipeline.uploads import UploadHandler
 from ..store.upload_delivery import UploadDeliverer
-from ..store.upload_orphans import Orphans
+from ..store.upload_orphans import UploadCleaner
 from ..upstreams.connections import ConnectorLimits, HttpConnector
 from ..upstreams.probes import Prober
 
@@ -51,7 +51,7 @@
         self.callers = CallerServer(self.pipeline, limits, clock, ids.next)
         sender = UploadSender(self.services, self.connector, self.sharing, clock)
         self.deliveries = UploadDeliverer(daemon.uploads, sender.send, clock)
-        self.orphans = Orphans(daemon.uploads)
+        self.orphans = UploadCleaner(daemon.uploads)
 
     def _filters(self, daemon: Daemon) -> list[Filter]:
         """Return what each call goes through, in this order."""
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -22,7 +22,7 @@
 """Seconds without a commit after which an upload that was not accepted is given up."""
 
 
-class Orphans(Component):
+class UploadCleaner(Component):
     """Removes what no upload needs, a bounded batch at a time."""
 
     name = "orphans"
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -19,7 +19,7 @@
 from ...store.upload_delivery import DeliveryOutcome, DeliveryResult, UploadDeliverer
 from ...store.upload_index import MANIFESTS, chunk_name
 from ...store.upload_manifest import Manifest, UploadState
-from ...store.upload_orphans import Orphans
+from ...store.upload_orphans import UploadCleaner
 from ...store.upload_writer import IncomingUpload
 from ...store.uploads import Uploads
 from ...timers import ManualClock
@@ -171,8 +171,8 @@
     def deliveries(self, vm: Uploads) -> UploadDeliverer:
         return UploadDeliverer(vm, self.upstream.send, self.clock, random=Random(1), lease=LEASE)
 
-    def orphans(self, vm: Uploads, **options) -> Orphans:
-        return Orphans(vm, **options)
+    def orphans(self, vm: Uploads, **options) -> UploadCleaner:
+        return UploadCleaner(vm, **options)
 
     def manifests(self) -> list[Manifest]:
         rows = [row for (table, _), row in self.tables.rows.items() if table == MANIFESTS]
