--- a/sequoiabridge/pipeline/uploads.py
+++ b/sequoiabridge/pipeline/uploads.py
@@ -21,7 +21,7 @@
     keyed_id,
 )
 from ..store.upload_table import AcceptanceUnknown, Unsettled
-from ..store.upload_writer import IncomingUpload, Received
+from ..store.upload_writer import IncomingUpload, UploadResult
 from ..store.uploads import Uploads
 from ..upstreams.base import UpstreamRequest
 from .exchange import Answer, Body, BytesBody, Exchange, Request
@@ -190,7 +190,7 @@
     return None if value is None else value.decode("latin-1")
 
 
-def _build_answer(received: Received, is_lookup: bool) -> Answer:
+def _build_answer(received: UploadResult, is_lookup: bool) -> Answer:
     status = UploadStatus(
         received.id, received.state, received.offset, received.digest, received.error
     )
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -96,7 +96,7 @@
         return None if self.length is None else (self.offset or 0) + self.length
 
 
-class Received:
+class UploadResult:
     """What became of a request: `offset` is the next byte that is expected."""
 
     __slots__ = ("id", "state", "offset", "digest", "replayed", "error")
@@ -132,7 +132,7 @@
         last = self.pending[-1] if self.pending else None
         return last.offset + last.length if last else self.held.manifest.size
 
-    async def run(self) -> Received:
+    async def run(self) -> UploadResult:
         """Take the whole body and accept the upload."""
         await compare(self.cutter, self.held.manifest, self.start)
         try:
@@ -143,7 +143,7 @@
                 await self._keep(KEEP_PATIENCE)
             raise
 
-    async def _take_all(self) -> Received:
+    async def _take_all(self) -> UploadResult:
         more = True
         while more:
             more = await self._take_chunk()
@@ -205,7 +205,7 @@
             # Nothing was promised: the caller resumes from what is committed.
             return
 
-    async def _accept(self) -> Received:
+    async def _accept(self) -> UploadResult:
         digest = await self._whole_digest()
         manifest = accepted(
             self.held.manifest,
@@ -223,7 +223,7 @@
             self.held = await self._accepted_before(manifest)
         except Unsettled as error:
             raise AcceptanceUnknown(str(error)) from error
-        return Received(self.held.manifest)
+        return UploadResult(self.held.manifest)
 
     async def _whole_digest(self) -> str:
         """SHA-256 of the whole if it is known cheaply or was announced, else ""."""
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -27,7 +27,7 @@
     taken_over,
 )
 from .upload_table import Held, ManifestTable, Patience
-from .upload_writer import IncomingUpload, Received, Writer, compare
+from .upload_writer import IncomingUpload, UploadResult, Writer, compare
 
 CHUNK_SIZE = 4 << 20
 """Bytes of a chunk, by default."""
@@ -110,7 +110,7 @@
     def _patience(self, deadline: float) -> Patience:
         return Patience(self.clock, self.table.sleep, self.patience_seconds, deadline)
 
-    async def receive(self, incoming: IncomingUpload) -> Received:
+    async def receive(self, incoming: IncomingUpload) -> UploadResult:
         """Start, resume or look up an upload.
 
         Raises:
@@ -157,13 +157,13 @@
         progress = dict(list(self.progress.items())[:20])
         return {"receiving": self.receiving, "stored": progress, "counts": dict(self.counts)}
 
-    async def _receive(self, incoming: IncomingUpload) -> Received:
+    async def _receive(self, incoming: IncomingUpload) -> UploadResult:
         if incoming.upload_id is None:
             held = await self._started(incoming)
         else:
             held = await self._named(incoming)
             if incoming.offset is None:
-                return Received(held.manifest)
+                return UploadResult(held.manifest)
             held = await self._own(held, incoming)
         if held.manifest.state is not UploadState.OPEN:
             return await self._replayed(held.manifest, incoming)
@@ -216,7 +216,7 @@
         own = taken_over(manifest, self.stamp())
         return await self.table.advance(held, own, START_PATIENCE, incoming.deadline)
 
-    async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> Received:
+    async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
         """Answer for an upload that is accepted already, after comparing the content."""
         if not incoming.digest or incoming.digest != manifest.digest:
             cutter = Cutter(incoming.body, self.chunks.sleep)
@@ -226,7 +226,7 @@
                 raise cutter.gone
             if more.data:
                 raise UploadKeyReused(f"the body is longer than upload {manifest.id}; new key")
-        return Received(manifest, replayed=True)
+        return UploadResult(manifest, replayed=True)
 
 
 def check_same(manifest: Manifest, incoming: IncomingUpload) -> None:
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -24,7 +24,7 @@
 from ...store.breaker import CircuitBreaker
 from ...store.claim_rows import ClaimState, KeyStatus, key_status
 from ...store.upload_delivery import ChunkBody, DeliveryOutcome, DeliveryResult, UploadDeliverer
-from ...store.upload_writer import Received, Writer
+from ...store.upload_writer import UploadResult, Writer
 from ...store.uploads import Uploads
 from ...store.versions import Versions
 from ...upstreams.exchange import HttpConnection
@@ -199,7 +199,7 @@
             self.held.manifest, self.pending, await self._whole_digest(), "vm", 0.0, stamp(self)
         )
         await curio.spawn(later, self, daemon=True)
-        return Received(manifest)
+        return UploadResult(manifest)
 
     async def later(self) -> None:
         try:
