--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -110,7 +110,7 @@
         self.replayed = replayed
 
 
-class Writer:
+class UploadWriter:
     """Takes a caller's body into an upload of which it holds the newest epoch.
 
     Holds one chunk in memory. Ends by accepting the upload, or by raising with everything that
@@ -122,7 +122,7 @@
         self.held = held
         self.incoming = incoming
         self.cutter = Cutter(incoming.body, uploads.chunks.sleep)
-        self.start = incoming.offset or 0
+        self.start_offset = incoming.offset or 0
         self.pending: list[Chunk] = []
         self.committed_at = uploads.clock.now()
 
@@ -134,34 +134,34 @@
 
     async def run(self) -> UploadResult:
         """Take the whole body and accept the upload."""
-        await compare(self.cutter, self.held.manifest, self.start)
+        await compare_body(self.cutter, self.held.manifest, self.start_offset)
         try:
-            return await self._take_all()
+            return await self._write_all()
         except curio.CancelledError:
             # The caller left while this task waited for the store.
             async with curio.disable_cancellation():
-                await self._keep(KEEP_PATIENCE)
+                await self._try_commit(KEEP_PATIENCE)
             raise
 
-    async def _take_all(self) -> UploadResult:
+    async def _write_all(self) -> UploadResult:
         more = True
         while more:
-            more = await self._take_chunk()
-            if more and self._commit_due():
+            more = await self._write_chunk()
+            if more and self._is_commit_due():
                 await self._commit(self.uploads.patience_seconds)
         return await self._accept()
 
-    async def _take_chunk(self) -> bool:
+    async def _write_chunk(self) -> bool:
         piece = await self.cutter.take(self.uploads.chunk_size)
         if piece.data:
             self._check_size(len(piece.data))
-            await self._store(piece)
+            await self._store_piece(piece)
         if self.cutter.gone is not None:
-            await self._keep(self.uploads.patience_seconds)
+            await self._try_commit(self.uploads.patience_seconds)
             raise self.cutter.gone
         return len(piece.data) == self.uploads.chunk_size
 
-    async def _store(self, piece: Piece) -> None:
+    async def _store_piece(self, piece: Piece) -> None:
         chunk = Chunk(
             epoch=self.held.manifest.epoch,
             offset=self.offset,
@@ -181,7 +181,7 @@
         if limit and self.offset + more > limit:
             raise UploadTooLarge(f"the upload is over {limit} bytes; split it")
 
-    def _commit_due(self) -> bool:
+    def _is_commit_due(self) -> bool:
         waited = self.uploads.clock.now() - self.committed_at
         return len(self.pending) >= self.uploads.commit_every or (
             bool(self.pending) and waited >= self.uploads.commit_interval
@@ -196,7 +196,7 @@
         self.pending = []
         self.committed_at = self.uploads.clock.now()
 
-    async def _keep(self, patience: float) -> None:
+    async def _try_commit(self, patience: float) -> None:
         if not self.pending:
             return
         try:
@@ -206,7 +206,7 @@
             return
 
     async def _accept(self) -> UploadResult:
-        digest = await self._whole_digest()
+        digest = await self._content_digest()
         manifest = accepted(
             self.held.manifest,
             self.pending,
@@ -220,15 +220,15 @@
                 self.held, manifest, self.uploads.patience_seconds, self.incoming.deadline
             )
         except UploadConflict:
-            self.held = await self._accepted_before(manifest)
+            self.held = await self._read_accepted(manifest)
         except Unsettled as error:
             raise AcceptanceUnknown(str(error)) from error
         return UploadResult(self.held.manifest)
 
-    async def _whole_digest(self) -> str:
+    async def _content_digest(self) -> str:
         """SHA-256 of the whole if it is known cheaply or was announced, else ""."""
         announced = self.incoming.digest
-        digest = self.cutter.whole.hexdigest() if self.start == 0 else ""
+        digest = self.cutter.whole.hexdigest() if self.start_offset == 0 else ""
         if announced and not digest:
             if self.pending:
                 await self._commit(self.uploads.patience_seconds)
@@ -239,7 +239,7 @@
             raise UploadKeyReused(f"the content has digest {digest}, not {announced}; send it anew")
         return digest
 
-    async def _accepted_before(self, manifest: Manifest) -> Held:
+    async def _read_accepted(self, manifest: Manifest) -> Held:
         """Settle a lost answer to the accepting commit after a deliverer's change on top of it."""
         patience, deadline = self.uploads.patience_seconds, self.incoming.deadline
         try:
@@ -255,7 +255,7 @@
         raise UploadConflict(f"upload {manifest.id} was taken over; ask for its offset and resume")
 
 
-async def compare(cutter: Cutter, manifest: Manifest, start: int) -> None:
+async def compare_body(cutter: Cutter, manifest: Manifest, start: int) -> None:
     """Compare the body, which begins at `start`, with the chunks that are committed from there.
 
     Costs no call to the store. Raises `UploadKeyReused` if they differ. `start` must be where a
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -27,7 +27,7 @@
     taken_over,
 )
 from .upload_table import Held, ManifestTable, Patience
-from .upload_writer import IncomingUpload, UploadResult, Writer, compare
+from .upload_writer import IncomingUpload, UploadResult, UploadWriter, compare_body
 
 CHUNK_SIZE = 4 << 20
 """Bytes of a chunk, by default."""
@@ -168,7 +168,7 @@
         if held.manifest.state is not UploadState.OPEN:
             return await self._replayed(held.manifest, incoming)
         try:
-            return await Writer(self, held, incoming).run()
+            return await UploadWriter(self, held, incoming).run()
         finally:
             self.progress.pop(held.manifest.id, None)
 
@@ -220,7 +220,7 @@
         """Answer for an upload that is accepted already, after comparing the content."""
         if not incoming.digest or incoming.digest != manifest.digest:
             cutter = Cutter(incoming.body, self.chunks.sleep)
-            await compare(cutter, manifest, incoming.offset or 0)
+            await compare_body(cutter, manifest, incoming.offset or 0)
             more = await cutter.take(1)
             if cutter.gone is not None:
                 raise cutter.gone
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -24,7 +24,7 @@
 from ...store.breaker import CircuitBreaker
 from ...store.claim_rows import ClaimState, KeyStatus, key_status
 from ...store.upload_delivery import ChunkBody, DeliveryOutcome, DeliveryResult, UploadDeliverer
-from ...store.upload_writer import UploadResult, Writer
+from ...store.upload_writer import UploadResult, UploadWriter
 from ...store.uploads import Uploads
 from ...store.versions import Versions
 from ...upstreams.exchange import HttpConnection
@@ -192,11 +192,11 @@
 
 
 def accept_before_commit() -> list[Patch]:
-    accept = Writer._accept
+    accept = UploadWriter._accept
 
     async def eager(self):
         manifest = upload_writer.accepted(
-            self.held.manifest, self.pending, await self._whole_digest(), "vm", 0.0, stamp(self)
+            self.held.manifest, self.pending, await self._content_digest(), "vm", 0.0, stamp(self)
         )
         await curio.spawn(later, self, daemon=True)
         return UploadResult(manifest)
@@ -210,21 +210,21 @@
     def stamp(self):
         return self.uploads.stamp()
 
-    return [(Writer, "_accept", eager)]
+    return [(UploadWriter, "_accept", eager)]
 
 
 def accept_half() -> list[Patch]:
-    async def take_chunk(self) -> bool:
+    async def write_chunk(self) -> bool:
         piece = await self.cutter.take(self.uploads.chunk_size)
         if piece.data:
-            await self._store(piece)
+            await self._store_piece(piece)
         return len(piece.data) == self.uploads.chunk_size
 
     def any_length(manifest, *more):
         return accepted(msgspec.structs.replace(manifest, length=None), *more)
 
     accepted = upload_writer.accepted
-    return [(Writer, "_take_chunk", take_chunk), (upload_writer, "accepted", any_length)]
+    return [(UploadWriter, "_write_chunk", write_chunk), (upload_writer, "accepted", any_length)]
 
 
 def deliver_half() -> list[Patch]:
