--- a/sequoiabridge/pipeline/uploads.py
+++ b/sequoiabridge/pipeline/uploads.py
@@ -20,7 +20,7 @@
     UploadUnknown,
     keyed_id,
 )
-from ..store.upload_table import AcceptanceUnknown, Unsettled
+from ..store.upload_table import AcceptanceUnknown, CommitUnknown
 from ..store.upload_writer import IncomingUpload, UploadResult
 from ..store.uploads import Uploads
 from ..upstreams.base import UpstreamRequest
@@ -48,7 +48,7 @@
 
 REFUSALS: dict[type[SequoiaError], tuple[int, Reason]] = {
     AcceptanceUnknown: (503, Reason.STORE_DOWN),
-    Unsettled: (503, Reason.STORE_DOWN),
+    CommitUnknown: (503, Reason.STORE_DOWN),
     StoreUnavailable: (503, Reason.STORE_DOWN),
     UploadConflict: (409, Reason.UPLOAD_CONFLICT),
     UploadKeyReused: (422, Reason.KEY_REUSED),
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -16,7 +16,7 @@
 CALL_TIMEOUT = 5.0
 """Seconds for one call to the table service."""
 
-LATE_CALL = 1.0
+LATE_CALL_TIMEOUT = 1.0
 """Seconds for a call that is made close to a caller's deadline, or after it."""
 
 FIRST_PAUSE = 0.05
@@ -26,7 +26,7 @@
 """Seconds between two tries at most."""
 
 
-class Unsettled(StoreUnavailable):
+class CommitUnknown(StoreUnavailable):
     """A commit got no answer in time: it may have taken effect or take effect later."""
 
 
@@ -64,7 +64,7 @@
 
     def timeout(self, most: float) -> float:
         """Return the seconds that the next call may take, at most `most`."""
-        return min(most, max(LATE_CALL, self.deadline - self.clock.now()))
+        return min(most, max(LATE_CALL_TIMEOUT, self.deadline - self.clock.now()))
 
     async def wait(self) -> bool:
         """Pause; return False, without a pause, if the time is up."""
@@ -159,7 +159,9 @@
         if _wrote(row, after):
             return row
         if _unchanged(row, before):
-            raise Unsettled(f"upload {after.id}: a commit got no answer; look the upload up later")
+            raise CommitUnknown(
+                f"upload {after.id}: a commit got no answer; look the upload up later"
+            )
         raise _conflict(after)
 
     async def _try(
@@ -179,7 +181,7 @@
                     return _held(row)
                 case Result(error=error):
                     if not await waiting.wait():
-                        raise Unsettled(error.message) if lost else _unavailable(error)
+                        raise CommitUnknown(error.message) if lost else _unavailable(error)
 
 
 def _wrote(row: Held | None, after: Manifest) -> bool:
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -20,7 +20,7 @@
     accepted,
     extended,
 )
-from .upload_table import AcceptanceUnknown, Held, Unsettled
+from .upload_table import AcceptanceUnknown, CommitUnknown, Held
 
 if TYPE_CHECKING:
     from .uploads import Uploads
@@ -221,7 +221,7 @@
             )
         except UploadConflict:
             self.held = await self._read_accepted(manifest)
-        except Unsettled as error:
+        except CommitUnknown as error:
             raise AcceptanceUnknown(str(error)) from error
         return UploadResult(self.held.manifest)
 
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -15,7 +15,7 @@
 from ...pipeline.uploads import UploadHandler, delivery_request, delivery_result
 from ...store.upload_delivery import DeliveryOutcome
 from ...store.upload_manifest import UploadState
-from ...store.upload_table import LATE_CALL
+from ...store.upload_table import LATE_CALL_TIMEOUT
 from ..standins.uploads import Bytes, World, finish, incoming
 from .fakes import Behaviour, DispatchScene
 
@@ -116,7 +116,7 @@
     open_end = when == "accept" and fault != "down"
     assert caught.value.outcome is (Outcome.UNKNOWN if open_end else Outcome.NOT_RUN)
     assert caught.value.retry_after > 0
-    assert world.clock.now() - started < WINDOW + 4 * LATE_CALL
+    assert world.clock.now() - started < WINDOW + 4 * LATE_CALL_TIMEOUT
 
 
 def test_an_acceptance_that_cannot_be_read_back_is_not_called_not_run():
