--- a/sequoiabridge/benchmarks/upload.py
+++ b/sequoiabridge/benchmarks/upload.py
@@ -16,7 +16,7 @@
 
 import defopt
 
-from ..store.uploads import CHUNK_SIZE, COMMIT_EVERY
+from ..store.uploads import CHUNK_SIZE, CHUNKS_PER_COMMIT
 from ..tests.standins.upstream_record import read_record
 from .processes import Process, Trial
 from .scene import PLATFORM
@@ -212,7 +212,7 @@
     megabytes: int = 100,
     turns: int = 3,
     chunk: int = CHUNK_SIZE,
-    commit_every: int = COMMIT_EVERY,
+    commit_every: int = CHUNKS_PER_COMMIT,
 ) -> None:
     """Measure both ways of an upload.
 
--- a/sequoiabridge/benchmarks/upload_vm.py
+++ b/sequoiabridge/benchmarks/upload_vm.py
@@ -120,7 +120,7 @@
         tables, objects = PlatformTables(platform, clock), PlatformObjects(platform, clock)
         store = StoreClient(tables, objects, clock, lambda: 1, FLEET_WRITES, FLEET_READS)
         store.subscribe(timers)
-        options = {"chunk_size": int(chunk), "commit_every": int(commit_every)}
+        options = {"chunk_size": int(chunk), "chunks_per_commit": int(commit_every)}
         uploads = Uploads(store, store.objects, clock, "vm-1", **options)
         handler = Spooling(uploads, connector, upstream)
         timers.every(DELIVER_EVERY, "deliveries", handler.step)
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -183,7 +183,7 @@
 
     def _is_commit_due(self) -> bool:
         waited = self.uploads.clock.now() - self.committed_at
-        return len(self.pending) >= self.uploads.commit_every or (
+        return len(self.pending) >= self.uploads.chunks_per_commit or (
             bool(self.pending) and waited >= self.uploads.commit_interval
         )
 
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -32,7 +32,7 @@
 CHUNK_SIZE = 4 << 20
 """Bytes of a chunk, by default."""
 
-COMMIT_EVERY = 4
+CHUNKS_PER_COMMIT = 4
 """Chunks that are committed together, by default."""
 
 COMMIT_INTERVAL = 10.0
@@ -77,7 +77,7 @@
         vm_name: str,
         *,
         chunk_size: int = CHUNK_SIZE,
-        commit_every: int = COMMIT_EVERY,
+        chunks_per_commit: int = CHUNKS_PER_COMMIT,
         commit_interval: float = COMMIT_INTERVAL,
         patience: float = PATIENCE,
         head_start: float = HEAD_START,
@@ -87,7 +87,7 @@
         self.clock = clock
         self.vm_name = vm_name
         self.chunk_size = chunk_size
-        self.commit_every = commit_every
+        self.chunks_per_commit = chunks_per_commit
         self.commit_interval = commit_interval
         self.patience_seconds = patience
         self.head_start = head_start
--- a/sequoiabridge/tests/matrix/vm.py
+++ b/sequoiabridge/tests/matrix/vm.py
@@ -54,7 +54,7 @@
         self.world = world
         super().__init__(settings, world.clock)
         self.uploads.chunk_size = CHUNK
-        self.uploads.commit_every = 2
+        self.uploads.chunks_per_commit = 2
         pipeline = self.pipeline
         pipeline.filters = with_steps(pipeline.filters, world.steps, self.vm)
         pipeline.dispatch = StepDispatch(pipeline.dispatch, world.steps, self.vm)
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -94,7 +94,7 @@
     world.tables.land_late()
     assert world.manifests()[0].state is UploadState.OPEN
     world.tables.faults.late = 0
-    vm = world.vm("a", commit_every=99, patience=1.0)
+    vm = world.vm("a", chunks_per_commit=99, patience=1.0)
     vm.chunks.put = lambda *_: silent(world)
     lost = refused(vm)
     assert (lost.outcome, lost.reason) == (Outcome.UNKNOWN, Reason.STORE_DOWN)
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("when", ["chunk", "accept"])
 def test_a_store_that_fails_in_between_is_told_by_the_deadline(fault, value, when):
     world = World()
-    vm = world.vm("a", commit_every=99)
+    vm = world.vm("a", chunks_per_commit=99)
     started = world.clock.now()
     task = handle_upload(vm, Bytes(DATA), len(DATA), deadline=started + WINDOW)
     while len(world.objects.objects) < (2 if when == "chunk" else 5):
@@ -121,7 +121,7 @@
 
 def test_an_acceptance_that_cannot_be_read_back_is_not_called_not_run():
     world = World()
-    vm = world.vm("a", commit_every=99)
+    vm = world.vm("a", chunks_per_commit=99)
     task = handle_upload(vm, Bytes(DATA), len(DATA), deadline=world.clock.now() + WINDOW)
     while len(world.objects.objects) < 5:
         task.send(None)
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -157,7 +157,7 @@
         await pause()
 
     def vm(self, name: str, **options) -> Uploads:
-        settings = {"chunk_size": CHUNK, "commit_every": 2, **options}
+        settings = {"chunk_size": CHUNK, "chunks_per_commit": 2, **options}
         return Uploads(
             GatedTables(self.tables),
             GatedObjects(self.objects),
--- a/sequoiabridge/tests/store/test_uploads.py
+++ b/sequoiabridge/tests/store/test_uploads.py
@@ -102,7 +102,7 @@
 
 def test_an_accepting_commit_that_stays_unsettled_is_not_called_not_run():
     world = World()
-    task = receive(world.vm("a", patience=1.0, commit_every=99))
+    task = receive(world.vm("a", patience=1.0, chunks_per_commit=99))
     while len(world.objects.objects) < 6:
         task.send(None)
     world.tables.faults.late = 99
@@ -124,13 +124,13 @@
     assert world.tables.rows == {} and vm.idle
 
 
-@pytest.mark.parametrize("commit_every", [2, 99])
-def test_a_paused_writer_wakes_at_each_step_of_the_next_one(commit_every):
+@pytest.mark.parametrize("chunks_per_commit", [2, 99])
+def test_a_paused_writer_wakes_at_each_step_of_the_next_one(chunks_per_commit):
     steps, fenced, last = 0, 0, False
     while not last:
         world = World()
-        paused = receive(world.vm("a", commit_every=commit_every), length=None)
-        while len(world.objects.objects) < (3 if commit_every == 2 else 6):
+        paused = receive(world.vm("a", chunks_per_commit=chunks_per_commit), length=None)
+        while len(world.objects.objects) < (3 if chunks_per_commit == 2 else 6):
             paused.send(None)
         new = receive(world.vm("b"), length=None)
         last = not driven(new, steps)
@@ -140,7 +140,7 @@
             fenced += 1
             finish(world.orphans(world.vm("c")).step(world.clock.wall()))
             stale = [name for name in world.objects.objects if "/00000000000000000001/" in name]
-            assert len(stale) == (2 if commit_every == 2 else 0)
+            assert len(stale) == (2 if chunks_per_commit == 2 else 0)
         if not last:
             finish(new)
         world.check(CONTENTS)
@@ -162,7 +162,7 @@
 
 def test_a_lost_answer_to_the_accepting_commit_is_settled_after_the_delivery():
     world = World()
-    task = receive(world.vm("a", commit_every=99))
+    task = receive(world.vm("a", chunks_per_commit=99))
     while len(world.objects.objects) < 6:
         task.send(None)
     world.tables.faults.lose_answers = 1
@@ -363,7 +363,7 @@
 
 def test_a_caller_that_leaves_while_the_store_is_slow_finds_its_chunks_again():
     world = World()
-    vm = world.vm("a", commit_every=99)
+    vm = world.vm("a", chunks_per_commit=99)
 
     async def left():
         task = await curio.spawn(receive(vm))
