--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -17,7 +17,7 @@
 from ..pipeline.exchange import Body
 from ..timers import Clock
 from .upload_chunks import UploadCut
-from .upload_index import WORK, UploadEntry, chunk_name
+from .upload_index import WORK_PREFIX, UploadEntry, chunk_name
 from .upload_manifest import (
     WAITING,
     Manifest,
@@ -219,7 +219,7 @@
         }
 
     async def _due(self, now: float) -> list[str]:
-        rows = await self.uploads.table.entries(WORK, self.after, PAGE)
+        rows = await self.uploads.table.entries(WORK_PREFIX, self.after, PAGE)
         self.after = rows[-1][0] if len(rows) == PAGE else ""
         due = [e.id for _, e in rows if self._wanted(e, now) and e.id not in self.progress]
         self.random.shuffle(due)
--- a/sequoiabridge/store/upload_index.py
+++ b/sequoiabridge/store/upload_index.py
@@ -9,24 +9,24 @@
 from .base import Write
 from .upload_manifest import Chunk, Manifest, UploadState
 
-MANIFESTS = "uploads"
+MANIFEST_TABLE = "uploads"
 """Table of manifests by id."""
 
-INDEX = "uploads-index"
+INDEX_TABLE = "uploads-index"
 """Table of index entries by prefix and id."""
 
-OPEN = "open/"
-WORK = "work/"
-HELD = "held/"
-DONE = "done/"
+OPEN_PREFIX = "open/"
+WORK_PREFIX = "work/"
+HELD_PREFIX = "held/"
+DONE_PREFIX = "done/"
 
 PREFIXES = {
-    UploadState.OPEN: OPEN,
-    UploadState.ACCEPTED: WORK,
-    UploadState.DELIVERING: WORK,
-    UploadState.FAILED: HELD,
-    UploadState.DELIVERED: DONE,
-    UploadState.ABANDONED: DONE,
+    UploadState.OPEN: OPEN_PREFIX,
+    UploadState.ACCEPTED: WORK_PREFIX,
+    UploadState.DELIVERING: WORK_PREFIX,
+    UploadState.FAILED: HELD_PREFIX,
+    UploadState.DELIVERED: DONE_PREFIX,
+    UploadState.ABANDONED: DONE_PREFIX,
 }
 
 CHUNK_PREFIX = "uploads/"
@@ -83,18 +83,18 @@
 
     The index entry of an open upload is not rewritten for each commit of chunks.
     """
-    rows = [Write(MANIFESTS, after.id, msgspec.msgpack.encode(after))]
+    rows = [Write(MANIFEST_TABLE, after.id, msgspec.msgpack.encode(after))]
     key = index_key(after)
     if before is not None and index_key(before) != key:
-        rows.append(Write(INDEX, index_key(before), None))
+        rows.append(Write(INDEX_TABLE, index_key(before), None))
     if before is None or index_key(before) != key or after.state is not UploadState.OPEN:
-        rows.append(Write(INDEX, key, msgspec.msgpack.encode(entry_of(after))))
+        rows.append(Write(INDEX_TABLE, key, msgspec.msgpack.encode(entry_of(after))))
     return rows
 
 
 def removal(manifest: Manifest) -> list[Write]:
     """Return the writes that remove a manifest and its index entry."""
-    return [Write(MANIFESTS, manifest.id, None), Write(INDEX, index_key(manifest), None)]
+    return [Write(MANIFEST_TABLE, manifest.id, None), Write(INDEX_TABLE, index_key(manifest), None)]
 
 
 def chunk_name(upload: str, chunk: Chunk) -> str:
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -9,7 +9,7 @@
 from ..exceptions import StoreUnavailable
 from ..logs import get_log
 from .upload_delivery import RETENTION
-from .upload_index import CHUNK_PREFIX, DONE, OPEN, UploadEntry, is_dead, owner_of
+from .upload_index import CHUNK_PREFIX, DONE_PREFIX, OPEN_PREFIX, UploadEntry, is_dead, owner_of
 from .upload_manifest import Manifest, UploadConflict, UploadState, abandoned
 from .uploads import Uploads
 
@@ -39,7 +39,7 @@
         self.batch = batch
         self.abandon_after = abandon_after
         self.retention = retention
-        self.cursors = {OPEN: "", DONE: "", CHUNK_PREFIX: ""}
+        self.cursors = {OPEN_PREFIX: "", DONE_PREFIX: "", CHUNK_PREFIX: ""}
         self.removed = 0
         self.abandoned = 0
 
@@ -57,7 +57,7 @@
         return {"chunks_removed": self.removed, "uploads_abandoned": self.abandoned}
 
     async def _abandon(self, now: float) -> None:
-        for entry in await self._entries(OPEN):
+        for entry in await self._entries(OPEN_PREFIX):
             if entry.created + self.abandon_after > now:
                 continue
             held = await self.uploads.table.read(entry.id)
@@ -75,7 +75,7 @@
         return manifest.state is UploadState.OPEN and manifest.updated + self.abandon_after <= now
 
     async def _forget(self, now: float) -> None:
-        for entry in await self._entries(DONE):
+        for entry in await self._entries(DONE_PREFIX):
             if entry.due > now:
                 continue
             held = await self.uploads.table.read(entry.id)
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -10,7 +10,7 @@
 from ..exceptions import StoreUnavailable
 from ..timers import Clock
 from .base import Condition, Row, StoreError, StoreErrorKind, TableService, Write
-from .upload_index import INDEX, MANIFESTS, UploadEntry, removal, writes
+from .upload_index import INDEX_TABLE, MANIFEST_TABLE, UploadEntry, removal, writes
 from .upload_manifest import Manifest, UploadConflict
 
 CALL_TIMEOUT = 5.0
@@ -93,7 +93,7 @@
         """Return an upload's manifest, or None if there is none."""
         waiting = Patience(self.clock, self.sleep, patience, deadline)
         while True:
-            match await self.tables.read(MANIFESTS, upload, waiting.timeout(CALL_TIMEOUT)):
+            match await self.tables.read(MANIFEST_TABLE, upload, waiting.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
                     return _held(row)
                 case Result(error=error):
@@ -116,13 +116,13 @@
 
     async def remove(self, held: Held) -> bool:
         """Remove a manifest if it is still as held; return whether it is known to be gone."""
-        conditions = [Condition(MANIFESTS, held.manifest.id, held.version)]
+        conditions = [Condition(MANIFEST_TABLE, held.manifest.id, held.version)]
         result = await self.tables.transact(conditions, removal(held.manifest), CALL_TIMEOUT)
         return result.is_ok()
 
     async def entries(self, prefix: str, after: str, limit: int) -> list[tuple[str, UploadEntry]]:
         """Return up to `limit` index entries in order with their keys, which are over `after`."""
-        match await self.tables.scan(INDEX, prefix, after, limit, CALL_TIMEOUT):
+        match await self.tables.scan(INDEX_TABLE, prefix, after, limit, CALL_TIMEOUT):
             case Result(tag="ok", ok=rows):
                 return [(r.key, msgspec.msgpack.decode(r.value, type=UploadEntry)) for r in rows]
             case Result(error=error):
@@ -167,7 +167,7 @@
     async def _try(
         self, version: int, after: Manifest, rows: list[Write], waiting: Patience
     ) -> StoreError | None:
-        conditions = [Condition(MANIFESTS, after.id, version)]
+        conditions = [Condition(MANIFEST_TABLE, after.id, version)]
         match await self.tables.transact(conditions, rows, waiting.timeout(CALL_TIMEOUT)):
             case Result(tag="ok"):
                 return None
@@ -176,7 +176,7 @@
 
     async def _settled(self, after: Manifest, waiting: Patience, lost: bool) -> Held | None:
         while True:
-            match await self.tables.read(MANIFESTS, after.id, waiting.timeout(CALL_TIMEOUT)):
+            match await self.tables.read(MANIFEST_TABLE, after.id, waiting.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
                     return _held(row)
                 case Result(error=error):
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -14,7 +14,7 @@
 from ..timers import Clock
 from .base import ObjectStore, TableService
 from .upload_chunks import ChunkStore, Cutter
-from .upload_index import HELD, OPEN, WORK, UploadEntry
+from .upload_index import HELD_PREFIX, OPEN_PREFIX, WORK_PREFIX, UploadEntry
 from .upload_manifest import (
     Manifest,
     Stamp,
@@ -132,7 +132,7 @@
     async def listed(self, limit: int) -> list[UploadEntry]:
         """Return up to `limit` uploads that are not delivered: held, waiting, then open."""
         found: list[UploadEntry] = []
-        for prefix in (HELD, WORK, OPEN):
+        for prefix in (HELD_PREFIX, WORK_PREFIX, OPEN_PREFIX):
             rows = await self.table.entries(prefix, "", limit - len(found))
             found += [entry for _, entry in rows]
             if len(found) >= limit:
--- a/sequoiabridge/tests/matrix/scripts.py
+++ b/sequoiabridge/tests/matrix/scripts.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ...benchmarks.oracle import Kind, Promise, Told, Violation
-from ...store.upload_index import MANIFESTS
+from ...store.upload_index import MANIFEST_TABLE
 from ...store.upload_manifest import Manifest, UploadState
 from .faults import LEAVING_TRAFFIC
 from .steps import Group, Step
@@ -195,7 +195,7 @@
 async def release_held(world: World) -> None:
     """Do as an operator does who sees that uploads are held because upstreams died."""
     living = [vm for vm in world.vms.values() if vm.up and vm.ready]
-    rows = [row.value for (table, _), row in world.tables.rows.items() if table == MANIFESTS]
+    rows = [row.value for (table, _), row in world.tables.rows.items() if table == MANIFEST_TABLE]
     for manifest in [msgspec.msgpack.decode(row, type=Manifest) for row in rows]:
         if living and manifest.state is UploadState.FAILED and manifest.crashed:
             world.crashing = ""
--- a/sequoiabridge/tests/matrix/world.py
+++ b/sequoiabridge/tests/matrix/world.py
@@ -19,7 +19,7 @@
 from ...pipeline import probing
 from ...store import upload_delivery
 from ...store.claim_rows import CLAIM_DECODER, CLAIMS_TABLE, ClaimState
-from ...store.upload_index import MANIFESTS
+from ...store.upload_index import MANIFEST_TABLE
 from ...store.upload_manifest import Manifest, UploadState
 from ...store.version_rows import CHANGE_PREFIX, change_key
 from ...store.version_rows import CONFIGURATION_TABLE as VERSIONS
@@ -92,7 +92,7 @@
             return step, step
         if write.table == VERSIONS and write.key.startswith(CHANGE_PREFIX):
             return Step.PROPOSED, Step.COMMITTED
-        if write.table == MANIFESTS:
+        if write.table == MANIFEST_TABLE:
             manifest = msgspec.msgpack.decode(write.value, type=Manifest)
             if manifest.state is UploadState.ACCEPTED and not manifest.attempts:
                 return Step.COMMIT, Step.COMMIT
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -17,7 +17,7 @@
 from ...pipeline.exchange import Body
 from ...store.base import ObjectStore, TableService
 from ...store.upload_delivery import DeliveryOutcome, DeliveryResult, UploadDeliverer
-from ...store.upload_index import MANIFESTS, chunk_name
+from ...store.upload_index import MANIFEST_TABLE, chunk_name
 from ...store.upload_manifest import Manifest, UploadState
 from ...store.upload_orphans import UploadCleaner
 from ...store.upload_writer import IncomingUpload
@@ -175,7 +175,7 @@
         return UploadCleaner(vm, **options)
 
     def manifests(self) -> list[Manifest]:
-        rows = [row for (table, _), row in self.tables.rows.items() if table == MANIFESTS]
+        rows = [row for (table, _), row in self.tables.rows.items() if table == MANIFEST_TABLE]
         return [msgspec.msgpack.decode(row.value, type=Manifest) for row in rows]
 
     def stored(self, manifest: Manifest) -> bytes:
