--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -91,7 +91,7 @@
 
     async def _held_upload(self, name: str) -> Result[str, SequoiaError]:
         try:
-            manifest = await self.uploads.found(name)
+            manifest = await self.uploads.get_manifest(name)
         except StoreUnavailable as error:
             return Error(error)
         if manifest is None:
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -228,7 +228,7 @@
 
     async def _uploads(self) -> Rows:
         try:
-            entries = await self.uploads.listed(LISTED)
+            entries = await self.uploads.list_undelivered(LISTED)
         except StoreUnavailable as error:
             return Error(unread("uploads", str(error)))
         now = self.clock.wall()
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -92,7 +92,7 @@
                 continue
             upload, epoch = owner
             if upload not in manifests:
-                manifests[upload] = await self.uploads.found(upload)
+                manifests[upload] = await self.uploads.get_manifest(upload)
             if is_dead(name, epoch, manifests[upload]) and await self.uploads.chunks.discard(name):
                 self.removed += 1
 
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -129,7 +129,7 @@
         self.counts["replayed" if received.replayed else received.state.value] += 1
         return received
 
-    async def listed(self, limit: int) -> list[UploadEntry]:
+    async def list_undelivered(self, limit: int) -> list[UploadEntry]:
         """Return up to `limit` uploads that are not delivered: held, waiting, then open."""
         found: list[UploadEntry] = []
         for prefix in (HELD_PREFIX, WORK_PREFIX, OPEN_PREFIX):
@@ -139,7 +139,7 @@
                 break
         return found
 
-    async def found(self, upload: str) -> Manifest | None:
+    async def get_manifest(self, upload: str) -> Manifest | None:
         """Return one upload in full, or None."""
         held = await self.table.read(upload)
         return held.manifest if held else None
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -216,7 +216,7 @@
     world = World()
     upload, reached = delivered_by_turns(world, Behaviour.CRASH)
     assert len(reached) == 2 == len(set(reached))
-    row = upload_row(finish(world.vm("e").listed(1))[0], 0.0)
+    row = upload_row(finish(world.vm("e").list_undelivered(1))[0], 0.0)
     assert (row.state, len(row.crashed.split(", "))) == ("failed", 2)
     assert all(name in row.error for name in row.crashed.split(", "))
     world.check({upload: DATA})
--- a/sequoiabridge/tests/store/test_uploads.py
+++ b/sequoiabridge/tests/store/test_uploads.py
@@ -260,7 +260,7 @@
     finish(vm.chunks.discard(name))
     finish(world.objects.put(name, b"XXXX", 1.0))
     finish(world.deliveries(vm).deliver(ID))
-    waiting = finish(vm.listed(10))[0]
+    waiting = finish(vm.list_undelivered(10))[0]
     assert world.upstream.kept == {} and waiting.state is UploadState.ACCEPTED
     assert "damaged" in waiting.error
 
@@ -283,15 +283,15 @@
     finish(receive(vm))
     world.upstream.down = True
     finish(world.deliveries(vm).deliver(ID))
-    waiting = finish(vm.listed(10))[0]
+    waiting = finish(vm.list_undelivered(10))[0]
     assert waiting.state is UploadState.ACCEPTED and waiting.error == "connection refused"
     assert waiting.due > world.clock.wall()
     world.upstream.down, world.upstream.lose_answers = False, 1
     world.clock.advance(100.0)
     finish(world.deliveries(vm).deliver(ID))
-    assert finish(vm.listed(10))[0].attempts == 2
+    assert finish(vm.list_undelivered(10))[0].attempts == 2
     world.recover()
-    assert world.upstream.kept == CONTENTS and finish(vm.listed(10)) == []
+    assert world.upstream.kept == CONTENTS and finish(vm.list_undelivered(10)) == []
 
 
 def test_a_refused_upload_is_held_with_its_content_until_released():
@@ -302,7 +302,7 @@
     finish(world.deliveries(vm).deliver(ID))
     world.clock.advance(1e7)
     finish(world.orphans(vm).step(world.clock.wall()))
-    assert finish(vm.listed(10))[0].state is UploadState.FAILED
+    assert finish(vm.list_undelivered(10))[0].state is UploadState.FAILED
     finish(vm.release(ID))
     world.recover()
     assert world.upstream.kept == CONTENTS
