--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -203,7 +203,7 @@
     async def renew(self, held: Held, digest: str) -> Held:
         """Keep the lease, when a third of it has passed or there is a new digest to record."""
         manifest = held.manifest
-        stamp = self.uploads.stamp()
+        stamp = self.uploads.new_stamp()
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
             return held
         sent = self.progress.get(manifest.id, 0)
@@ -231,7 +231,7 @@
 
     async def _claim(self, upload: str) -> Held | None:
         held = await self.uploads.table.read(upload)
-        stamp = self.uploads.stamp()
+        stamp = self.uploads.new_stamp()
         if held is None or not claimable(held.manifest, self.uploads.vm_name, stamp.now):
             return None
         return await self._advance(
@@ -266,7 +266,7 @@
             held = await self.uploads.table.read(upload, self.uploads.patience_seconds)
             if held is None or held.manifest.state is UploadState.DELIVERED:
                 return
-            change = delivered(held.manifest, self.retention, self.uploads.stamp())
+            change = delivered(held.manifest, self.retention, self.uploads.new_stamp())
             try:
                 await self._advance(held, change)
                 break
@@ -280,7 +280,7 @@
 
     async def _give_back(self, held: Held, sent: DeliveryResult) -> None:
         self.postponed += 1
-        manifest, stamp = held.manifest, self.uploads.stamp()
+        manifest, stamp = held.manifest, self.uploads.new_stamp()
         log.warning("Upload %s is not delivered: %s.", manifest.id, sent.error)
         if sent.outcome is DeliveryOutcome.CRASHED:
             await self._record_crash(held, sent)
@@ -296,7 +296,7 @@
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
         uploads, upload = self.uploads, held.manifest.id
         while held is not None and held.manifest.state in WAITING:
-            stamp, delay = uploads.stamp(), backoff(held.manifest.attempts, self.random)
+            stamp, delay = uploads.new_stamp(), backoff(held.manifest.attempts, self.random)
             args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
             try:
                 await self._advance(held, crashed(held.manifest, *args))
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -63,7 +63,7 @@
             held = await self.uploads.table.read(entry.id)
             if held is None or not self._is_stale(held.manifest, now):
                 continue
-            change = abandoned(held.manifest, self.retention, self.uploads.stamp())
+            change = abandoned(held.manifest, self.retention, self.uploads.new_stamp())
             try:
                 await self.uploads.table.advance(held, change)
             except UploadConflict:
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -167,7 +167,7 @@
             offset=self.offset,
             length=len(piece.data),
             digest=piece.digest,
-            nonce=self.uploads.token(),
+            nonce=self.uploads.new_token(),
         )
         await self.uploads.chunks.put(
             self.held.manifest.id, chunk, piece.data, self.incoming.deadline
@@ -188,7 +188,7 @@
         )
 
     async def _commit(self, patience: float) -> None:
-        stamp = self.uploads.stamp()
+        stamp = self.uploads.new_stamp()
         manifest = extended(self.held.manifest, self.pending, stamp)
         self.held = await self.uploads.table.advance(
             self.held, manifest, patience, self.incoming.deadline
@@ -213,7 +213,7 @@
             digest,
             self.uploads.vm_name,
             self.uploads.head_start,
-            self.uploads.stamp(),
+            self.uploads.new_stamp(),
         )
         try:
             self.held = await self.uploads.table.advance(
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -55,7 +55,7 @@
 """Random bytes in tokens, in names of chunks and in generated ids."""
 
 
-def _token() -> str:
+def _random_token() -> str:
     return secrets.token_hex(NONCE_BYTES)
 
 
@@ -81,7 +81,7 @@
         commit_interval: float = COMMIT_INTERVAL,
         patience: float = PATIENCE,
         head_start: float = HEAD_START,
-        token: Callable[[], str] = _token,
+        new_token: Callable[[], str] = _random_token,
         sleep=curio.sleep,
     ):
         self.clock = clock
@@ -91,7 +91,7 @@
         self.commit_interval = commit_interval
         self.patience_seconds = patience
         self.head_start = head_start
-        self.token = token
+        self.new_token = new_token
         self.table = ManifestTable(tables, clock, sleep)
         self.chunks = ChunkStore(objects, self._patience, sleep)
         self.receiving = 0
@@ -103,9 +103,9 @@
         """Whether no upload is being received: a planned stop waits for it."""
         return self.receiving == 0
 
-    def stamp(self) -> Stamp:
+    def new_stamp(self) -> Stamp:
         """Return the time and a fresh token for one change."""
-        return Stamp(self.clock.wall(), self.token())
+        return Stamp(self.clock.wall(), self.new_token())
 
     def _patience(self, deadline: float) -> Patience:
         return Patience(self.clock, self.table.sleep, self.patience_seconds, deadline)
@@ -149,7 +149,7 @@
         held = await self.table.read(upload)
         if held is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
-        manifest = released(held.manifest, self.stamp())
+        manifest = released(held.manifest, self.new_stamp())
         return (await self.table.advance(held, manifest, START_PATIENCE)).manifest
 
     def dump(self) -> dict:
@@ -183,9 +183,9 @@
         return await self._own(held, incoming)
 
     def _new_manifest(self, incoming: IncomingUpload) -> Manifest:
-        stamp = self.stamp()
+        stamp = self.new_stamp()
         key = incoming.key
-        upload = keyed_id(incoming.service, incoming.caller, key) if key else self.token()
+        upload = keyed_id(incoming.service, incoming.caller, key) if key else self.new_token()
         return Manifest(
             id=upload,
             service=incoming.service,
@@ -213,7 +213,7 @@
         check_same(manifest, incoming)
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
             return held
-        own = taken_over(manifest, self.stamp())
+        own = taken_over(manifest, self.new_stamp())
         return await self.table.advance(held, own, START_PATIENCE, incoming.deadline)
 
     async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -208,7 +208,7 @@
             return
 
     def stamp(self):
-        return self.uploads.stamp()
+        return self.uploads.new_stamp()
 
     return [(UploadWriter, "_accept", eager)]
 
--- a/sequoiabridge/tests/standins/uploads.py
+++ b/sequoiabridge/tests/standins/uploads.py
@@ -163,7 +163,7 @@
             GatedObjects(self.objects),
             self.clock,
             name,
-            token=lambda: f"{name}x{next(self.numbers)}",
+            new_token=lambda: f"{name}x{next(self.numbers)}",
             sleep=self.sleep,
             **settings,
         )
