--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -32,7 +32,7 @@
     postponed,
     renewed,
 )
-from .upload_table import Held
+from .upload_table import VersionedManifest
 from .uploads import Uploads
 
 log = get_log("uploads")
@@ -89,15 +89,15 @@
     Renews the lease as it goes and ends with `UploadCut` when the lease is someone else's.
     """
 
-    __slots__ = ("deliverer", "held", "next", "chunk", "at", "complete")
+    __slots__ = ("deliverer", "current", "next", "chunk", "at", "complete")
 
-    def __init__(self, deliverer: "UploadDeliverer", held: Held):
+    def __init__(self, deliverer: "UploadDeliverer", current: VersionedManifest):
         self.deliverer = deliverer
-        self.held = held
+        self.current = current
         self.next = 0
         self.chunk = b""
         self.at = 0
-        self.complete = not held.manifest.chunks
+        self.complete = not current.manifest.chunks
 
     async def read(self) -> bytes:
         await self.renew()
@@ -108,7 +108,7 @@
         return piece
 
     async def _next_chunk(self) -> bool:
-        manifest = self.held.manifest
+        manifest = self.current.manifest
         # Let go of the old chunk first: one is held at a time.
         self.chunk, self.at = b"", 0
         if self.next == len(manifest.chunks):
@@ -123,7 +123,7 @@
     async def renew(self) -> None:
         """Keep the lease if it is time to. Raises `UploadCut` if it is someone else's."""
         try:
-            self.held = await self.deliverer.renew(self.held, self.held.manifest.digest)
+            self.current = await self.deliverer.renew(self.current, self.current.manifest.digest)
         except UploadConflict as error:
             raise UploadCut(str(error)) from error
 
@@ -192,22 +192,22 @@
         """Make one attempt at one upload, if it is due."""
         self.progress[upload] = 0
         try:
-            held = await self._claim(upload)
-            if held is not None:
-                await self._attempt(held)
+            current = await self._claim(upload)
+            if current is not None:
+                await self._attempt(current)
         except (StoreUnavailable, UploadConflict) as error:
             log.info("Upload %s is left for later: %s.", upload, error)
         finally:
             self.progress.pop(upload, None)
 
-    async def renew(self, held: Held, digest: str) -> Held:
+    async def renew(self, current: VersionedManifest, digest: str) -> VersionedManifest:
         """Keep the lease, when a third of it has passed or there is a new digest to record."""
-        manifest = held.manifest
+        manifest = current.manifest
         stamp = self.uploads.new_stamp()
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
-            return held
+            return current
         sent = self.progress.get(manifest.id, 0)
-        return await self._advance(held, renewed(manifest, self.lease, sent, digest, stamp))
+        return await self._advance(current, renewed(manifest, self.lease, sent, digest, stamp))
 
     def dump(self) -> dict:
         """Describe deliveries that are running here, and counts since the start."""
@@ -229,23 +229,23 @@
         fresh = entry.state is UploadState.ACCEPTED and entry.attempts == 0
         return entry.due <= now or (fresh and entry.holder == self.uploads.vm_name)
 
-    async def _claim(self, upload: str) -> Held | None:
-        held = await self.uploads.table.read(upload)
+    async def _claim(self, upload: str) -> VersionedManifest | None:
+        current = await self.uploads.table.read(upload)
         stamp = self.uploads.new_stamp()
-        if held is None or not claimable(held.manifest, self.uploads.vm_name, stamp.now):
+        if current is None or not claimable(current.manifest, self.uploads.vm_name, stamp.now):
             return None
         return await self._advance(
-            held, claimed(held.manifest, self.uploads.vm_name, self.lease, stamp)
+            current, claimed(current.manifest, self.uploads.vm_name, self.lease, stamp)
         )
 
-    async def _attempt(self, held: Held) -> None:
-        manifest = held.manifest
-        body = ChunkBody(self, held)
+    async def _attempt(self, current: VersionedManifest) -> None:
+        manifest = current.manifest
+        body = ChunkBody(self, current)
         try:
             if not manifest.digest:
                 digest = await self.uploads.chunks.digest(manifest, body.renew)
-                body.held = await self.renew(body.held, digest)
-            sent = await self.send(body.held.manifest, body)
+                body.current = await self.renew(body.current, digest)
+            sent = await self.send(body.current.manifest, body)
         except SequoiaError as error:
             sent = DeliveryResult(DeliveryOutcome.RETRY, str(error))
         if sent.outcome is DeliveryOutcome.CONFIRMED and not body.complete:
@@ -255,7 +255,7 @@
         if sent.outcome in (DeliveryOutcome.CONFIRMED, DeliveryOutcome.ALREADY_STORED):
             await self._confirm(manifest.id)
             return
-        await self._give_back(body.held, sent)
+        await self._give_back(body.current, sent)
 
     async def _confirm(self, upload: str) -> None:
         """Commit that it is delivered, whoever holds the lease by now, and drop the chunks.
@@ -263,46 +263,46 @@
         If one cannot be dropped now, the clean-up takes it and those after it.
         """
         while True:
-            held = await self.uploads.table.read(upload, self.uploads.patience_seconds)
-            if held is None or held.manifest.state is UploadState.DELIVERED:
+            current = await self.uploads.table.read(upload, self.uploads.patience_seconds)
+            if current is None or current.manifest.state is UploadState.DELIVERED:
                 return
-            change = delivered(held.manifest, self.retention, self.uploads.new_stamp())
+            change = delivered(current.manifest, self.retention, self.uploads.new_stamp())
             try:
-                await self._advance(held, change)
+                await self._advance(current, change)
                 break
             except UploadConflict:
                 continue
         self.confirmed += 1
         log.info("Upload %s is delivered.", upload)
-        for chunk in held.manifest.chunks:
+        for chunk in current.manifest.chunks:
             if not await self.uploads.chunks.discard(chunk_name(upload, chunk)):
                 return
 
-    async def _give_back(self, held: Held, sent: DeliveryResult) -> None:
+    async def _give_back(self, current: VersionedManifest, sent: DeliveryResult) -> None:
         self.postponed += 1
-        manifest, stamp = held.manifest, self.uploads.new_stamp()
+        manifest, stamp = current.manifest, self.uploads.new_stamp()
         log.warning("Upload %s is not delivered: %s.", manifest.id, sent.error)
         if sent.outcome is DeliveryOutcome.CRASHED:
-            await self._record_crash(held, sent)
+            await self._record_crash(current, sent)
             return
         if sent.outcome is DeliveryOutcome.REFUSED:
             change = failed(manifest, sent.error, stamp)
         else:
             delay = backoff(manifest.attempts, self.random)
             change = postponed(manifest, sent.error, delay, stamp)
-        await self._advance(held, change)
+        await self._advance(current, change)
 
-    async def _record_crash(self, held: Held, sent: DeliveryResult) -> None:
+    async def _record_crash(self, current: VersionedManifest, sent: DeliveryResult) -> None:
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
-        uploads, upload = self.uploads, held.manifest.id
-        while held is not None and held.manifest.state in WAITING:
-            stamp, delay = uploads.new_stamp(), backoff(held.manifest.attempts, self.random)
+        uploads, upload = self.uploads, current.manifest.id
+        while current is not None and current.manifest.state in WAITING:
+            stamp, delay = uploads.new_stamp(), backoff(current.manifest.attempts, self.random)
             args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
             try:
-                await self._advance(held, crashed(held.manifest, *args))
+                await self._advance(current, crashed(current.manifest, *args))
                 return
             except UploadConflict:
-                held = await uploads.table.read(upload, uploads.patience_seconds)
+                current = await uploads.table.read(upload, uploads.patience_seconds)
 
-    async def _advance(self, held: Held, manifest: Manifest) -> Held:
-        return await self.uploads.table.advance(held, manifest, self.uploads.patience_seconds)
+    async def _advance(self, current: VersionedManifest, manifest: Manifest) -> VersionedManifest:
+        return await self.uploads.table.advance(current, manifest, self.uploads.patience_seconds)
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -60,12 +60,12 @@
         for entry in await self._entries(OPEN_PREFIX):
             if entry.created + self.abandon_after > now:
                 continue
-            held = await self.uploads.table.read(entry.id)
-            if held is None or not self._is_stale(held.manifest, now):
+            current = await self.uploads.table.read(entry.id)
+            if current is None or not self._is_stale(current.manifest, now):
                 continue
-            change = abandoned(held.manifest, self.retention, self.uploads.new_stamp())
+            change = abandoned(current.manifest, self.retention, self.uploads.new_stamp())
             try:
-                await self.uploads.table.advance(held, change)
+                await self.uploads.table.advance(current, change)
             except UploadConflict:
                 continue
             self.abandoned += 1
@@ -78,9 +78,9 @@
         for entry in await self._entries(DONE_PREFIX):
             if entry.due > now:
                 continue
-            held = await self.uploads.table.read(entry.id)
-            if held is not None and held.manifest.due <= now and _is_done(held.manifest):
-                await self.uploads.table.remove(held)
+            current = await self.uploads.table.read(entry.id)
+            if current is not None and current.manifest.due <= now and _is_done(current.manifest):
+                await self.uploads.table.remove(current)
 
     async def _sweep(self) -> None:
         names = await self._names()
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -34,7 +34,7 @@
     """The accepting commit is unsettled: the upload may be accepted now, or later, or never."""
 
 
-class Held:
+class VersionedManifest:
     """A manifest and the version of its row as this VM last knew them."""
 
     __slots__ = ("manifest", "version")
@@ -89,35 +89,41 @@
         self.clock = clock
         self.sleep = sleep
 
-    async def read(self, upload: str, patience: float = 0.0, deadline: float = inf) -> Held | None:
+    async def read(
+        self, upload: str, patience: float = 0.0, deadline: float = inf
+    ) -> VersionedManifest | None:
         """Return an upload's manifest, or None if there is none."""
         waiting = Patience(self.clock, self.sleep, patience, deadline)
         while True:
             match await self.tables.read(MANIFEST_TABLE, upload, waiting.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
-                    return _held(row)
+                    return _decode_row(row)
                 case Result(error=error):
                     if not await waiting.wait():
                         raise _unavailable(error)
 
     async def insert(
         self, manifest: Manifest, patience: float = 0.0, deadline: float = inf
-    ) -> Held:
+    ) -> VersionedManifest:
         """Insert a new manifest."""
         waiting = Patience(self.clock, self.sleep, patience, deadline)
         return await self._commit(None, 0, manifest, waiting)
 
     async def advance(
-        self, held: Held, manifest: Manifest, patience: float = 0.0, deadline: float = inf
-    ) -> Held:
+        self,
+        current: VersionedManifest,
+        manifest: Manifest,
+        patience: float = 0.0,
+        deadline: float = inf,
+    ) -> VersionedManifest:
         """Replace the manifest that is held by the next one."""
         waiting = Patience(self.clock, self.sleep, patience, deadline)
-        return await self._commit(held.manifest, held.version, manifest, waiting)
+        return await self._commit(current.manifest, current.version, manifest, waiting)
 
-    async def remove(self, held: Held) -> bool:
+    async def remove(self, current: VersionedManifest) -> bool:
         """Remove a manifest if it is still as held; return whether it is known to be gone."""
-        conditions = [Condition(MANIFEST_TABLE, held.manifest.id, held.version)]
-        result = await self.tables.transact(conditions, removal(held.manifest), CALL_TIMEOUT)
+        conditions = [Condition(MANIFEST_TABLE, current.manifest.id, current.version)]
+        result = await self.tables.transact(conditions, removal(current.manifest), CALL_TIMEOUT)
         return result.is_ok()
 
     async def entries(self, prefix: str, after: str, limit: int) -> list[tuple[str, UploadEntry]]:
@@ -130,13 +136,13 @@
 
     async def _commit(
         self, before: Manifest | None, version: int, after: Manifest, waiting: Patience
-    ) -> Held:
+    ) -> VersionedManifest:
         rows = writes(before, after)
         lost = False
         while True:
             error = await self._try(version, after, rows, waiting)
             if error is None:
-                return Held(after, version + 1)
+                return VersionedManifest(after, version + 1)
             if error.kind is StoreErrorKind.CONDITION_FAILED:
                 row = await self._settled(after, waiting, lost)
                 if _wrote(row, after):
@@ -152,7 +158,9 @@
                 raise _unavailable(error)
             return await self._last_word(before, after, waiting.deadline)
 
-    async def _last_word(self, before: Manifest | None, after: Manifest, deadline: float) -> Held:
+    async def _last_word(
+        self, before: Manifest | None, after: Manifest, deadline: float
+    ) -> VersionedManifest:
         """Settle by one more read when the time is up; it may be up after a pause of this VM."""
         once = Patience(self.clock, self.sleep, 0.0, deadline)
         row = await self._settled(after, once, lost=True)
@@ -174,21 +182,23 @@
             case Result(error=error):
                 return error
 
-    async def _settled(self, after: Manifest, waiting: Patience, lost: bool) -> Held | None:
+    async def _settled(
+        self, after: Manifest, waiting: Patience, lost: bool
+    ) -> VersionedManifest | None:
         while True:
             match await self.tables.read(MANIFEST_TABLE, after.id, waiting.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
-                    return _held(row)
+                    return _decode_row(row)
                 case Result(error=error):
                     if not await waiting.wait():
                         raise CommitUnknown(error.message) if lost else _unavailable(error)
 
 
-def _wrote(row: Held | None, after: Manifest) -> bool:
+def _wrote(row: VersionedManifest | None, after: Manifest) -> bool:
     return row is not None and row.manifest.token == after.token
 
 
-def _unchanged(row: Held | None, before: Manifest | None) -> bool:
+def _unchanged(row: VersionedManifest | None, before: Manifest | None) -> bool:
     if row is None or before is None:
         return row is before
     return row.manifest.token == before.token
@@ -198,10 +208,10 @@
     return UploadConflict(f"upload {after.id} was changed elsewhere; ask for its offset")
 
 
-def _held(row: Row | None) -> Held | None:
+def _decode_row(row: Row | None) -> VersionedManifest | None:
     if row is None:
         return None
-    return Held(msgspec.msgpack.decode(row.value, type=Manifest), row.version)
+    return VersionedManifest(msgspec.msgpack.decode(row.value, type=Manifest), row.version)
 
 
 def _unavailable(error: StoreError) -> StoreUnavailable:
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -20,7 +20,7 @@
     accepted,
     extended,
 )
-from .upload_table import AcceptanceUnknown, CommitUnknown, Held
+from .upload_table import AcceptanceUnknown, CommitUnknown, VersionedManifest
 
 if TYPE_CHECKING:
     from .uploads import Uploads
@@ -117,9 +117,9 @@
     was stored so far committed, so that the caller can resume.
     """
 
-    def __init__(self, uploads: Uploads, held: Held, incoming: IncomingUpload):
+    def __init__(self, uploads: Uploads, current: VersionedManifest, incoming: IncomingUpload):
         self.uploads = uploads
-        self.held = held
+        self.current = current
         self.incoming = incoming
         self.cutter = Cutter(incoming.body, uploads.chunks.sleep)
         self.start_offset = incoming.offset or 0
@@ -130,11 +130,11 @@
     def offset(self) -> int:
         """The next byte that is expected, counting chunks that are stored but not committed."""
         last = self.pending[-1] if self.pending else None
-        return last.offset + last.length if last else self.held.manifest.size
+        return last.offset + last.length if last else self.current.manifest.size
 
     async def run(self) -> UploadResult:
         """Take the whole body and accept the upload."""
-        await compare_body(self.cutter, self.held.manifest, self.start_offset)
+        await compare_body(self.cutter, self.current.manifest, self.start_offset)
         try:
             return await self._write_all()
         except curio.CancelledError:
@@ -163,17 +163,17 @@
 
     async def _store_piece(self, piece: Piece) -> None:
         chunk = Chunk(
-            epoch=self.held.manifest.epoch,
+            epoch=self.current.manifest.epoch,
             offset=self.offset,
             length=len(piece.data),
             digest=piece.digest,
             nonce=self.uploads.new_token(),
         )
         await self.uploads.chunks.put(
-            self.held.manifest.id, chunk, piece.data, self.incoming.deadline
+            self.current.manifest.id, chunk, piece.data, self.incoming.deadline
         )
         self.pending.append(chunk)
-        self.uploads.progress[self.held.manifest.id] = self.offset
+        self.uploads.progress[self.current.manifest.id] = self.offset
         self.uploads.counts["chunks"] += 1
 
     def _check_size(self, more: int) -> None:
@@ -189,9 +189,9 @@
 
     async def _commit(self, patience: float) -> None:
         stamp = self.uploads.new_stamp()
-        manifest = extended(self.held.manifest, self.pending, stamp)
-        self.held = await self.uploads.table.advance(
-            self.held, manifest, patience, self.incoming.deadline
+        manifest = extended(self.current.manifest, self.pending, stamp)
+        self.current = await self.uploads.table.advance(
+            self.current, manifest, patience, self.incoming.deadline
         )
         self.pending = []
         self.committed_at = self.uploads.clock.now()
@@ -208,7 +208,7 @@
     async def _accept(self) -> UploadResult:
         digest = await self._content_digest()
         manifest = accepted(
-            self.held.manifest,
+            self.current.manifest,
             self.pending,
             digest,
             self.uploads.vm_name,
@@ -216,14 +216,14 @@
             self.uploads.new_stamp(),
         )
         try:
-            self.held = await self.uploads.table.advance(
-                self.held, manifest, self.uploads.patience_seconds, self.incoming.deadline
+            self.current = await self.uploads.table.advance(
+                self.current, manifest, self.uploads.patience_seconds, self.incoming.deadline
             )
         except UploadConflict:
-            self.held = await self._read_accepted(manifest)
+            self.current = await self._read_accepted(manifest)
         except CommitUnknown as error:
             raise AcceptanceUnknown(str(error)) from error
-        return UploadResult(self.held.manifest)
+        return UploadResult(self.current.manifest)
 
     async def _content_digest(self) -> str:
         """SHA-256 of the whole if it is known cheaply or was announced, else ""."""
@@ -233,13 +233,13 @@
             if self.pending:
                 await self._commit(self.uploads.patience_seconds)
             digest = await self.uploads.chunks.digest(
-                self.held.manifest, deadline=self.incoming.deadline
+                self.current.manifest, deadline=self.incoming.deadline
             )
         if announced and announced != digest:
             raise UploadKeyReused(f"the content has digest {digest}, not {announced}; send it anew")
         return digest
 
-    async def _read_accepted(self, manifest: Manifest) -> Held:
+    async def _read_accepted(self, manifest: Manifest) -> VersionedManifest:
         """Settle a lost answer to the accepting commit after a deliverer's change on top of it."""
         patience, deadline = self.uploads.patience_seconds, self.incoming.deadline
         try:
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -26,7 +26,7 @@
     released,
     taken_over,
 )
-from .upload_table import Held, ManifestTable, Patience
+from .upload_table import ManifestTable, Patience, VersionedManifest
 from .upload_writer import IncomingUpload, UploadResult, UploadWriter, compare_body
 
 CHUNK_SIZE = 4 << 20
@@ -141,16 +141,16 @@
 
     async def get_manifest(self, upload: str) -> Manifest | None:
         """Return one upload in full, or None."""
-        held = await self.table.read(upload)
-        return held.manifest if held else None
+        current = await self.table.read(upload)
+        return current.manifest if current else None
 
     async def release(self, upload: str) -> Manifest:
         """Let an upload that is held as failed be delivered again."""
-        held = await self.table.read(upload)
-        if held is None:
+        current = await self.table.read(upload)
+        if current is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
-        manifest = released(held.manifest, self.new_stamp())
-        return (await self.table.advance(held, manifest, START_PATIENCE)).manifest
+        manifest = released(current.manifest, self.new_stamp())
+        return (await self.table.advance(current, manifest, START_PATIENCE)).manifest
 
     def dump(self) -> dict:
         """Describe what is being received here, and counts since the start."""
@@ -159,28 +159,28 @@
 
     async def _receive(self, incoming: IncomingUpload) -> UploadResult:
         if incoming.upload_id is None:
-            held = await self._started(incoming)
+            current = await self._started(incoming)
         else:
-            held = await self._named(incoming)
+            current = await self._named(incoming)
             if incoming.offset is None:
-                return UploadResult(held.manifest)
-            held = await self._own(held, incoming)
-        if held.manifest.state is not UploadState.OPEN:
-            return await self._replayed(held.manifest, incoming)
+                return UploadResult(current.manifest)
+            current = await self._own(current, incoming)
+        if current.manifest.state is not UploadState.OPEN:
+            return await self._replayed(current.manifest, incoming)
         try:
-            return await UploadWriter(self, held, incoming).run()
+            return await UploadWriter(self, current, incoming).run()
         finally:
-            self.progress.pop(held.manifest.id, None)
+            self.progress.pop(current.manifest.id, None)
 
-    async def _started(self, incoming: IncomingUpload) -> Held:
+    async def _started(self, incoming: IncomingUpload) -> VersionedManifest:
         manifest = self._new_manifest(incoming)
         try:
             return await self.table.insert(manifest, START_PATIENCE, incoming.deadline)
         except UploadConflict:
-            held = await self.table.read(manifest.id, START_PATIENCE, incoming.deadline)
-        if held is None:
+            current = await self.table.read(manifest.id, START_PATIENCE, incoming.deadline)
+        if current is None:
             raise UploadConflict("an upload of this key has just ended; send it again")
-        return await self._own(held, incoming)
+        return await self._own(current, incoming)
 
     def _new_manifest(self, incoming: IncomingUpload) -> Manifest:
         stamp = self.new_stamp()
@@ -199,22 +199,22 @@
             token=stamp.token,
         )
 
-    async def _named(self, incoming: IncomingUpload) -> Held:
-        held = await self.table.read(incoming.upload_id, START_PATIENCE, incoming.deadline)
+    async def _named(self, incoming: IncomingUpload) -> VersionedManifest:
+        current = await self.table.read(incoming.upload_id, START_PATIENCE, incoming.deadline)
         scope = (incoming.service, incoming.caller)
-        if held is None or (held.manifest.service, held.manifest.caller) != scope:
+        if current is None or (current.manifest.service, current.manifest.caller) != scope:
             raise UploadUnknown(f"no upload {incoming.upload_id} of this caller; start a new one")
-        return held
+        return current
 
-    async def _own(self, held: Held, incoming: IncomingUpload) -> Held:
+    async def _own(self, current: VersionedManifest, incoming: IncomingUpload) -> VersionedManifest:
         """Fence the older writers of an upload that is not accepted yet."""
-        manifest = held.manifest
+        manifest = current.manifest
         check_offset(manifest, incoming.offset or 0)
         check_same(manifest, incoming)
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
-            return held
+            return current
         own = taken_over(manifest, self.new_stamp())
-        return await self.table.advance(held, own, START_PATIENCE, incoming.deadline)
+        return await self.table.advance(current, own, START_PATIENCE, incoming.deadline)
 
     async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
         """Answer for an upload that is accepted already, after comparing the content."""
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -196,7 +196,12 @@
 
     async def eager(self):
         manifest = upload_writer.accepted(
-            self.held.manifest, self.pending, await self._content_digest(), "vm", 0.0, stamp(self)
+            self.current.manifest,
+            self.pending,
+            await self._content_digest(),
+            "vm",
+            0.0,
+            stamp(self),
         )
         await curio.spawn(later, self, daemon=True)
         return UploadResult(manifest)
