--- a/sequoiabridge/store/upload_chunks.py
+++ b/sequoiabridge/store/upload_chunks.py
@@ -12,7 +12,7 @@
 from .base import ObjectStore, StoreErrorKind
 from .upload_index import CHUNK_PREFIX, chunk_name
 from .upload_manifest import Chunk, Manifest
-from .upload_table import Patience
+from .upload_table import RetryBackoff
 
 PUT_TIMEOUT = 30.0
 """Seconds for one call to the object store."""
@@ -97,38 +97,38 @@
     """Puts and reads chunks; a lost answer is settled by the name, which is written only once."""
 
     def __init__(
-        self, objects: ObjectStore, patience: Callable[[float], Patience], sleep=curio.sleep
+        self, objects: ObjectStore, new_backoff: Callable[[float], RetryBackoff], sleep=curio.sleep
     ):
         self.objects = objects
-        self.patience = patience
+        self.new_backoff = new_backoff
         self.sleep = sleep
 
     async def put(self, upload: str, chunk: Chunk, data: bytes, deadline: float = inf) -> None:
         """Store a chunk. Raises `StoreUnavailable` if it is not known to be stored in time."""
         name = chunk_name(upload, chunk)
-        waiting = self.patience(deadline)
+        backoff = self.new_backoff(deadline)
         while True:
-            match await self.objects.put(name, data, waiting.timeout(PUT_TIMEOUT)):
+            match await self.objects.put(name, data, backoff.timeout(PUT_TIMEOUT)):
                 case Result(tag="ok"):
                     return
                 case Result(error=error):
                     # The name is this writer's alone: if it is taken, an earlier try took effect.
                     if error.kind is StoreErrorKind.CONDITION_FAILED:
                         return
-                    if not await waiting.wait():
+                    if not await backoff.wait():
                         raise StoreUnavailable(f"{error.message}; resume the upload later")
 
     async def get(self, upload: str, chunk: Chunk, deadline: float = inf) -> bytes:
         """Return a chunk's bytes, checked. Raises `UploadCut` if it is missing or damaged."""
         name = chunk_name(upload, chunk)
-        waiting = self.patience(deadline)
+        backoff = self.new_backoff(deadline)
         while True:
-            match await self.objects.get(name, waiting.timeout(PUT_TIMEOUT)):
+            match await self.objects.get(name, backoff.timeout(PUT_TIMEOUT)):
                 case Result(tag="ok", ok=data):
                     await self._check(name, chunk, data)
                     return data
                 case Result(error=error):
-                    if not await waiting.wait():
+                    if not await backoff.wait():
                         raise StoreUnavailable(f"{error.message}; the delivery is tried again")
 
     async def digest(
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -23,7 +23,6 @@
     Manifest,
     UploadConflict,
     UploadState,
-    backoff,
     claimable,
     claimed,
     crashed,
@@ -31,6 +30,7 @@
     failed,
     postponed,
     renewed,
+    retry_delay,
 )
 from .upload_table import VersionedManifest
 from .uploads import Uploads
@@ -263,7 +263,7 @@
         If one cannot be dropped now, the clean-up takes it and those after it.
         """
         while True:
-            current = await self.uploads.table.read(upload, self.uploads.patience_seconds)
+            current = await self.uploads.table.read(upload, self.uploads.retry_timeout)
             if current is None or current.manifest.state is UploadState.DELIVERED:
                 return
             change = delivered(current.manifest, self.retention, self.uploads.new_stamp())
@@ -288,7 +288,7 @@
         if sent.outcome is DeliveryOutcome.REFUSED:
             change = failed(manifest, sent.error, stamp)
         else:
-            delay = backoff(manifest.attempts, self.random)
+            delay = retry_delay(manifest.attempts, self.random)
             change = postponed(manifest, sent.error, delay, stamp)
         await self._advance(current, change)
 
@@ -296,13 +296,13 @@
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
         uploads, upload = self.uploads, current.manifest.id
         while current is not None and current.manifest.state in WAITING:
-            stamp, delay = uploads.new_stamp(), backoff(current.manifest.attempts, self.random)
+            stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
             args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
             try:
                 await self._advance(current, crashed(current.manifest, *args))
                 return
             except UploadConflict:
-                current = await uploads.table.read(upload, uploads.patience_seconds)
+                current = await uploads.table.read(upload, uploads.retry_timeout)
 
     async def _advance(self, current: VersionedManifest, manifest: Manifest) -> VersionedManifest:
-        return await self.uploads.table.advance(current, manifest, self.uploads.patience_seconds)
+        return await self.uploads.table.advance(current, manifest, self.uploads.retry_timeout)
--- a/sequoiabridge/store/upload_manifest.py
+++ b/sequoiabridge/store/upload_manifest.py
@@ -243,7 +243,7 @@
     return _change(manifest, stamp, state=UploadState.ABANDONED, chunks=(), due=due)
 
 
-def backoff(attempts: int, random: Random) -> float:
+def retry_delay(attempts: int, random: Random) -> float:
     """Return the seconds to wait after so many attempts, with jitter of a half."""
     whole = min(BACKOFF_CAP, BACKOFF_BASE * 2.0 ** min(attempts - 1, 16))
     return whole * random.uniform(0.5, 1.0)
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -19,10 +19,10 @@
 LATE_CALL_TIMEOUT = 1.0
 """Seconds for a call that is made close to a caller's deadline, or after it."""
 
-FIRST_PAUSE = 0.05
+MIN_RETRY_DELAY = 0.05
 """Seconds before a call is tried again; doubled each time."""
 
-LONGEST_PAUSE = 2.0
+MAX_RETRY_DELAY = 2.0
 """Seconds between two tries at most."""
 
 
@@ -44,14 +44,14 @@
         self.version = version
 
 
-class Patience:
+class RetryBackoff:
     """Pauses between tries until the time is up: `seconds` from now, or the caller's deadline.
 
     After the deadline there are no more tries, but a call that answers in `LATE_CALL` is still
     good: an upload may take longer than its window while the store answers.
     """
 
-    __slots__ = ("clock", "sleep", "deadline", "until", "pause")
+    __slots__ = ("clock", "sleep", "deadline", "retry_until", "delay")
 
     def __init__(
         self, clock: Clock, sleep: Callable[[float], Awaitable], seconds: float, deadline: float
@@ -59,8 +59,8 @@
         self.clock = clock
         self.sleep = sleep
         self.deadline = deadline
-        self.until = min(clock.now() + seconds, deadline)
-        self.pause = FIRST_PAUSE
+        self.retry_until = min(clock.now() + seconds, deadline)
+        self.delay = MIN_RETRY_DELAY
 
     def timeout(self, most: float) -> float:
         """Return the seconds that the next call may take, at most `most`."""
@@ -68,10 +68,10 @@
 
     async def wait(self) -> bool:
         """Pause; return False, without a pause, if the time is up."""
-        if self.clock.now() + self.pause > self.until:
+        if self.clock.now() + self.delay > self.retry_until:
             return False
-        await self.sleep(self.pause)
-        self.pause = min(LONGEST_PAUSE, self.pause * 2)
+        await self.sleep(self.delay)
+        self.delay = min(MAX_RETRY_DELAY, self.delay * 2)
         return True
 
 
@@ -90,35 +90,35 @@
         self.sleep = sleep
 
     async def read(
-        self, upload: str, patience: float = 0.0, deadline: float = inf
+        self, upload: str, retry_timeout: float = 0.0, deadline: float = inf
     ) -> VersionedManifest | None:
         """Return an upload's manifest, or None if there is none."""
-        waiting = Patience(self.clock, self.sleep, patience, deadline)
+        backoff = RetryBackoff(self.clock, self.sleep, retry_timeout, deadline)
         while True:
-            match await self.tables.read(MANIFEST_TABLE, upload, waiting.timeout(CALL_TIMEOUT)):
+            match await self.tables.read(MANIFEST_TABLE, upload, backoff.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
                     return _decode_row(row)
                 case Result(error=error):
-                    if not await waiting.wait():
+                    if not await backoff.wait():
                         raise _unavailable(error)
 
     async def insert(
-        self, manifest: Manifest, patience: float = 0.0, deadline: float = inf
+        self, manifest: Manifest, retry_timeout: float = 0.0, deadline: float = inf
     ) -> VersionedManifest:
         """Insert a new manifest."""
-        waiting = Patience(self.clock, self.sleep, patience, deadline)
-        return await self._commit(None, 0, manifest, waiting)
+        backoff = RetryBackoff(self.clock, self.sleep, retry_timeout, deadline)
+        return await self._commit(None, 0, manifest, backoff)
 
     async def advance(
         self,
         current: VersionedManifest,
         manifest: Manifest,
-        patience: float = 0.0,
+        retry_timeout: float = 0.0,
         deadline: float = inf,
     ) -> VersionedManifest:
         """Replace the manifest that is held by the next one."""
-        waiting = Patience(self.clock, self.sleep, patience, deadline)
-        return await self._commit(current.manifest, current.version, manifest, waiting)
+        backoff = RetryBackoff(self.clock, self.sleep, retry_timeout, deadline)
+        return await self._commit(current.manifest, current.version, manifest, backoff)
 
     async def remove(self, current: VersionedManifest) -> bool:
         """Remove a manifest if it is still as held; return whether it is known to be gone."""
@@ -135,16 +135,16 @@
                 raise _unavailable(error)
 
     async def _commit(
-        self, before: Manifest | None, version: int, after: Manifest, waiting: Patience
+        self, before: Manifest | None, version: int, after: Manifest, backoff: RetryBackoff
     ) -> VersionedManifest:
         rows = writes(before, after)
         lost = False
         while True:
-            error = await self._try(version, after, rows, waiting)
+            error = await self._try(version, after, rows, backoff)
             if error is None:
                 return VersionedManifest(after, version + 1)
             if error.kind is StoreErrorKind.CONDITION_FAILED:
-                row = await self._settled(after, waiting, lost)
+                row = await self._settled(after, backoff, lost)
                 if _wrote(row, after):
                     return row
                 if not _unchanged(row, before):
@@ -152,17 +152,17 @@
                 version = row.version if row else 0
                 continue
             lost = lost or error.kind is StoreErrorKind.UNKNOWN
-            if await waiting.wait():
+            if await backoff.wait():
                 continue
             if not lost:
                 raise _unavailable(error)
-            return await self._last_word(before, after, waiting.deadline)
+            return await self._last_word(before, after, backoff.deadline)
 
     async def _last_word(
         self, before: Manifest | None, after: Manifest, deadline: float
     ) -> VersionedManifest:
         """Settle by one more read when the time is up; it may be up after a pause of this VM."""
-        once = Patience(self.clock, self.sleep, 0.0, deadline)
+        once = RetryBackoff(self.clock, self.sleep, 0.0, deadline)
         row = await self._settled(after, once, lost=True)
         if _wrote(row, after):
             return row
@@ -173,24 +173,24 @@
         raise _conflict(after)
 
     async def _try(
-        self, version: int, after: Manifest, rows: list[Write], waiting: Patience
+        self, version: int, after: Manifest, rows: list[Write], backoff: RetryBackoff
     ) -> StoreError | None:
         conditions = [Condition(MANIFEST_TABLE, after.id, version)]
-        match await self.tables.transact(conditions, rows, waiting.timeout(CALL_TIMEOUT)):
+        match await self.tables.transact(conditions, rows, backoff.timeout(CALL_TIMEOUT)):
             case Result(tag="ok"):
                 return None
             case Result(error=error):
                 return error
 
     async def _settled(
-        self, after: Manifest, waiting: Patience, lost: bool
+        self, after: Manifest, backoff: RetryBackoff, lost: bool
     ) -> VersionedManifest | None:
         while True:
-            match await self.tables.read(MANIFEST_TABLE, after.id, waiting.timeout(CALL_TIMEOUT)):
+            match await self.tables.read(MANIFEST_TABLE, after.id, backoff.timeout(CALL_TIMEOUT)):
                 case Result(tag="ok", ok=row):
                     return _decode_row(row)
                 case Result(error=error):
-                    if not await waiting.wait():
+                    if not await backoff.wait():
                         raise CommitUnknown(error.message) if lost else _unavailable(error)
 
 
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from .uploads import Uploads
 
-KEEP_PATIENCE = 1.0
+FINAL_COMMIT_TIMEOUT = 1.0
 """Seconds to commit what is stored after the caller has left."""
 
 
@@ -140,7 +140,7 @@
         except curio.CancelledError:
             # The caller left while this task waited for the store.
             async with curio.disable_cancellation():
-                await self._try_commit(KEEP_PATIENCE)
+                await self._try_commit(FINAL_COMMIT_TIMEOUT)
             raise
 
     async def _write_all(self) -> UploadResult:
@@ -148,7 +148,7 @@
         while more:
             more = await self._write_chunk()
             if more and self._is_commit_due():
-                await self._commit(self.uploads.patience_seconds)
+                await self._commit(self.uploads.retry_timeout)
         return await self._accept()
 
     async def _write_chunk(self) -> bool:
@@ -157,7 +157,7 @@
             self._check_size(len(piece.data))
             await self._store_piece(piece)
         if self.cutter.gone is not None:
-            await self._try_commit(self.uploads.patience_seconds)
+            await self._try_commit(self.uploads.retry_timeout)
             raise self.cutter.gone
         return len(piece.data) == self.uploads.chunk_size
 
@@ -187,20 +187,20 @@
             bool(self.pending) and waited >= self.uploads.commit_interval
         )
 
-    async def _commit(self, patience: float) -> None:
+    async def _commit(self, retry_timeout: float) -> None:
         stamp = self.uploads.new_stamp()
         manifest = extended(self.current.manifest, self.pending, stamp)
         self.current = await self.uploads.table.advance(
-            self.current, manifest, patience, self.incoming.deadline
+            self.current, manifest, retry_timeout, self.incoming.deadline
         )
         self.pending = []
         self.committed_at = self.uploads.clock.now()
 
-    async def _try_commit(self, patience: float) -> None:
+    async def _try_commit(self, retry_timeout: float) -> None:
         if not self.pending:
             return
         try:
-            await self._commit(patience)
+            await self._commit(retry_timeout)
         except (StoreUnavailable, UploadConflict):
             # Nothing was promised: the caller resumes from what is committed.
             return
@@ -217,7 +217,7 @@
         )
         try:
             self.current = await self.uploads.table.advance(
-                self.current, manifest, self.uploads.patience_seconds, self.incoming.deadline
+                self.current, manifest, self.uploads.retry_timeout, self.incoming.deadline
             )
         except UploadConflict:
             self.current = await self._read_accepted(manifest)
@@ -231,7 +231,7 @@
         digest = self.cutter.whole.hexdigest() if self.start_offset == 0 else ""
         if announced and not digest:
             if self.pending:
-                await self._commit(self.uploads.patience_seconds)
+                await self._commit(self.uploads.retry_timeout)
             digest = await self.uploads.chunks.digest(
                 self.current.manifest, deadline=self.incoming.deadline
             )
@@ -241,9 +241,9 @@
 
     async def _read_accepted(self, manifest: Manifest) -> VersionedManifest:
         """Settle a lost answer to the accepting commit after a deliverer's change on top of it."""
-        patience, deadline = self.uploads.patience_seconds, self.incoming.deadline
+        retry_timeout, deadline = self.uploads.retry_timeout, self.incoming.deadline
         try:
-            now = await self.uploads.table.read(manifest.id, patience, deadline)
+            now = await self.uploads.table.read(manifest.id, retry_timeout, deadline)
         except StoreUnavailable as error:
             raise AcceptanceUnknown(str(error)) from error
         if (
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -26,7 +26,7 @@
     released,
     taken_over,
 )
-from .upload_table import ManifestTable, Patience, VersionedManifest
+from .upload_table import ManifestTable, RetryBackoff, VersionedManifest
 from .upload_writer import IncomingUpload, UploadResult, UploadWriter, compare_body
 
 CHUNK_SIZE = 4 << 20
@@ -38,10 +38,10 @@
 COMMIT_INTERVAL = 10.0
 """Seconds after which a stored chunk is committed even if it is alone."""
 
-START_PATIENCE = 1.0
+START_RETRY_TIMEOUT = 1.0
 """Seconds to settle the insert of a manifest; a store that is known to be down costs none."""
 
-PATIENCE = 30.0
+RETRY_TIMEOUT = 30.0
 """Seconds that a running upload waits for the store before it is refused, to be resumed.
 
 Its caller's deadline ends the wait before that.
@@ -79,7 +79,7 @@
         chunk_size: int = CHUNK_SIZE,
         chunks_per_commit: int = CHUNKS_PER_COMMIT,
         commit_interval: float = COMMIT_INTERVAL,
-        patience: float = PATIENCE,
+        retry_timeout: float = RETRY_TIMEOUT,
         head_start: float = HEAD_START,
         new_token: Callable[[], str] = _random_token,
         sleep=curio.sleep,
@@ -89,11 +89,11 @@
         self.chunk_size = chunk_size
         self.chunks_per_commit = chunks_per_commit
         self.commit_interval = commit_interval
-        self.patience_seconds = patience
+        self.retry_timeout = retry_timeout
         self.head_start = head_start
         self.new_token = new_token
         self.table = ManifestTable(tables, clock, sleep)
-        self.chunks = ChunkStore(objects, self._patience, sleep)
+        self.chunks = ChunkStore(objects, self._new_backoff, sleep)
         self.receiving = 0
         self.progress: dict[str, int] = {}
         self.counts: Counter[str] = Counter()
@@ -107,8 +107,8 @@
         """Return the time and a fresh token for one change."""
         return Stamp(self.clock.wall(), self.new_token())
 
-    def _patience(self, deadline: float) -> Patience:
-        return Patience(self.clock, self.table.sleep, self.patience_seconds, deadline)
+    def _new_backoff(self, deadline: float) -> RetryBackoff:
+        return RetryBackoff(self.clock, self.table.sleep, self.retry_timeout, deadline)
 
     async def receive(self, incoming: IncomingUpload) -> UploadResult:
         """Start, resume or look up an upload.
@@ -150,7 +150,7 @@
         if current is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
         manifest = released(current.manifest, self.new_stamp())
-        return (await self.table.advance(current, manifest, START_PATIENCE)).manifest
+        return (await self.table.advance(current, manifest, START_RETRY_TIMEOUT)).manifest
 
     def dump(self) -> dict:
         """Describe what is being received here, and counts since the start."""
@@ -175,9 +175,9 @@
     async def _started(self, incoming: IncomingUpload) -> VersionedManifest:
         manifest = self._new_manifest(incoming)
         try:
-            return await self.table.insert(manifest, START_PATIENCE, incoming.deadline)
+            return await self.table.insert(manifest, START_RETRY_TIMEOUT, incoming.deadline)
         except UploadConflict:
-            current = await self.table.read(manifest.id, START_PATIENCE, incoming.deadline)
+            current = await self.table.read(manifest.id, START_RETRY_TIMEOUT, incoming.deadline)
         if current is None:
             raise UploadConflict("an upload of this key has just ended; send it again")
         return await self._own(current, incoming)
@@ -200,7 +200,7 @@
         )
 
     async def _named(self, incoming: IncomingUpload) -> VersionedManifest:
-        current = await self.table.read(incoming.upload_id, START_PATIENCE, incoming.deadline)
+        current = await self.table.read(incoming.upload_id, START_RETRY_TIMEOUT, incoming.deadline)
         scope = (incoming.service, incoming.caller)
         if current is None or (current.manifest.service, current.manifest.caller) != scope:
             raise UploadUnknown(f"no upload {incoming.upload_id} of this caller; start a new one")
@@ -214,7 +214,7 @@
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
             return current
         own = taken_over(manifest, self.new_stamp())
-        return await self.table.advance(current, own, START_PATIENCE, incoming.deadline)
+        return await self.table.advance(current, own, START_RETRY_TIMEOUT, incoming.deadline)
 
     async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
         """Answer for an upload that is accepted already, after comparing the content."""
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -94,7 +94,7 @@
     world.tables.land_late()
     assert world.manifests()[0].state is UploadState.OPEN
     world.tables.faults.late = 0
-    vm = world.vm("a", chunks_per_commit=99, patience=1.0)
+    vm = world.vm("a", chunks_per_commit=99, retry_timeout=1.0)
     vm.chunks.put = lambda *_: silent(world)
     lost = refused(vm)
     assert (lost.outcome, lost.reason) == (Outcome.UNKNOWN, Reason.STORE_DOWN)
--- a/sequoiabridge/tests/store/test_uploads.py
+++ b/sequoiabridge/tests/store/test_uploads.py
@@ -102,7 +102,7 @@
 
 def test_an_accepting_commit_that_stays_unsettled_is_not_called_not_run():
     world = World()
-    task = receive(world.vm("a", patience=1.0, chunks_per_commit=99))
+    task = receive(world.vm("a", retry_timeout=1.0, chunks_per_commit=99))
     while len(world.objects.objects) < 6:
         task.send(None)
     world.tables.faults.late = 99
@@ -117,7 +117,7 @@
 def test_a_store_that_is_down_refuses_at_once():
     world = World()
     world.tables.faults.down = True
-    vm = world.vm("a", patience=0.0)
+    vm = world.vm("a", retry_timeout=0.0)
     with pytest.raises(StoreUnavailable) as caught:
         finish(receive(vm))
     assert not isinstance(caught.value, AcceptanceUnknown)
