--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -23,13 +23,13 @@
     Manifest,
     UploadConflict,
     UploadState,
-    claimable,
-    claimed,
-    crashed,
-    delivered,
-    failed,
-    postponed,
-    renewed,
+    claim,
+    is_claimable,
+    mark_delivered,
+    mark_failed,
+    postpone,
+    record_crash,
+    renew_lease,
     retry_delay,
 )
 from .upload_table import VersionedManifest
@@ -207,7 +207,7 @@
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
             return current
         sent = self.progress.get(manifest.id, 0)
-        return await self._advance(current, renewed(manifest, self.lease, sent, digest, stamp))
+        return await self._advance(current, renew_lease(manifest, self.lease, sent, digest, stamp))
 
     def dump(self) -> dict:
         """Describe deliveries that are running here, and counts since the start."""
@@ -232,10 +232,10 @@
     async def _claim(self, upload: str) -> VersionedManifest | None:
         current = await self.uploads.table.read(upload)
         stamp = self.uploads.new_stamp()
-        if current is None or not claimable(current.manifest, self.uploads.vm_name, stamp.now):
+        if current is None or not is_claimable(current.manifest, self.uploads.vm_name, stamp.now):
             return None
         return await self._advance(
-            current, claimed(current.manifest, self.uploads.vm_name, self.lease, stamp)
+            current, claim(current.manifest, self.uploads.vm_name, self.lease, stamp)
         )
 
     async def _attempt(self, current: VersionedManifest) -> None:
@@ -266,7 +266,7 @@
             current = await self.uploads.table.read(upload, self.uploads.retry_timeout)
             if current is None or current.manifest.state is UploadState.DELIVERED:
                 return
-            change = delivered(current.manifest, self.retention, self.uploads.new_stamp())
+            change = mark_delivered(current.manifest, self.retention, self.uploads.new_stamp())
             try:
                 await self._advance(current, change)
                 break
@@ -286,10 +286,10 @@
             await self._record_crash(current, sent)
             return
         if sent.outcome is DeliveryOutcome.REFUSED:
-            change = failed(manifest, sent.error, stamp)
+            change = mark_failed(manifest, sent.error, stamp)
         else:
             delay = retry_delay(manifest.attempts, self.random)
-            change = postponed(manifest, sent.error, delay, stamp)
+            change = postpone(manifest, sent.error, delay, stamp)
         await self._advance(current, change)
 
     async def _record_crash(self, current: VersionedManifest, sent: DeliveryResult) -> None:
@@ -299,7 +299,7 @@
             stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
             args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
             try:
-                await self._advance(current, crashed(current.manifest, *args))
+                await self._advance(current, record_crash(current.manifest, *args))
                 return
             except UploadConflict:
                 current = await uploads.table.read(upload, uploads.retry_timeout)
--- a/sequoiabridge/store/upload_manifest.py
+++ b/sequoiabridge/store/upload_manifest.py
@@ -127,14 +127,14 @@
     return hashlib.sha256(scope).hexdigest()[:32]
 
 
-def taken_over(manifest: Manifest, stamp: Stamp) -> Manifest:
+def take_over(manifest: Manifest, stamp: Stamp) -> Manifest:
     """Begin a new epoch for a new writer; commits of the older writers fail from then on."""
     _expect(manifest, UploadState.OPEN, UploadState.ABANDONED)
     epoch = manifest.epoch + 1
     return _change(manifest, stamp, epoch=epoch, state=UploadState.OPEN, due=0.0)
 
 
-def extended(manifest: Manifest, chunks: list[Chunk], stamp: Stamp) -> Manifest:
+def append_chunks(manifest: Manifest, chunks: list[Chunk], stamp: Stamp) -> Manifest:
     """Add chunks of the present epoch that are in the object store and follow on."""
     _expect(manifest, UploadState.OPEN)
     offset = manifest.size
@@ -145,27 +145,27 @@
     return _change(manifest, stamp, chunks=manifest.chunks + tuple(chunks))
 
 
-def accepted(
+def accept(
     manifest: Manifest, chunks: list[Chunk], digest: str, vm: str, head_start: float, stamp: Stamp
 ) -> Manifest:
     """Add the last chunks and accept; `vm` may deliver at once, others after `head_start`."""
-    whole = extended(manifest, chunks, stamp)
+    whole = append_chunks(manifest, chunks, stamp)
     if manifest.length is not None and whole.size != manifest.length:
         raise UploadConflict(f"{whole.size} of {manifest.length} bytes came; resume the upload")
     due = stamp.now + head_start
     return replace(whole, state=UploadState.ACCEPTED, digest=digest, holder=vm, due=due)
 
 
-def claimable(manifest: Manifest, vm: str, now: float) -> bool:
+def is_claimable(manifest: Manifest, vm: str, now: float) -> bool:
     """Return whether `vm` should deliver: a hint that saves work, never a proof."""
     if manifest.state is UploadState.ACCEPTED:
         return manifest.due <= now or (manifest.holder == vm and manifest.attempts == 0)
     return manifest.state is UploadState.DELIVERING and manifest.due <= now
 
 
-def claimed(manifest: Manifest, vm: str, lease: float, stamp: Stamp) -> Manifest:
+def claim(manifest: Manifest, vm: str, lease: float, stamp: Stamp) -> Manifest:
     """Take the delivery for `lease` seconds."""
-    if not claimable(manifest, vm, stamp.now):
+    if not is_claimable(manifest, vm, stamp.now):
         raise UploadConflict(f"upload {manifest.id} is not due; leave it to {manifest.holder}")
     return _change(
         manifest,
@@ -178,20 +178,20 @@
     )
 
 
-def renewed(manifest: Manifest, lease: float, sent: int, digest: str, stamp: Stamp) -> Manifest:
+def renew_lease(manifest: Manifest, lease: float, sent: int, digest: str, stamp: Stamp) -> Manifest:
     """Keep the delivery for `lease` seconds more and record its progress."""
     _expect(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, due=stamp.now + lease, sent=sent, digest=digest)
 
 
-def postponed(manifest: Manifest, error: str, delay: float, stamp: Stamp) -> Manifest:
+def postpone(manifest: Manifest, error: str, delay: float, stamp: Stamp) -> Manifest:
     """Give the delivery back, to be tried again after `delay` seconds."""
     _expect(manifest, UploadState.DELIVERING)
     due = stamp.now + delay
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=due, sent=0, error=error)
 
 
-def crashed(
+def record_crash(
     manifest: Manifest, vm: str, upstream: str, error: str, delay: float, stamp: Stamp
 ) -> Manifest:
     """Record that `upstream` died while `vm` delivered to it: true whoever holds the lease.
@@ -204,25 +204,25 @@
         error = f"{' and '.join(died)} died while they had it; mend them, then release the upload"
         change = _change(manifest, stamp, state=UploadState.FAILED, error=error, due=0.0)
     elif manifest.state is UploadState.DELIVERING and manifest.holder == vm:
-        change = postponed(manifest, error, delay, stamp)
+        change = postpone(manifest, error, delay, stamp)
     else:
         change = _change(manifest, stamp, error=error)
     return replace(change, crashed=died)
 
 
-def failed(manifest: Manifest, error: str, stamp: Stamp) -> Manifest:
+def mark_failed(manifest: Manifest, error: str, stamp: Stamp) -> Manifest:
     """Hold an upload that its upstream refuses for good; its content stays."""
     _expect(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, state=UploadState.FAILED, error=error, due=0.0)
 
 
-def released(manifest: Manifest, stamp: Stamp) -> Manifest:
+def release_failed(manifest: Manifest, stamp: Stamp) -> Manifest:
     """Let a held upload be delivered again, by the operator's word."""
     _expect(manifest, UploadState.FAILED)
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=stamp.now, crashed=())
 
 
-def delivered(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
+def mark_delivered(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
     """Record that an upstream confirmed id and digest: true whoever holds the lease."""
     _expect(manifest, UploadState.ACCEPTED, UploadState.DELIVERING, UploadState.FAILED)
     return _change(
@@ -236,7 +236,7 @@
     )
 
 
-def abandoned(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
+def abandon(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
     """Give up an upload that was never accepted; fences a writer that is still there."""
     _expect(manifest, UploadState.OPEN)
     due = stamp.now + retention
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -10,7 +10,7 @@
 from ..logs import get_log
 from .upload_delivery import RETENTION
 from .upload_index import CHUNK_PREFIX, DONE_PREFIX, OPEN_PREFIX, UploadEntry, is_dead, owner_of
-from .upload_manifest import Manifest, UploadConflict, UploadState, abandoned
+from .upload_manifest import Manifest, UploadConflict, UploadState, abandon
 from .uploads import Uploads
 
 log = get_log("orphans")
@@ -63,7 +63,7 @@
             current = await self.uploads.table.read(entry.id)
             if current is None or not self._is_stale(current.manifest, now):
                 continue
-            change = abandoned(current.manifest, self.retention, self.uploads.new_stamp())
+            change = abandon(current.manifest, self.retention, self.uploads.new_stamp())
             try:
                 await self.uploads.table.advance(current, change)
             except UploadConflict:
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -17,8 +17,8 @@
     UploadKeyReused,
     UploadState,
     UploadTooLarge,
-    accepted,
-    extended,
+    accept,
+    append_chunks,
 )
 from .upload_table import AcceptanceUnknown, CommitUnknown, VersionedManifest
 
@@ -189,7 +189,7 @@
 
     async def _commit(self, retry_timeout: float) -> None:
         stamp = self.uploads.new_stamp()
-        manifest = extended(self.current.manifest, self.pending, stamp)
+        manifest = append_chunks(self.current.manifest, self.pending, stamp)
         self.current = await self.uploads.table.advance(
             self.current, manifest, retry_timeout, self.incoming.deadline
         )
@@ -207,7 +207,7 @@
 
     async def _accept(self) -> UploadResult:
         digest = await self._content_digest()
-        manifest = accepted(
+        manifest = accept(
             self.current.manifest,
             self.pending,
             digest,
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -23,8 +23,8 @@
     UploadState,
     UploadUnknown,
     keyed_id,
-    released,
-    taken_over,
+    release_failed,
+    take_over,
 )
 from .upload_table import ManifestTable, RetryBackoff, VersionedManifest
 from .upload_writer import IncomingUpload, UploadResult, UploadWriter, compare_body
@@ -149,7 +149,7 @@
         current = await self.table.read(upload)
         if current is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
-        manifest = released(current.manifest, self.new_stamp())
+        manifest = release_failed(current.manifest, self.new_stamp())
         return (await self.table.advance(current, manifest, START_RETRY_TIMEOUT)).manifest
 
     def dump(self) -> dict:
@@ -213,7 +213,7 @@
         check_same(manifest, incoming)
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
             return current
-        own = taken_over(manifest, self.new_stamp())
+        own = take_over(manifest, self.new_stamp())
         return await self.table.advance(current, own, START_RETRY_TIMEOUT, incoming.deadline)
 
     async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -195,7 +195,7 @@
     accept = UploadWriter._accept
 
     async def eager(self):
-        manifest = upload_writer.accepted(
+        manifest = upload_writer.accept(
             self.current.manifest,
             self.pending,
             await self._content_digest(),
@@ -226,10 +226,10 @@
         return len(piece.data) == self.uploads.chunk_size
 
     def any_length(manifest, *more):
-        return accepted(msgspec.structs.replace(manifest, length=None), *more)
+        return accept(msgspec.structs.replace(manifest, length=None), *more)
 
-    accepted = upload_writer.accepted
-    return [(UploadWriter, "_write_chunk", write_chunk), (upload_writer, "accepted", any_length)]
+    accept = upload_writer.accept
+    return [(UploadWriter, "_write_chunk", write_chunk), (upload_writer, "accept", any_length)]
 
 
 def deliver_half() -> list[Patch]:
