--- a/sequoiabridge/store/upload_chunks.py
+++ b/sequoiabridge/store/upload_chunks.py
@@ -14,22 +14,22 @@
 from .upload_manifest import Chunk, Manifest
 from .upload_table import RetryBackoff
 
-PUT_TIMEOUT = 30.0
+OBJECT_TIMEOUT = 30.0
 """Seconds for one call to the object store."""
 
 DELETE_TIMEOUT = 5.0
 """Seconds for one removal, which waits for all other writes; the clean-up tries again."""
 
 
-HASH_STEP = 256 * 1024
+HASH_BLOCK_SIZE = 256 * 1024
 """Bytes hashed in one go; other tasks run in between."""
 
 
-BeforeEach = Callable[[], Awaitable[None]]
+BeforeChunkRead = Callable[[], Awaitable[None]]
 """Called before each chunk that is read back."""
 
 
-class UploadCut(CallerGone):
+class DeliveryAborted(CallerGone):
     """A delivery's body ended early: a chunk is missing or damaged, or the lease was lost."""
 
 
@@ -43,7 +43,7 @@
         self.digest = digest
 
 
-class Cutter:
+class BodyChunker:
     """Cuts a body into pieces of a given size; holds one piece at a time.
 
     Hashes bytes as they come and lets other tasks run between steps: a body that comes faster
@@ -54,42 +54,42 @@
         gone: Why the body was cut short (caller left, or was too slow), once it was.
     """
 
-    __slots__ = ("body", "sleep", "rest", "whole", "gone", "held")
+    __slots__ = ("body", "sleep", "unread", "body_hash", "read_error", "bytes_since_yield")
 
     def __init__(self, body: Body | None, sleep=curio.sleep):
         self.body = body
         self.sleep = sleep
-        self.held = 0
-        self.rest = b""
-        self.whole = hashlib.sha256()
-        self.gone: CallerGone | Refusal | None = None
+        self.bytes_since_yield = 0
+        self.unread = b""
+        self.body_hash = hashlib.sha256()
+        self.read_error: CallerGone | Refusal | None = None
 
-    async def take(self, size: int) -> Piece:
+    async def next_piece(self, size: int) -> Piece:
         """Return the next `size` bytes; fewer only at the end or when `gone` is set."""
         parts, missing, digest = [], size, hashlib.sha256()
         while missing:
-            data = self.rest or await self._read()
+            data = self.unread or await self._read()
             if not data:
                 break
-            part, self.rest = data[:missing], data[missing:]
+            part, self.unread = data[:missing], data[missing:]
             digest.update(part)
-            self.whole.update(part)
+            self.body_hash.update(part)
             parts.append(part)
             missing -= len(part)
         return Piece(b"".join(parts), digest.digest())
 
     async def _read(self) -> bytes:
-        if self.body is None or self.gone is not None:
+        if self.body is None or self.read_error is not None:
             return b""
-        if self.held >= HASH_STEP:
-            self.held = 0
+        if self.bytes_since_yield >= HASH_BLOCK_SIZE:
+            self.bytes_since_yield = 0
             await self.sleep(0)
         try:
             data = await self.body.read()
         except (CallerGone, Refusal) as error:
-            self.gone = error
+            self.read_error = error
             return b""
-        self.held += len(data)
+        self.bytes_since_yield += len(data)
         return data
 
 
@@ -108,7 +108,7 @@
         name = chunk_name(upload, chunk)
         backoff = self.new_backoff(deadline)
         while True:
-            match await self.objects.put(name, data, backoff.timeout(PUT_TIMEOUT)):
+            match await self.objects.put(name, data, backoff.timeout(OBJECT_TIMEOUT)):
                 case Result(tag="ok"):
                     return
                 case Result(error=error):
@@ -123,44 +123,48 @@
         name = chunk_name(upload, chunk)
         backoff = self.new_backoff(deadline)
         while True:
-            match await self.objects.get(name, backoff.timeout(PUT_TIMEOUT)):
+            match await self.objects.get(name, backoff.timeout(OBJECT_TIMEOUT)):
                 case Result(tag="ok", ok=data):
-                    await self._check(name, chunk, data)
+                    await self._verify(name, chunk, data)
                     return data
                 case Result(error=error):
                     if not await backoff.wait():
                         raise StoreUnavailable(f"{error.message}; the delivery is tried again")
 
-    async def digest(
-        self, manifest: Manifest, before_each: BeforeEach | None = None, deadline: float = inf
+    async def compute_digest(
+        self, manifest: Manifest, before_chunk: BeforeChunkRead | None = None, deadline: float = inf
     ) -> str:
         """Return the SHA-256 of all committed chunks, in hexadecimal."""
         whole = hashlib.sha256()
         for chunk in manifest.chunks:
-            if before_each is not None:
-                await before_each()
+            if before_chunk is not None:
+                await before_chunk()
             await self._hash(await self.get(manifest.id, chunk, deadline), whole)
         return whole.hexdigest()
 
-    async def _check(self, name: str, chunk: Chunk, data: bytes | None) -> None:
+    async def _verify(self, name: str, chunk: Chunk, data: bytes | None) -> None:
         if data is None:
-            raise UploadCut(f"chunk {name} is not in the object store; look at the upload's state")
+            raise DeliveryAborted(
+                f"chunk {name} is not in the object store; look at the upload's state"
+            )
         digest = hashlib.sha256()
         await self._hash(data, digest)
         if len(data) != chunk.length or digest.digest() != chunk.digest:
-            raise UploadCut(f"chunk {name} is damaged; its content in the object store has changed")
+            raise DeliveryAborted(
+                f"chunk {name} is damaged; its content in the object store has changed"
+            )
 
     async def _hash(self, data: bytes, digest) -> None:
         """Hash in steps, so that calls are not held up by a whole chunk."""
         view = memoryview(data)
-        for start in range(0, len(data), HASH_STEP):
+        for start in range(0, len(data), HASH_BLOCK_SIZE):
             if start:
                 await self.sleep(0)
-            digest.update(view[start : start + HASH_STEP])
+            digest.update(view[start : start + HASH_BLOCK_SIZE])
 
-    async def names(self, after: str, limit: int) -> list[str]:
+    async def list_names(self, after: str, limit: int) -> list[str]:
         """Return up to `limit` names of chunks of all uploads, in order, over `after`."""
-        match await self.objects.names(CHUNK_PREFIX, after, limit, PUT_TIMEOUT):
+        match await self.objects.names(CHUNK_PREFIX, after, limit, OBJECT_TIMEOUT):
             case Result(tag="ok", ok=names):
                 return names
             case Result(error=error):
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -16,7 +16,7 @@
 from ..logs import get_log
 from ..pipeline.exchange import Body
 from ..timers import Clock
-from .upload_chunks import UploadCut
+from .upload_chunks import DeliveryAborted
 from .upload_index import WORK_PREFIX, UploadEntry, chunk_name
 from .upload_manifest import (
     WAITING,
@@ -125,7 +125,7 @@
         try:
             self.current = await self.deliverer.renew(self.current, self.current.manifest.digest)
         except UploadConflict as error:
-            raise UploadCut(str(error)) from error
+            raise DeliveryAborted(str(error)) from error
 
 
 class UploadDeliverer(Component):
@@ -243,7 +243,7 @@
         body = ChunkBody(self, current)
         try:
             if not manifest.digest:
-                digest = await self.uploads.chunks.digest(manifest, body.renew)
+                digest = await self.uploads.chunks.compute_digest(manifest, body.renew)
                 body.current = await self.renew(body.current, digest)
             sent = await self.send(body.current.manifest, body)
         except SequoiaError as error:
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -97,7 +97,7 @@
                 self.removed += 1
 
     async def _names(self) -> list[str]:
-        names = await self.uploads.chunks.names(self.cursors[CHUNK_PREFIX], self.batch)
+        names = await self.uploads.chunks.list_names(self.cursors[CHUNK_PREFIX], self.batch)
         self.cursors[CHUNK_PREFIX] = names[-1] if len(names) == self.batch else ""
         return names
 
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -9,7 +9,7 @@
 
 from ..exceptions import StoreUnavailable
 from ..pipeline.exchange import Body, RawHeaders
-from .upload_chunks import Cutter, Piece
+from .upload_chunks import BodyChunker, Piece
 from .upload_manifest import (
     Chunk,
     Manifest,
@@ -121,7 +121,7 @@
         self.uploads = uploads
         self.current = current
         self.incoming = incoming
-        self.cutter = Cutter(incoming.body, uploads.chunks.sleep)
+        self.chunker = BodyChunker(incoming.body, uploads.chunks.sleep)
         self.start_offset = incoming.offset or 0
         self.pending: list[Chunk] = []
         self.committed_at = uploads.clock.now()
@@ -134,7 +134,7 @@
 
     async def run(self) -> UploadResult:
         """Take the whole body and accept the upload."""
-        await compare_body(self.cutter, self.current.manifest, self.start_offset)
+        await compare_body(self.chunker, self.current.manifest, self.start_offset)
         try:
             return await self._write_all()
         except curio.CancelledError:
@@ -152,13 +152,13 @@
         return await self._accept()
 
     async def _write_chunk(self) -> bool:
-        piece = await self.cutter.take(self.uploads.chunk_size)
+        piece = await self.chunker.next_piece(self.uploads.chunk_size)
         if piece.data:
             self._check_size(len(piece.data))
             await self._store_piece(piece)
-        if self.cutter.gone is not None:
+        if self.chunker.read_error is not None:
             await self._try_commit(self.uploads.retry_timeout)
-            raise self.cutter.gone
+            raise self.chunker.read_error
         return len(piece.data) == self.uploads.chunk_size
 
     async def _store_piece(self, piece: Piece) -> None:
@@ -228,11 +228,11 @@
     async def _content_digest(self) -> str:
         """SHA-256 of the whole if it is known cheaply or was announced, else ""."""
         announced = self.incoming.digest
-        digest = self.cutter.whole.hexdigest() if self.start_offset == 0 else ""
+        digest = self.chunker.body_hash.hexdigest() if self.start_offset == 0 else ""
         if announced and not digest:
             if self.pending:
                 await self._commit(self.uploads.retry_timeout)
-            digest = await self.uploads.chunks.digest(
+            digest = await self.uploads.chunks.compute_digest(
                 self.current.manifest, deadline=self.incoming.deadline
             )
         if announced and announced != digest:
@@ -255,7 +255,7 @@
         raise UploadConflict(f"upload {manifest.id} was taken over; ask for its offset and resume")
 
 
-async def compare_body(cutter: Cutter, manifest: Manifest, start: int) -> None:
+async def compare_body(chunker: BodyChunker, manifest: Manifest, start: int) -> None:
     """Compare the body, which begins at `start`, with the chunks that are committed from there.
 
     Costs no call to the store. Raises `UploadKeyReused` if they differ. `start` must be where a
@@ -264,8 +264,8 @@
     for chunk in manifest.chunks:
         if chunk.offset < start:
             continue
-        piece = await cutter.take(chunk.length)
-        if cutter.gone is not None:
-            raise cutter.gone
+        piece = await chunker.next_piece(chunk.length)
+        if chunker.read_error is not None:
+            raise chunker.read_error
         if piece.digest != chunk.digest:
             raise UploadKeyReused(f"the body differs from upload {manifest.id}; use another key")
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -13,7 +13,7 @@
 from ..component import Component
 from ..timers import Clock
 from .base import ObjectStore, TableService
-from .upload_chunks import ChunkStore, Cutter
+from .upload_chunks import BodyChunker, ChunkStore
 from .upload_index import HELD_PREFIX, OPEN_PREFIX, WORK_PREFIX, UploadEntry
 from .upload_manifest import (
     Manifest,
@@ -219,11 +219,11 @@
     async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
         """Answer for an upload that is accepted already, after comparing the content."""
         if not incoming.digest or incoming.digest != manifest.digest:
-            cutter = Cutter(incoming.body, self.chunks.sleep)
-            await compare_body(cutter, manifest, incoming.offset or 0)
-            more = await cutter.take(1)
-            if cutter.gone is not None:
-                raise cutter.gone
+            chunker = BodyChunker(incoming.body, self.chunks.sleep)
+            await compare_body(chunker, manifest, incoming.offset or 0)
+            more = await chunker.next_piece(1)
+            if chunker.read_error is not None:
+                raise chunker.read_error
             if more.data:
                 raise UploadKeyReused(f"the body is longer than upload {manifest.id}; new key")
         return UploadResult(manifest, replayed=True)
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -220,7 +220,7 @@
 
 def accept_half() -> list[Patch]:
     async def write_chunk(self) -> bool:
-        piece = await self.cutter.take(self.uploads.chunk_size)
+        piece = await self.chunker.next_piece(self.uploads.chunk_size)
         if piece.data:
             await self._store_piece(piece)
         return len(piece.data) == self.uploads.chunk_size
