--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -89,34 +89,34 @@
     Renews the lease as it goes and ends with `UploadCut` when the lease is someone else's.
     """
 
-    __slots__ = ("deliverer", "current", "next", "chunk", "at", "complete")
+    __slots__ = ("deliverer", "current", "next_index", "chunk", "position", "complete")
 
     def __init__(self, deliverer: "UploadDeliverer", current: VersionedManifest):
         self.deliverer = deliverer
         self.current = current
-        self.next = 0
+        self.next_index = 0
         self.chunk = b""
-        self.at = 0
+        self.position = 0
         self.complete = not current.manifest.chunks
 
     async def read(self) -> bytes:
         await self.renew()
-        if self.at == len(self.chunk) and not await self._next_chunk():
+        if self.position == len(self.chunk) and not await self._load_next_chunk():
             return b""
-        piece = self.chunk[self.at : self.at + PIECE]
-        self.at += len(piece)
+        piece = self.chunk[self.position : self.position + PIECE]
+        self.position += len(piece)
         return piece
 
-    async def _next_chunk(self) -> bool:
+    async def _load_next_chunk(self) -> bool:
         manifest = self.current.manifest
         # Let go of the old chunk first: one is held at a time.
-        self.chunk, self.at = b"", 0
-        if self.next == len(manifest.chunks):
+        self.chunk, self.position = b"", 0
+        if self.next_index == len(manifest.chunks):
             self.complete = True
             return False
-        chunk = manifest.chunks[self.next]
+        chunk = manifest.chunks[self.next_index]
         self.chunk = await self.deliverer.uploads.chunks.get(manifest.id, chunk)
-        self.next += 1
+        self.next_index += 1
         self.deliverer.progress[manifest.id] = chunk.offset + chunk.length
         return True
 
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -233,7 +233,7 @@
 
 
 def deliver_half() -> list[Patch]:
-    request, next_chunk = upload_sender.delivery_request, ChunkBody._next_chunk
+    request, next_chunk = upload_sender.delivery_request, ChunkBody._load_next_chunk
 
     def without_digest(manifest, body):
         made = request(manifest, body)
@@ -242,14 +242,14 @@
         return made
 
     async def first_only(self) -> bool:
-        if self.next == 0:
+        if self.next_index == 0:
             return await next_chunk(self)
-        self.chunk, self.at, self.complete = b"", 0, True
+        self.chunk, self.position, self.complete = b"", 0, True
         return False
 
     return [
         (upload_sender, "delivery_request", without_digest),
-        (ChunkBody, "_next_chunk", first_only),
+        (ChunkBody, "_load_next_chunk", first_only),
     ]
 
 
