--- a/sequoiabridge/pipeline/__init__.py
+++ b/sequoiabridge/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""The filters that a call passes through, in order."""
+"""Filters that each call passes through, and the dispatch of calls to upstreams."""
--- a/sequoiabridge/pipeline/admit.py
+++ b/sequoiabridge/pipeline/admit.py
@@ -1,4 +1,4 @@
-"""Filter: waits for a place in the service's queue, or refuses early."""
+"""Filter that admits calls, queues them, or refuses those that cannot be answered in time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 }
 
 EXPIRE_INTERVAL = 0.02
-"""Seconds between two looks for queued calls that can no longer be answered in time."""
+"""Seconds between checks for queued calls that can no longer be answered in time."""
 
 UPSTREAM_REASONS = frozenset({Reason.TIMEOUT, Reason.UPSTREAM_FAILED, Reason.UPSTREAM_SHED})
-"""Refusals that say that the upstreams have too much to do, or are in trouble."""
+"""Reasons of refusals that upstreams caused; they count as failures in the admission control."""
 
 
 class QueuedCall:
-    """A queued call: its task waits for `event`; `refused` says how it ended."""
+    """A queued call: its task waits for `event`; `refused` is set if it was not admitted."""
 
     __slots__ = ("state", "event", "refused")
 
@@ -37,7 +37,7 @@
 
 
 class Admit(Filter):
-    """Edge of `policy.admission`: parks the task of a queued call until its ticket's turn."""
+    """Applies the decisions of `policy.admission`; suspends the task of a queued call."""
 
     __slots__ = ("services", "clock", "tickets", "queued_calls", "expiry_timer")
 
@@ -51,7 +51,7 @@
         self.expiry_timer: OnDemandTimer | None = None
 
     def subscribe(self, timers: Timers) -> None:
-        """Look for calls that wait in vain, while any call waits."""
+        """Check for expired calls periodically while any call is queued."""
         needed = self.queued_calls.__len__
         self.expiry_timer = OnDemandTimer(timers, EXPIRE_INTERVAL, "admission", self.expire, needed)
 
@@ -84,7 +84,7 @@
         return state.queue.release(ticket, now, now - ticket.admitted_at, refusal is None)
 
     async def expire(self) -> None:
-        """Refuse the queued calls that can no longer be answered in time; a timer calls this."""
+        """Refuse the queued calls that can no longer be answered in time."""
         now = self.clock.now()
         for state in {call.state for call in self.queued_calls.values()}:
             await self._wake(state.queue.expire(now), refused=True)
@@ -96,7 +96,7 @@
         try:
             await call.event.wait()
         except BaseException:
-            # The caller has gone; a place that it was just given goes to the next.
+            # The caller disconnected; if its call was just admitted, admit the next one instead.
             await self._wake(state.queue.abandon(ticket, self.clock.now()), refused=False)
             raise
         finally:
@@ -105,7 +105,7 @@
             raise _refusal(Reason.CANNOT_MEET_WINDOW, DEFAULT_RETRY_AFTER)
 
     async def _refuse_displaced(self, state: ServiceState) -> None:
-        """Answer at once those whose place in the queue another call took."""
+        """Refuse the calls that another call displaced from the queue."""
         if state.queue.displaced:
             await self._wake(state.queue.expire(self.clock.now()), refused=True)
 
--- a/sequoiabridge/pipeline/attempt.py
+++ b/sequoiabridge/pipeline/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt at one upstream: connect, send, wait for the head, take in a small body.
+"""One attempt of a call at one upstream: connect, send, read the head and a small body.
 
-An attempt may be cancelled while it waits and run again: it goes on where it was. This is how a
-call is hedged without a task of its own for each ordinary call.
+`Attempt.run` can be cancelled while it waits and called again to continue. A call therefore runs
+in one task until it is hedged.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from .exchange import Answer, BytesBody, Exchange
 
 MAX_TRUSTED_IDLE_SECONDS = 0.25
-"""Seconds since a connection last spoke up to which unrepeatable work is trusted to it."""
+"""Maximum idle seconds of a connection that is reused for a call that is not idempotent."""
 
 MIN_DEADLINE_MS = 1
-"""Least deadline passed on, in milliseconds; 0 would mean none to some servers."""
+"""Minimum deadline passed on, in milliseconds; some servers take 0 for no deadline."""
 
 REPLACED_HEADERS = frozenset(
     {headers.DEADLINE, headers.UPLOAD_ID, headers.UPLOAD_OFFSET, headers.UPLOAD_DIGEST}
 )
-"""Request headers that are not passed on as the caller sent them: uploads are named by daemons."""
+"""Request headers that are removed, or replaced by the daemon's own values."""
 
 NOT_RUN_VALUE = b"1"
 
 
 class AnswerMetadata:
-    """What an upstream said beside its answer; `drain` is its incarnation, or None."""
+    """An answer's headers for the daemon; `drain` is the draining incarnation, or None."""
 
     __slots__ = ("load", "drain", "not_run")
 
@@ -42,10 +42,14 @@
 
 
 class Attempt:
-    """One attempt; `run` may be called again after a cancellation if `resumable`.
-
-    `sent` is true once a byte may have reached the upstream. `started` and `answered_at` are times
-    on the daemon's clock. `was_silent` says how long the connection had been silent before.
+    """One attempt; `run` may be called again after a cancellation if it is `resumable`.
+
+    Attributes:
+        fresh: Whether a new connection must be opened.
+        sending: Whether the request is being sent.
+        sent: Whether a byte may have reached the upstream.
+        started, answered_at: Times on the daemon's clock, in seconds.
+        idle_seconds: How long the connection had been idle before the attempt.
     """
 
     __slots__ = (
@@ -90,14 +94,14 @@
 
     @property
     def resumable(self) -> bool:
-        """True unless it was interrupted while the request was being sent."""
+        """True unless the attempt was interrupted while the request was being sent."""
         return not self.sending
 
     async def run(self) -> Answer:
-        """Go on until the answer is at hand: its head, and its body if that is small.
+        """Run, or continue, until the answer's head and a small body have been read.
 
         Raises:
-            UpstreamFailed: The attempt is over; call `abandon`.
+            UpstreamFailed: The attempt failed; call `abandon`.
         """
         if self.connection is None:
             await self._connect()
@@ -111,7 +115,7 @@
         return answer
 
     async def abandon(self) -> None:
-        """Give the attempt up: its connection is closed, which cancels it at the upstream."""
+        """Close the connection, which cancels the request at the upstream."""
         if self.connection is None:
             return
         connection, self.connection = self.connection, None
@@ -119,7 +123,7 @@
         await self.connector.release(connection)
 
     async def finish(self) -> None:
-        """Give the connection back after a whole answer without a body."""
+        """Release the connection after a complete answer."""
         if self.connection is None:
             return
         connection, self.connection = self.connection, None
@@ -139,7 +143,7 @@
 
     async def _send(self) -> None:
         if self.clock.now() >= self.exchange.deadline:
-            # After a pause of this VM the claim may be in other hands: nothing leaves any more.
+            # If this VM was paused, another VM may have claimed the key: send nothing any more.
             raise UpstreamFailed("The deadline has passed.", sent=False, timed_out=True)
         self.sending = True
         self.sent = True
@@ -173,7 +177,7 @@
         return answer
 
     def _record_metadata(self, field: tuple[bytes, bytes]) -> None:
-        """Take in a header by which the upstream speaks to the daemon."""
+        """Record a header of the answer that is meant for the daemon."""
         name, value = field
         if name == headers.LOAD:
             self.metadata.load = parse_load(value)
@@ -188,11 +192,11 @@
             while piece := await body.read():
                 self.pieces.append(piece)
             self.answer.body = BytesBody(b"".join(self.pieces))
-        # The body gave the connection back when it ended.
+        # The body released the connection when it ended.
         await self.finish()
 
     def mark_not_run(self) -> None:
-        """Take back that the request may have run: nothing was sent, or the upstream said so."""
+        """Record that the request did not run: nothing was sent, or the upstream reported it."""
         if self.sent:
             self.sent = False
             self.exchange.unproven_attempts -= 1
--- a/sequoiabridge/pipeline/attempt_recorder.py
+++ b/sequoiabridge/pipeline/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the evidence on upstreams true: each attempt that began ends in exactly one entry."""
+"""Records the result of each attempt in the pool, the budgets and the observer, exactly once."""
 
 from __future__ import annotations
 
@@ -16,57 +16,57 @@
 from .services import ServiceState
 
 REACHABLE_TIMEOUT = 0.05
-"""Seconds in which an upstream that lives opens a connection; it takes about 1 ms."""
+"""Seconds within which a running upstream accepts a connection."""
 
 MIN_SUSPECT_IDLE_SECONDS = 1.0
-"""Seconds of silence before a request after which an unanswering connection's mates are closed."""
+"""Minimum idle seconds of a connection without an answer after which the others are closed."""
 
 
 class Observer(ABC):
-    """Hears what upstreams did to calls, for what is shared with other VMs.
+    """Receives events of upstreams and calls, to share them with peers.
 
-    Hooks are called on the request path: they must be quick and must not raise.
+    Methods are called on the request path: they must be fast and must not raise.
     """
 
     @abstractmethod
     def record_drain(self, upstream: str, incarnation: int) -> None:
-        """An upstream said for the first time that it is leaving."""
+        """Record that an upstream reported for the first time that it is draining."""
 
     @abstractmethod
     def record_return(self, upstream: str, incarnation: int) -> None:
-        """An upstream that was leaving said with a newer incarnation that it is back."""
+        """Record that a drained upstream is healthy again with a newer incarnation."""
 
     @abstractmethod
     def record_failure(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
-        """An attempt ended without a usable answer."""
+        """Record that an attempt ended without a usable answer."""
 
     @abstractmethod
     def record_crash(self, exchange: Exchange, upstream: str) -> None:
-        """An upstream died while it had the call: it takes no new connection either."""
+        """Record that an upstream crashed during a call: it accepts no new connection."""
 
     @abstractmethod
     def record_upload_crash(self, service: str, upload: str, upstream: str) -> None:
-        """An upstream died while an accepted upload was being delivered to it."""
+        """Record that an upstream crashed while an upload was being delivered to it."""
 
     @abstractmethod
     def record_answer(self, exchange: Exchange) -> None:
-        """A call was answered whole, while some requests are suspected of crashing upstreams."""
+        """Record that a call was answered; called only while there are crash suspects."""
 
     @abstractmethod
     def record_retry(self, service: str, hedge: bool) -> None:
-        """A call was sent once more."""
+        """Record a retry or a hedge."""
 
 
 def apply_drain(
     state: ServiceState, observer: Observer, upstream: str, incarnation: int | None, now: float
 ) -> None:
-    """Take in an upstream's word that it is leaving, if any; tell the fleet if that is news."""
+    """Drain an upstream that reports it; notify the observer if the drain is new."""
     if incarnation is not None and state.pool.drain(upstream, incarnation, now):
         observer.record_drain(upstream, incarnation)
 
 
 class RecordedBody(Body):
-    """An answer's body that is still coming; its end is what ends the attempt."""
+    """An answer's body that is still being received; its end is recorded as that of the attempt."""
 
     __slots__ = ("body", "recorder", "state", "attempt", "ended")
 
@@ -99,7 +99,7 @@
 
 
 class AttemptRecorder:
-    """Tells the pool's evidence, the retry budget and the observer how attempts end."""
+    """Records attempts in the pool, the retry budget, the hedging delay and the observer."""
 
     __slots__ = ("connector", "clock", "observer")
 
@@ -109,17 +109,17 @@
         self.observer = observer
 
     def record_start(self, state: ServiceState, attempt: Attempt) -> None:
-        """An attempt is about to connect."""
+        """Record that an attempt is about to connect."""
         attempt.exchange.attempts += 1
         state.pool.record_send(attempt.upstream, attempt.started)
 
     async def record_answer_head(
         self, state: ServiceState, attempt: Attempt, answer: Answer
     ) -> Answer:
-        """Take in an answer's head; its body may still be coming.
+        """Record an answer whose body may still be incomplete, and return it.
 
         Raises:
-            UpstreamFailed: The upstream said that it did not run the request.
+            UpstreamFailed: The upstream reported that it did not run the request.
         """
         self._apply_drain(state, attempt)
         if attempt.metadata.not_run:
@@ -132,7 +132,7 @@
         return answer
 
     def record_success(self, state: ServiceState, attempt: Attempt) -> None:
-        """A whole answer came."""
+        """Record a complete answer."""
         elapsed = attempt.answered_at - attempt.started
         now = self.clock.now()
         status = attempt.answer.status
@@ -145,7 +145,7 @@
     async def record_failure(
         self, state: ServiceState, attempt: Attempt, error: UpstreamFailed
     ) -> None:
-        """An attempt broke or stayed silent."""
+        """Record that an attempt failed or timed out."""
         await attempt.abandon()
         self._apply_drain(state, attempt)
         if not error.sent:
@@ -158,26 +158,26 @@
             await self._detect_crash(attempt)
 
     async def record_cancellation(self, state: ServiceState, attempt: Attempt) -> None:
-        """The daemon gave the attempt up; the upstream is not to blame."""
+        """Record that the daemon cancelled an attempt, which is no failure of the upstream."""
         await attempt.abandon()
         self._apply_drain(state, attempt)
         await self._record_end(state, attempt, Failure.CANCELLED)
 
     async def close_idle_connections(self, attempt: Attempt) -> None:
-        """Close the idle connections of an upstream whose long silent connection did not answer."""
+        """Close an upstream's older idle connections if a long idle one gave no answer."""
         if attempt.idle_seconds < MIN_SUSPECT_IDLE_SECONDS:
             return
         await self.connector.suspect(attempt.upstream.address, attempt.started)
 
     def _apply_drain(self, state: ServiceState, attempt: Attempt) -> None:
-        """Take in that an upstream is leaving, also from an answer that did not come whole."""
+        """Apply a drain that an answer reported, even if the answer was incomplete."""
         upstream, incarnation = attempt.upstream.name, attempt.metadata.drain
         apply_drain(state, self.observer, upstream, incarnation, self.clock.now())
 
     async def _detect_crash(self, attempt: Attempt) -> None:
-        """Tell a death from a lost connection: a dead upstream takes no new connection.
+        """Record a crash if the upstream accepts no new connection.
 
-        Only a call that may be sent again waits for this; any other has its answer at once.
+        Only idempotent calls wait for the result, since it decides about their retries.
         """
         if attempt.exchange.rule.idempotent:
             await self._record_if_unreachable(attempt)
--- a/sequoiabridge/pipeline/base.py
+++ b/sequoiabridge/pipeline/base.py
@@ -1,22 +1,22 @@
-"""The base class of filters; the pipeline itself is in `pipeline.pipeline`."""
+"""Base class of the filters that `pipeline.pipeline` runs."""
 
 from abc import ABC
 
 from .exchange import Exchange
 
 DEFAULT_RETRY_AFTER = 1.0
-"""Seconds after which a caller may come back when nothing better is known."""
+"""Seconds after which a caller may retry, if there is no better estimate."""
 
 
 class Filter(ABC):  # noqa: B024
-    """One step of the pipeline with one job.
+    """One step of the pipeline.
 
     Hooks, all optional:
-        enter: Called on the way in, in order. Raise `Refusal` to end the call with an answer of
-            the daemon's own; set `exchange.answer` to end it with an answer at hand (a replay).
-        leave: Called on the way out in reverse order, for each filter whose `enter` returned,
-            always, after the answer has been sent or given up. Must not raise. `clean` says
-            whether the caller got the whole answer.
+        enter: Called for each call, in the order of the filters. Raise `Refusal` to reject the
+            call; set `exchange.answer` to answer it without an upstream.
+        leave: Called in reverse order for each filter whose `enter` returned, once the answer has
+            been sent or abandoned. Must not raise. `clean` is true if the caller received the
+            whole answer.
     """
 
     __slots__ = ()
@@ -24,7 +24,7 @@
     name = "filter"
 
     async def enter(self, exchange: Exchange) -> None:  # noqa: B027
-        """Do this filter's job on the way in."""
+        """Process a call before it is dispatched."""
 
     async def leave(self, exchange: Exchange, clean: bool) -> None:  # noqa: B027
-        """Clean up or record on the way out."""
+        """Release resources or record the result after the call."""
--- a/sequoiabridge/pipeline/buffering.py
+++ b/sequoiabridge/pipeline/buffering.py
@@ -1,4 +1,4 @@
-"""Filter: takes small request bodies into memory, so that no slow caller holds an upstream."""
+"""Filter that reads small request bodies into memory, so that slow callers occupy no upstream."""
 
 from hashlib import sha256
 
@@ -6,16 +6,16 @@
 from .exchange import BytesBody, Exchange
 
 MAX_BUFFERED_BYTES = 64 * 1024
-"""Bytes up to which a body is kept in memory: it can be sent again, and has a digest."""
+"""Maximum size of a body that is buffered in memory; only buffered bodies can be retried."""
 
 
 class ReplayableBody(BytesBody):
-    """A whole body in memory that may be read again after `rewind`."""
+    """A buffered body that can be read again after `rewind`."""
 
     __slots__ = ()
 
     def rewind(self) -> None:
-        """Start again from the first byte."""
+        """Restart reading at the first byte."""
         self.data = self.whole
 
     def digest(self) -> str:
@@ -24,7 +24,7 @@
 
 
 class Buffering(Filter):
-    """Reads a body of known, small size before anything is decided about the call."""
+    """Buffers a body of known size up to `MAX_BUFFERED_BYTES`."""
 
     __slots__ = ()
 
--- a/sequoiabridge/pipeline/claiming.py
+++ b/sequoiabridge/pipeline/claiming.py
@@ -1,4 +1,4 @@
-"""Filter: work that must not run twice is claimed in the table before its first byte leaves."""
+"""Filter that claims the idempotency key of a call in the store before the call is sent."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 log = get_log("claiming")
 
 MAX_REPLAY_BYTES = 16 * 1024
-"""Bytes up to which an answer is kept for replay."""
+"""Maximum size of an answer's body that is stored for replay, in bytes."""
 
 NO_BODY_DIGEST = ""
 STREAMED_BODY_DIGEST = "streamed"
-"""Digest of a body that is too large to be kept in memory; two such bodies are not compared."""
+"""Stands for the digest of a streamed body; two streamed bodies are not compared."""
 
 
 class Claiming(Filter):
-    """Guards calls that carry an idempotency key under a rule that is not idempotent."""
+    """Ensures that calls with a key, of rules that are not idempotent, run at most once."""
 
     __slots__ = ("claims",)
 
@@ -59,7 +59,7 @@
         raise refusal(result)
 
     async def leave(self, exchange: Exchange, clean: bool) -> None:
-        """Record the outcome in the background: no caller waits for it."""
+        """Record the outcome in the background, so that the caller does not wait for the store."""
         if exchange.claim is not None:
             await curio.spawn(self._record_outcome(exchange), daemon=True)
 
@@ -85,7 +85,7 @@
 
 
 def body_digest(exchange: Exchange) -> str:
-    """Return what tells the request's body from another under the same key."""
+    """Return the digest by which a request's body is compared with others under the same key."""
     body = exchange.request.body
     if body is None:
         return NO_BODY_DIGEST
@@ -93,7 +93,7 @@
 
 
 def replay(result: ClaimReplay, request_id: str) -> Answer:
-    """Build the answer that repeats a stored one."""
+    """Return the answer that replays a stored one."""
     fields = [
         *result.headers,
         (headers.REPLAYED, b"1"),
@@ -106,7 +106,7 @@
 
 
 def refusal(result: ClaimResult) -> Refusal:
-    """Build the refusal for a claim that was not granted."""
+    """Return the refusal for a claim that was not granted."""
     if isinstance(result, ClaimBusy):
         message = "The same key is being worked on; ask again with it for the outcome."
         return Refusal(409, Outcome.UNKNOWN, Reason.DUPLICATE, message, DEFAULT_RETRY_AFTER)
--- a/sequoiabridge/pipeline/crash_guard.py
+++ b/sequoiabridge/pipeline/crash_guard.py
@@ -1,4 +1,4 @@
-"""Filter: a request that crashed upstreams is stopped before it reaches another."""
+"""Filter that blocks requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 log = get_log("crash-stop")
 
 FINGERPRINT_LENGTH = 24
-"""Hexadecimal digits of a fingerprint: 96 bits, short enough to be typed."""
+"""Length of a fingerprint in hexadecimal digits; short enough for operators to type."""
 
 
 class CrashGuard(Filter):
-    """Refuses calls whose fingerprint is listed as crashing upstreams."""
+    """Refuses calls whose fingerprint is blocked, except for occasional trials."""
 
     __slots__ = ("services", "clock")
 
@@ -38,7 +38,7 @@
             return
         fingerprint = request_fingerprint(exchange)
         if ledger.take_trial(fingerprint, now):
-            log.info("Request %s, which is stopped, is let through once as a trial.", fingerprint)
+            log.info("Allowing blocked request %s once, as a trial.", fingerprint)
             return
         message = (
             "Upstreams crashed on this request, so it is stopped; "
@@ -48,18 +48,18 @@
 
 
 def is_request_blocked(ledger: CrashLedger, exchange: Exchange, now: float) -> bool:
-    """Return whether the request may reach no more upstreams because some crashed on it."""
-    # Nothing stopped is the usual case, and then nothing is computed.
+    """Return whether the request is blocked because upstreams crashed on it."""
+    # Skip the fingerprint in the usual case that no request is blocked.
     return bool(ledger.blocked_fingerprints) and ledger.is_blocked(
         request_fingerprint(exchange), now
     )
 
 
 def request_fingerprint(exchange: Exchange) -> str:
-    """Return by what the same request is known again, whoever sends it to whichever VM.
+    """Return a fingerprint that identifies the request on all VMs.
 
-    The idempotency key where there is one, else method, path and the body's digest (its length
-    when it is streamed).
+    It is made from caller and idempotency key if there is a key, else from method, path and body
+    (its length if it is streamed).
     """
     if exchange.fingerprint is None:
         exchange.fingerprint = _compute_fingerprint(exchange)
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -1,8 +1,4 @@
-"""Sends a call to an upstream: choose, connect, send, wait; retry or hedge where it is allowed.
-
-`Dispatch.run` reads top to bottom. Whether a call may be sent again is decided by
-`policy.retries`; what the caller is told follows from `Exchange.outcome`.
-"""
+"""Sends calls to upstreams, with retries and hedges where `policy.retries` allows them."""
 
 from __future__ import annotations
 
@@ -30,14 +26,14 @@
 
 
 ProbeBeforeChoice = Callable[[ServiceState, Collection[str]], Awaitable[None]]
-"""Refreshes the evidence on the best candidates before a choice, if that is worth it."""
+"""Probes the best candidates before a choice, as far as the probe budget allows."""
 
 
 class Dispatch:
-    """The last step of the pipeline.
+    """The last step of the pipeline: sends a call to upstreams until one answers.
 
     Args:
-        ask_first: Called before each choice; None for never.
+        probe_before_choice: Called before each choice of an upstream; None for no probes.
     """
 
     __slots__ = ("services", "connector", "clock", "observer", "recorder", "probe_before_choice")
@@ -60,7 +56,7 @@
     async def run(self, exchange: Exchange) -> Answer:
         """Return an upstream's answer, or raise the `Refusal` that ends the call.
 
-        A server error of an upstream is kept: it is the answer if no retry does better.
+        A server error of an upstream is returned if no retry brings a better answer.
         """
         state = self.services.state_of(exchange)
         self.services.record_call(state, self.clock.now())
@@ -92,7 +88,7 @@
         upstream = state.pool.choose(now, tried)
         if upstream is not None and upstream.name in tried:
             upstream = None
-        # Weighing is told in full only where somebody will ask: it costs as much as the choice.
+        # The explanation costs as much as the choice: add it only to calls worth explaining.
         if tried or upstream is None or exchange.notes is not None:
             name = upstream.name if upstream is not None else None
             exchange.note(Chosen(name, state.pool.explain(now)))
@@ -110,7 +106,7 @@
     async def _first_answer(
         self, exchange: Exchange, state: ServiceState, attempt: Attempt, tried: list[str]
     ) -> Answer:
-        """Wait for one attempt's answer; hedge when it stays silent for too long."""
+        """Wait for one attempt's answer; hedge the call after its hedging delay."""
         tried.append(attempt.upstream.name)
         hedge_at = self._hedge_at(exchange, state, attempt)
         until = min(hedge_at, exchange.deadline)
@@ -134,7 +130,7 @@
     async def _hedge(
         self, exchange: Exchange, state: ServiceState, first: Attempt, tried: list[str]
     ) -> Answer:
-        """Let a second attempt, on a new connection, race the one that stays silent."""
+        """Start a second attempt on a new connection and return the first answer of both."""
         attempts = [first]
         upstream = state.pool.choose(self.clock.now(), tried)
         remaining = exchange.deadline - self.clock.now()
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -1,4 +1,4 @@
-"""Asks upstreams that left whether they are back, and those that fail calls whether they leave."""
+"""Probes drained upstreams for their return, and upstreams that fail calls for a drain."""
 
 from __future__ import annotations
 
@@ -10,31 +10,30 @@
 from .services import Services, ServiceState
 
 DRAINED_PROBE_INTERVAL = 2.0
-"""Seconds between two questions to one upstream, by the whole fleet together."""
+"""Seconds between probes of a drained upstream, by the whole fleet together."""
 
 PROBE_TIMEOUT = 0.5
-"""Seconds that an answer may take."""
+"""Maximum duration of a probe, in seconds."""
 
 FAILED_PROBE_INTERVAL = 0.5
-"""Seconds between two looks at which upstreams failed calls."""
+"""Seconds between checks for upstreams that failed calls."""
 
 UNPAID_PROBE_INTERVAL = 60.0
-"""Seconds between two questions to one upstream of a service whose budget is 0."""
+"""Seconds between probes of a drained upstream of a service without a probe budget."""
 
 MAX_PROBED_AT_ONCE = 16
-"""Upstreams that one VM asks in one look."""
+"""Maximum number of upstreams that one VM probes in one round."""
 
 
 class DrainChecker:
-    """Ends a drain when the upstream itself says that it is back.
+    """Ends the drain of an upstream that is back, and detects drains of upstreams that fail calls.
 
-    Only a healthy answer with a newer incarnation does so: an answer without one may be late, or
-    be made by a health endpoint that lags. The service's budget of measuring pays for the
-    questions; where that is 0, each upstream is asked once in `UNPAID_EVERY` seconds, or it would
-    never get work again. The VMs share the questions out by chance.
+    Only a healthy answer with a newer incarnation ends a drain; one without may be outdated. Each
+    VM probes a random share of the drained upstreams. Probes take tokens of the service's probe
+    budget; without a budget, each upstream is probed once per `UNPAID_PROBE_INTERVAL`.
 
-    An upstream whose answers are lost cannot say that it leaves. It is asked once after a failure
-    of this VM's own calls, if that is paid; its word is taken in as from any answer.
+    An upstream whose answers are lost cannot report a drain with them. It is therefore probed once
+    after a failed call of this VM, if the probe budget allows.
     """
 
     __slots__ = ("services", "prober", "observer", "clock")
@@ -46,7 +45,7 @@
         self.clock = clock
 
     def subscribe(self, timers: Timers) -> None:
-        """Ask from time to time."""
+        """Probe drained upstreams periodically, and failed ones while any service is busy."""
         timers.every(DRAINED_PROBE_INTERVAL, "returning upstreams", self.probe_drained)
         needed = self.services.busy.__len__
         timer = OnDemandTimer(
@@ -55,7 +54,7 @@
         self.services.on_busy.append(timer.wake)
 
     async def probe_drained(self) -> None:
-        """Ask this VM's share of the upstreams that left."""
+        """Probe this VM's share of the drained upstreams."""
         share = 1.0 / max(1, self.services.live_count())
         left = [
             (state, name)
@@ -68,7 +67,7 @@
                 await curio.spawn(self.probe(state, name), daemon=True)
 
     async def probe_failed(self) -> None:
-        """Ask the upstreams that have failed a call since they were last asked."""
+        """Probe the upstreams that have failed a call since they were last probed."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
             failed = [u for u in state.pool.undrained_upstreams() if u.consecutive_failures]
@@ -93,7 +92,7 @@
         return False
 
     async def probe(self, state: ServiceState, name: str) -> None:
-        """Ask one upstream; tell the fleet if it leaves or is back."""
+        """Probe one upstream; notify the observer if it is draining or back."""
         upstream = state.pool.upstreams.get(name)
         if upstream is None:
             return
--- a/sequoiabridge/pipeline/exchange.py
+++ b/sequoiabridge/pipeline/exchange.py
@@ -1,4 +1,4 @@
-"""One call on its way through the pipeline: the request, the answer, and what was decided."""
+"""A call in the pipeline: its request, its answer and the state that filters share."""
 
 from __future__ import annotations
 
@@ -26,31 +26,30 @@
 
 
 class Body(ABC):
-    """A stream of bytes with back pressure: the next piece is read only when asked for.
+    """A stream of bytes with back pressure: the next piece is received only when it is read.
 
     Hooks:
-        read: Return the next piece, or b"" at the clean end. A body that was cut short raises
-            `CallerGone` (a request's body) or `UpstreamFailed` (an answer's body), never a
-            clean end.
-        limit: Take at most so many bytes; `read` raises `Refusal` beyond.
-        close: Give up the rest; called once the body is of no more use. May be called twice.
+        read: Return the next piece, or b"" at the end. If the body was truncated, raise
+            `CallerGone` (a request's body) or `UpstreamFailed` (an answer's body).
+        limit: Set the maximum size; `read` raises `Refusal` beyond it.
+        close: Discard the rest; called when the body is no longer needed. May be called twice.
     """
 
     __slots__ = ()
 
     @abstractmethod
     async def read(self) -> bytes:
-        """Return the next piece, b"" at the clean end."""
+        """Return the next piece, b"" at the end."""
 
     def limit(self, size: int) -> None:  # noqa: B027
-        """Take at most `size` bytes."""
+        """Accept at most `size` bytes."""
 
     async def close(self) -> None:  # noqa: B027
-        """Give up the rest of the body."""
+        """Discard the rest of the body."""
 
 
 class BytesBody(Body):
-    """A body that is in memory already; `whole` stays after it has been read."""
+    """A body in memory; `whole` keeps its bytes after it has been read."""
 
     __slots__ = ("whole", "data")
 
@@ -64,7 +63,7 @@
 
 
 class Request:
-    """The request as the caller sent it, after the HTTP layer has checked its framing.
+    """A caller's request, with its framing checked by the HTTP layer.
 
     `headers` has no hop-by-hop headers and none of `headers.RESERVED`. `length` is the body's size
     in bytes, 0 for no body, None for a chunked one. `body` is None when there is none. `exchange`
@@ -96,7 +95,7 @@
 
 
 class Answer:
-    """The answer that goes to the caller; `length` as for `Request`, None for a chunked body."""
+    """The answer to the caller; `length` is as for `Request`."""
 
     __slots__ = ("status", "headers", "length", "body")
 
@@ -108,15 +107,22 @@
 
 
 class Exchange:
-    """One call: what came in, what was decided, what goes out.
-
-    Times are on the daemon's monotonic clock, in seconds. `deadline` is the time at which the
-    answer is of no more use to the caller. `state` is the daemon's own of the service, kept even
-    if the service is removed meanwhile; ask `Services.state_of` for it. `unproven` counts the
-    attempts that may have reached an upstream that has not said that it did not run the request.
-    `body_begun` is true once an attempt has begun to read the body: a streamed one is then gone.
-    `upstream` names the one that answered; `entered` counts the filters to leave. `notes` are
-    lines, or steps that `str` turns into lines, for the journal of decisions.
+    """One call, from its arrival to its end.
+
+    Times are on the daemon's monotonic clock, in seconds.
+
+    Attributes:
+        deadline: Time after which the caller no longer needs the answer.
+        state: State of the service, kept even if the service is removed; read it with
+            `Services.state_of`.
+        unproven_attempts: Number of attempts that may have run the request: it may have reached an
+            upstream that did not report otherwise.
+        body_started: Whether an attempt has begun to read the body; a streamed body cannot be sent
+            again then.
+        upstream: Name of the upstream that answered.
+        entered_count: Number of filters to leave.
+        notes: Lines, or steps that `str` turns into lines, for the journal of decisions; None if
+            there are none yet.
     """
 
     __slots__ = (
@@ -164,11 +170,11 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What a refusal may truthfully say now about whether the request ran."""
+        """Whether the request may have run, as a refusal reports it."""
         return Outcome.UNKNOWN if self.unproven_attempts else Outcome.NOT_RUN
 
     def note(self, line: object) -> None:
-        """Add a line (or a step of `operators.steps`) to the journal of decisions."""
+        """Add a line, or a step of `operators.steps`, to the journal of decisions."""
         if self.notes is None:
             self.notes = []
         self.notes.append(line)
--- a/sequoiabridge/pipeline/hedge.py
+++ b/sequoiabridge/pipeline/hedge.py
@@ -1,4 +1,4 @@
-"""Hedging: a call that stays silent is sent to a second upstream; the first whole answer wins."""
+"""Runs the concurrent attempts of a hedged call; the first answer wins."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Race:
-    """Two attempts at one idempotent call.
+    """Concurrent attempts of one idempotent call.
 
-    The loser is cancelled by closing its connection. If both fail, the later failure is raised.
+    The loser is cancelled by closing its connection. If all fail, the last failure is raised.
     """
 
     __slots__ = ("recorder", "state", "running")
@@ -25,11 +25,11 @@
         self.running = attempts
 
     async def run(self) -> tuple[Attempt, Answer]:
-        """Return the winner and its answer; the losers are settled, unless time runs out.
+        """Return the winner and its answer, and record the results of the others.
 
         Raises:
             UpstreamFailed: Every attempt failed.
-            TaskTimeout: From the caller's own timeout; call `timed_out` then.
+            TaskTimeout: The timeout around this call expired; call `record_timeout`.
         """
         try:
             async with curio.TaskGroup() as group:
@@ -43,7 +43,7 @@
             raise
 
     async def record_timeout(self) -> None:
-        """Enter each attempt that is still silent as one that did not answer in time."""
+        """Record each running attempt as timed out."""
         for attempt in self.running:
             error = UpstreamFailed("No answer in time.", sent=attempt.sent, timed_out=True)
             await self.recorder.record_failure(self.state, attempt, error)
@@ -69,7 +69,7 @@
 
 
 async def _run_attempt(attempt: Attempt) -> tuple[Attempt, Answer | None, UpstreamFailed | None]:
-    """Run an attempt; a failure is returned, since a raised one would be logged as a crash."""
+    """Run an attempt and return a failure; curio would log a raised one as a crashed task."""
     try:
         return attempt, await attempt.run(), None
     except UpstreamFailed as error:
--- a/sequoiabridge/pipeline/identify.py
+++ b/sequoiabridge/pipeline/identify.py
@@ -1,4 +1,4 @@
-"""Filter: who calls, under which key, and until when the answer is of use."""
+"""Filter that reads the caller, the idempotency key and the deadline of a call."""
 
 from .. import headers
 from ..exceptions import Refusal
@@ -7,18 +7,18 @@
 from .exchange import Exchange
 
 MAX_KEY_LENGTH = 200
-"""Longest idempotency key, in characters."""
+"""Maximum length of an idempotency key, in characters."""
 
 MAX_DEADLINE_MS = 24 * 3600 * 1000
-"""Longest time that a caller may ask for, in milliseconds."""
+"""Maximum deadline that a caller may request, in milliseconds."""
 
 
 class Identify(Filter):
-    """Reads the caller's identity, idempotency key and deadline from the documented headers.
+    """Reads the caller's identity, idempotency key and deadline from the request headers.
 
-    Without `Sequoia-Caller` the caller is its IP number, whatever its port: a caller that
-    connects anew keeps its keys. The deadline is kept as an offset to the
-    arrival; `match.Match` bounds it by the rule's window.
+    Without `Sequoia-Caller` the caller is identified by its IP address without the port, so that
+    its keys stay valid on a new connection. `match.Match` limits the deadline to the rule's
+    window.
     """
 
     __slots__ = ()
--- a/sequoiabridge/pipeline/match.py
+++ b/sequoiabridge/pipeline/match.py
@@ -1,4 +1,4 @@
-"""Filter: which service and which rule a call falls under."""
+"""Filter that finds the service and the rule of a call."""
 
 from collections.abc import Callable
 
@@ -13,15 +13,15 @@
 KEY_IGNORED = "ignored"
 
 NOT_READY_RETRY_AFTER = 1.0
-"""Seconds after which a caller may find this VM ready, or be sent to another one."""
+"""Seconds after which a caller may retry if this VM is not ready."""
 
 
 class Match(Filter):
-    """Finds service and rule, checks that a required key is there and sets the deadline.
+    """Finds service and rule, checks the key and the body's size, and sets the deadline.
 
     Args:
-        document: Returns the configuration in force.
-        why_not_ready: Returns why this VM may not serve now, or "" if it may.
+        document: Returns the current configuration.
+        why_not_ready: Returns why this VM cannot serve calls now, or "" if it can.
     """
 
     __slots__ = ("document", "why_not_ready")
--- a/sequoiabridge/pipeline/pipeline.py
+++ b/sequoiabridge/pipeline/pipeline.py
@@ -1,4 +1,4 @@
-"""The pipeline: what happens to a call, from its head to its answer, read top to bottom."""
+"""Runs calls through the filters and dispatches them to upstreams."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestIds:
-    """Gives each call an id that no other call in the fleet has: VM, its start, a counter."""
+    """Generates fleet-wide unique request ids from VM name, incarnation and a counter."""
 
     __slots__ = ("prefix", "counter")
 
@@ -33,11 +33,11 @@
 
 
 class Pipeline(Handler):
-    """Takes calls from the HTTP server through the filters and to an upstream.
+    """Passes calls of the HTTP server through the filters and to an upstream.
 
     Args:
-        filters: In the order in which a call meets them.
-        dispatch: The last step: sends the call to an upstream.
+        filters: The filters, in the order in which they are entered.
+        dispatch: Sends a call to an upstream after all filters were entered.
         ids: Source of request ids.
         clock: The daemon's clock.
     """
@@ -64,12 +64,12 @@
 
     @property
     def filters(self) -> Sequence[Filter]:
-        """The filters, in the order in which a call meets them."""
+        """The filters, in the order in which they are entered."""
         return self.all_filters
 
     @filters.setter
     def filters(self, filters: Sequence[Filter]) -> None:
-        """Set the filters. Hooks that do nothing are not called; they count as entered."""
+        """Set the filters. Those without an `enter` hook are skipped and count as entered."""
         self.all_filters = filters
         enter_indexes = [
             index for index, filter_ in enumerate(filters) if overrides_hook(filter_, "enter")
@@ -85,10 +85,10 @@
         self.leave_hooks = [(index, filters[index].leave) for index in reversed(leave_indexes)]
 
     async def answer(self, request: Request) -> Answer:
-        """Return the answer for a call: an upstream's, or the daemon's own refusal.
+        """Return an upstream's answer to a call, or the answer that reports a refusal.
 
-        The server calls `finished` once the answer has been sent or given up. A cancellation
-        (the caller has gone) leaves all filters at once.
+        The server calls `finished` once the answer has been sent or abandoned. If the call is
+        cancelled because the caller disconnected, the filters are left immediately.
         """
         exchange = Exchange(self.ids.next(), request, self.clock.now())
         request.exchange = exchange
@@ -108,7 +108,7 @@
             await self._leave(exchange, False)
             raise
         except Exception:
-            log.exception("Call %s hit an error of the daemon's own.", exchange.id)
+            log.exception("Internal error while processing call %s.", exchange.id)
             exchange.refusal = _internal_error(exchange)
             exchange.answer = refusal_answer(exchange.refusal, exchange.id)
         except BaseException:
@@ -117,7 +117,7 @@
         return exchange.answer
 
     async def finished(self, request: Request, answer: Answer, clean: bool) -> None:
-        """Leave the filters; `clean` is false if the caller did not get the whole answer."""
+        """Leave the filters; `clean` is true if the caller received the whole answer."""
         if request.exchange is not None:
             await self._leave(request.exchange, clean)
 
@@ -127,12 +127,12 @@
         for index, leave in self.leave_hooks:
             if index < exchange.entered_count:
                 await leave(exchange, clean)
-        # A call must not end as a cycle, which only the garbage collector would take apart.
+        # Break the reference cycle, so that the call is freed without the garbage collector.
         exchange.request.exchange = None
 
 
 def overrides_hook(filter_: Filter, hook: str) -> bool:
-    """Return whether a filter has a hook of its own."""
+    """Return whether a filter overrides a hook of `Filter`."""
     return getattr(type(filter_), hook) is not getattr(Filter, hook)
 
 
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -1,4 +1,4 @@
-"""Sends the probes that the policy has paid for, and takes in what they bring."""
+"""Sends the probes that the policy requests and records their results."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from .services import Services, ServiceState
 
 BACKGROUND_PROBE_INTERVAL = 0.02
-"""Seconds between two looks at whom to probe."""
+"""Seconds between rounds of background probes."""
 
 PROBE_TIMEOUT = 0.5
-"""Seconds that a probe may take."""
+"""Maximum duration of a probe, in seconds."""
 
 SOURCE = "probe"
 
 
 class Probing:
-    """The edge of `policy.probing`."""
+    """Sends the probes that `policy.probing` selects."""
 
     def __init__(
         self, services: Services, prober: Prober, metrics: Metrics, observer: Observer, clock: Clock
@@ -34,7 +34,7 @@
         self.clock = clock
 
     def subscribe(self, timers: Timers) -> None:
-        """Look from time to time whom to probe, while calls pay for it."""
+        """Send background probes periodically while any service is busy."""
         needed = self.services.busy.__len__
         timer = OnDemandTimer(
             timers, BACKGROUND_PROBE_INTERVAL, "probing", self.send_background_probes, needed
@@ -42,25 +42,25 @@
         self.services.on_busy.append(timer.wake)
 
     async def send_background_probes(self) -> None:
-        """Send all probes that are due and paid."""
+        """Send the background probes that are due, as far as the budget allows."""
         now = self.clock.now()
         for state in self.services.busy_states(now):
             for name in state.probe_budget.background_targets(state.pool, now):
                 await curio.spawn(self.probe(state, name), daemon=True)
 
     async def probe_before_choice(self, state: ServiceState, tried: Collection[str]) -> None:
-        """Probe the best candidates before a choice, if that is paid, and wait a little."""
+        """Probe the best candidates before a choice, if the budget allows, and wait briefly."""
         names = state.probe_budget.choice_targets(state.pool, self.clock.now(), tried)
         if not names:
             return
         tasks = [await curio.spawn(self.probe(state, name), daemon=True) for name in names]
-        # What comes too late for this choice still serves the next ones.
+        # Answers that come too late for this choice are still recorded for the next ones.
         async with curio.ignore_after(state.probe_budget.wait_timeout()):
             for task in tasks:
                 await task.wait()
 
     async def probe(self, state: ServiceState, name: str) -> None:
-        """Send one probe and tell the pool's evidence."""
+        """Send one probe and record its result."""
         upstream = state.pool.upstreams.get(name)
         if upstream is None:
             return
--- a/sequoiabridge/pipeline/record.py
+++ b/sequoiabridge/pipeline/record.py
@@ -1,4 +1,4 @@
-"""Filter: counts each call in the metrics and enters it in the journal when it has ended."""
+"""Filter that records each finished call in the metrics and in the journal of decisions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Record(Filter):
-    """The first filter, so that it sees every call leave, and how."""
+    """Records calls; the first filter, so that it also records those that others refuse."""
 
     __slots__ = ("metrics", "journal", "clock")
 
--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -1,4 +1,4 @@
-"""What one daemon keeps for each service: its upstreams, its queue, its budgets."""
+"""State of each service on this daemon: its upstreams, queue and budgets."""
 
 from __future__ import annotations
 
@@ -26,24 +26,23 @@
 from .exchange import Exchange
 
 BUSY_SECONDS = 15.0
-"""Seconds after the last call from which a service counts as quiet; evidence has faded then."""
-
+"""Seconds after its last call for which a service counts as busy."""
 
 INITIAL_CONCURRENCY = 64
-"""Calls of a service that may run at the start, before the adaptive limit has learned anything."""
+"""Initial value of the adaptive limit of concurrent calls to a service."""
 
 MIN_CONCURRENCY = 4
-"""Calls of a service that may always run."""
+"""Minimum of the adaptive limit of concurrent calls to a service."""
 
 SHARE_INTERVAL = 10.0
-"""Seconds between two looks whether connections are to be shared out anew."""
+"""Seconds between checks whether the connection shares have changed."""
 
 HEDGE_DELAY_UPDATE_ANSWERS = 64
-"""Answers after which the hedging delay is worked out anew."""
+"""Number of answers after which the hedging delay is recalculated."""
 
 
 class Hedging:
-    """When a silent call of one service is hedged."""
+    """Hedging delay of one service, in seconds, derived from its latencies."""
 
     __slots__ = ("latencies", "tail_weight", "delay", "answers")
 
@@ -54,7 +53,7 @@
         self.answers = 0
 
     def record_latency(self, elapsed: float) -> None:
-        """Take in the latency of one good answer, in seconds."""
+        """Record the latency of one successful answer, in seconds."""
         self.latencies.add(elapsed)
         self.answers += 1
         if self.answers % HEDGE_DELAY_UPDATE_ANSWERS == 0:
@@ -62,7 +61,7 @@
 
 
 class ServiceState:
-    """One service as this daemon sees it: policy objects that outlive configuration changes."""
+    """Policy objects of one service; they are kept when its configuration changes."""
 
     __slots__ = ("service", "upstreams", "pool", "queue", "retry_budget", "hedging", "probe_budget")
     __slots__ += ("ledger", "last_call_at")
@@ -82,7 +81,7 @@
         self.last_call_at = float("-inf")
 
     def configure(self, service: Service) -> None:
-        """Take over a service's new options; evidence, queue and budgets stay."""
+        """Apply changed options; measurements, queue and budgets are kept."""
         self.service = service
         self.pool.configure(pool_options(service), chooser_named(service.chooser))
         self.queue.queue_limit = service.queue_limit
@@ -104,11 +103,16 @@
 
 
 class Services(Component):
-    """All services of the configuration in force.
+    """All services of the current configuration.
 
     Args:
-        set_share: Told for each upstream's address how many connections this daemon may open.
-        live_count: Returns how many VMs share each upstream's connections now.
+        set_share: Called with an upstream's address and the number of connections that this daemon
+            may open to it.
+        live_count: Returns the number of live VMs, which share each upstream's connections.
+
+    Attributes:
+        busy: The services with recent calls, by name.
+        on_busy: Called without arguments when a service becomes busy.
     """
 
     name = "services"
@@ -133,7 +137,7 @@
         self.document = Document.empty()
 
     def update(self, document: Document) -> None:
-        """Take over a configuration; a service that it does not change costs nothing."""
+        """Apply a configuration; services that it does not change are left alone."""
         for name in self.by_name.keys() - document.services.keys():
             self._remove_service(name)
         for name, service in document.services.items():
@@ -141,10 +145,10 @@
         self.document = document
 
     def state_of(self, exchange: Exchange) -> ServiceState:
-        """Return the state of a call's service, the same one as long as the call lasts.
+        """Return the state of a call's service; it stays the same for the whole call.
 
         Raises:
-            Refusal: The service was removed before anything was done for the call.
+            Refusal: The service was removed before its state was first requested for the call.
         """
         if exchange.state is None:
             exchange.state = self.by_name.get(exchange.service.name)
@@ -154,11 +158,11 @@
         return exchange.state
 
     def subscribe(self, timers: Timers) -> None:
-        """Look from time to time whether fewer VMs share the connections."""
+        """Check periodically whether the number of live VMs has fallen."""
         timers.every(SHARE_INTERVAL, "connection shares", self.share_connections)
 
     def share_connections(self) -> None:
-        """Divide the connections of all upstreams anew if VMs came, or went some time ago."""
+        """Update the connection shares of all upstreams if the number of live VMs has changed."""
         live = self._count_connection_sharers()
         if live == self.connection_sharers:
             return
@@ -168,12 +172,12 @@
                 self._set_share(self.document, upstream, live)
 
     def pool_of(self, upstream: str) -> PoolState | None:
-        """Return the pool state that has the named upstream, or None."""
+        """Return the pool state of the named upstream, or None."""
         state = self.by_name.get(self.service_by_upstream.get(upstream, ""))
         return None if state is None else state.pool
 
     def record_call(self, state: ServiceState, now: float) -> None:
-        """A call of a service begins: it pays for probes, and the service is busy for a while."""
+        """Record the start of a call: add its probe tokens and mark the service as busy."""
         state.probe_budget.record_calls(1, now)
         state.last_call_at = now
         if state.service.name not in self.busy:
@@ -182,14 +186,14 @@
                 wake()
 
     def busy_states(self, now: float) -> list[ServiceState]:
-        """Return the services that were called lately; what is done time and again is for these."""
+        """Return the services with a call in the last `BUSY_SECONDS`."""
         for name, state in list(self.busy.items()):
             if now - state.last_call_at > BUSY_SECONDS:
                 del self.busy[name]
         return list(self.busy.values())
 
     def states(self) -> Iterator[ServiceState]:
-        """Go through all services."""
+        """Iterate over all services."""
         return iter(self.by_name.values())
 
     def dump(self) -> dict:
@@ -197,7 +201,7 @@
         return {name: state.dump(now) for name, state in self.by_name.items()}
 
     def _remove_service(self, name: str) -> None:
-        """Forget a service; its calls that wait find no upstream any more and are refused."""
+        """Remove a service; its waiting calls find no upstream and are refused."""
         self.busy.pop(name, None)
         state = self.by_name.pop(name)
         self._remove_upstreams(state)
@@ -234,12 +238,12 @@
 
 
 def pool_options(service: Service) -> PoolOptions:
-    """Return a service's options that the choice of an upstream depends on."""
+    """Return the options of a service that affect the choice of an upstream."""
     return PoolOptions(service.eject_cap, service.tail_weight, service.probes_per_1000)
 
 
 def spec_of(document: Document, upstream: Upstream) -> UpstreamSpec:
-    """Return an upstream as the policy wants it, with its pool's defaults filled in."""
+    """Return an upstream's specification, with the defaults of its pool."""
     return UpstreamSpec(
         upstream.name,
         upstream.address,
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -1,4 +1,4 @@
-"""What this daemon tells the others of upstreams and callers' requests, and takes from them."""
+"""Shares drains, crashes, load and retry counts with the other daemons of the fleet."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 log = get_log("sharing")
 
 LOAD_INTERVAL = 0.1
-"""Seconds between two looks at what is worth telling."""
+"""Seconds between rounds in which load is published."""
 
 LOAD_SLICES = 5
-"""Looks that it takes to go through all services, so that none holds up calls for long."""
+"""Number of rounds in which all services are processed once, to keep each round short."""
 
 RETRY_COUNT_INTERVAL = 1.0
-"""Seconds of one counting period of retries and successes."""
+"""Seconds between reports of retries and successes."""
 
 MICROSECONDS = 1_000_000
 
 
 class Sharing(Observer, Component):
-    """Joins the evidence of this daemon with the fleet's."""
+    """Publishes this daemon's observations to its peers and applies theirs."""
 
     name = "sharing"
 
@@ -60,22 +60,22 @@
         fleet.subscribe(RetryItem, self.handle_retries)
 
     def subscribe(self, timers: Timers) -> None:
-        """Tell load while there are calls, and retries from time to time."""
+        """Publish load while any service is busy, and retry counts periodically."""
         timer = OnDemandTimer(
             timers, LOAD_INTERVAL, "sharing load", self.publish_load, self._has_load_to_publish
         )
         self.services.on_busy.append(timer.wake)
         timers.every(RETRY_COUNT_INTERVAL, "sharing retries", self.publish_retries)
 
-    # What happens to calls here.
+    # Events of this daemon's calls.
 
     def record_drain(self, upstream: str, incarnation: int) -> None:
         self.published_drains += 1
-        log.info("%s is leaving, by its own word.", upstream)
+        log.info("Upstream %s reports that it is draining.", upstream)
         self.fleet.publish(DrainItem(upstream, incarnation), Urgency.DRAIN)
 
     def record_return(self, upstream: str, incarnation: int) -> None:
-        log.info("%s is back, by its own word.", upstream)
+        log.info("Upstream %s reports that it is back.", upstream)
         self.fleet.publish(DrainItem(upstream, incarnation, leaving=False), Urgency.DRAIN)
 
     def record_failure(self, exchange: Exchange, upstream: str, failure: Failure) -> None:
@@ -100,17 +100,17 @@
     def record_answer(self, exchange: Exchange) -> None:
         ledger = self.services.state_of(exchange).ledger
         fingerprint, wall = request_fingerprint(exchange), self.clock.wall()
-        # VMs that heard of the crashes, or will hear of them late, may see no answer themselves.
+        # Peers that know of the crashes, or learn of them later, may receive no answer themselves.
         if ledger.record_answer(fingerprint, wall):
             self.fleet.publish(CrashItem(fingerprint, "", wall, released=True), Urgency.CRASH)
 
     def record_retry(self, service: str, hedge: bool) -> None:
         self.metrics.retries.add(service, "hedge" if hedge else "retry")
 
-    # What other VMs say.
+    # Items of peers.
 
     def handle_drain(self, item: DrainItem, origin: str) -> None:
-        """Take in that an upstream leaves, or is back with a newer incarnation."""
+        """Apply that an upstream is draining, or is back with a newer incarnation."""
         pool = self.services.pool_of(item.upstream)
         if pool is None:
             return
@@ -121,7 +121,7 @@
             pool.resume(item.upstream, item.incarnation, now)
 
     def handle_crash(self, item: CrashItem, origin: str) -> None:
-        """Take in that a request was with an upstream that crashed, or that it is released."""
+        """Record a crash that a request is suspected of, or release the request."""
         if item.released:
             for state in self.services.states():
                 state.ledger.release(item.fingerprint, item.at)
@@ -132,7 +132,7 @@
             state.ledger.record_crash(item.fingerprint, item.upstream, origin, item.at, now)
 
     def handle_load(self, item: LoadItem, origin: str) -> None:
-        """Take in another VM's evidence on an upstream."""
+        """Record a peer's load report on an upstream."""
         pool = self.services.pool_of(item.upstream)
         if pool is None:
             return
@@ -143,7 +143,7 @@
         )
 
     def handle_retries(self, item: RetryItem, origin: str) -> None:
-        """Count another VM's retries against the fleet's budget."""
+        """Record a peer's counts of retries and successes in the retry budget."""
         state = self.services.by_name.get(item.service)
         if state is not None:
             now = self.clock.now()
@@ -151,10 +151,10 @@
                 item.vm, item.period, item.retries, item.successes, now
             )
 
-    # What is told from time to time.
+    # Periodic reports.
 
     def publish_load(self) -> None:
-        """Publish what the byte bucket leaves room for."""
+        """Publish the load of some services, as far as the byte bucket allows."""
         now = self.clock.now()
         self._drop_expired(now)
         loads = []
@@ -168,7 +168,7 @@
             self.fleet.publish(item, Urgency.LOAD)
 
     def publish_retries(self) -> None:
-        """Publish each service's retries and successes since the last time."""
+        """Publish the retries and successes of each service in the last complete period."""
         now = self.clock.now()
         for name, state in self.services.by_name.items():
             report = state.retry_budget.report(now)
@@ -181,7 +181,7 @@
         return bool(self.services.busy or self.published)
 
     def _published_upstreams(self, state: ServiceState) -> dict[str, UpstreamState]:
-        """Return the upstreams of a service whose last word may have to be taken back."""
+        """Return the upstreams of a service whose load was published before."""
         upstreams = state.pool.upstreams
         if len(self.published) > len(upstreams):
             return {
@@ -202,7 +202,7 @@
 
 
 def local_load(upstream: UpstreamState, now: float) -> LocalLoad:
-    """Return this daemon's evidence on one upstream in the form that is shared."""
+    """Return this daemon's load figures of one upstream, to be published."""
     latency_us = int(upstream.latency * MICROSECONDS)
     suspect = is_local_suspect(upstream, now)
     return LocalLoad(upstream.name, upstream.in_flight, latency_us, suspect, now)
--- a/sequoiabridge/pipeline/spool.py
+++ b/sequoiabridge/pipeline/spool.py
@@ -1,4 +1,4 @@
-"""Filter: uploads of rules with `upload = spool` are stored first and answered from there."""
+"""Filter that stores uploads of rules with `upload = spool` and answers them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Spool(Filter):
-    """Ends a spooled upload's way here: no upstream is asked while its caller waits."""
+    """Answers spooled uploads; they are delivered to an upstream later, in the background."""
 
     __slots__ = ("handler",)
 
