--- a/sequoiabridge/store/__init__.py
+++ b/sequoiabridge/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform: table service, object store and VM list; what is kept there."""
+"""The platform's table service, object store and VM list, and the data stored in them."""
--- a/sequoiabridge/store/admission.py
+++ b/sequoiabridge/store/admission.py
@@ -1,4 +1,4 @@
-"""Admission of calls to the platform's store: this daemon's share of the rates, and the breaker."""
+"""Admission control for calls to the platform's store: rate limits and the circuit breaker."""
 
 from collections.abc import Awaitable, Callable
 
@@ -14,22 +14,28 @@
 log = get_log("store")
 
 MIN_FAILURE_TIMEOUT = 0.2
-"""Seconds that the store must have had before silence counts as a failure of its own."""
+"""Minimum timeout, in seconds, whose expiry counts as a failure of the store."""
 
 
 def store_error(kind: StoreErrorKind, message: str) -> Result:
-    """Return the error result of a call."""
+    """Return an error result of a call to the store."""
     return Error(StoreError(kind, message))
 
 
 class StoreCounts:
-    """Plain counters for metrics and the dump.
-
-    `asked` transactions were wanted, `grouped` of them went in groups of two or more, `splits`
-    groups failed as a whole. `writes` and `reads` are calls that were let out, objects included;
-    `refused` calls were not, since the store was down. `unanswered` calls ended in silence, and
-    the platform `rejected` others. Of transactions whose answer was lost, `settled` were proven
-    by a read, and `unsettled` were left open.
+    """Counters of calls to the store, for metrics and the state dump.
+
+    Attributes:
+        asked: Transactions requested.
+        writes: Calls sent that write a transaction group or an object.
+        grouped: Transactions that were sent in a group of two or more.
+        splits: Groups that failed on a condition and were split.
+        reads: Calls sent that read rows or objects.
+        refused: Calls not sent because the store was down.
+        unanswered: Calls that counted as a failure of the store.
+        rejected: Calls that the platform rejected.
+        settled: Transactions whose answer was lost and whose outcome was read back.
+        unsettled: Transactions whose answer was lost and whose outcome is unknown.
     """
 
     __slots__ = (
@@ -51,7 +57,12 @@
 
 
 class AdmissionControl:
-    """Lets calls out at this daemon's share of the rates, and none while the store is down."""
+    """Admits calls at this daemon's share of the fleet's rates, and none while the store is down.
+
+    Attributes:
+        has_background_probe: A timer probes the store while it is down. Otherwise, one of the
+            calls is admitted as the probe.
+    """
 
     def __init__(
         self,
@@ -71,7 +82,7 @@
         self.has_background_probe = False
 
     def refusal_if_down(self) -> Result | None:
-        """Return the error for a call made while the store is down, else None."""
+        """Return an error if the store is down, otherwise None."""
         now = self.clock.now()
         if not self.breaker.is_open:
             return None
@@ -85,7 +96,7 @@
     async def wait_for_token(
         self, share: RateShare, priority: Priority, deadline: float, cost: int = 1
     ) -> bool:
-        """Wait until `share` allows a call; false if that would be after `deadline`."""
+        """Wait until `share` allows a call; return False if that would be after `deadline`."""
         while True:
             now = self.clock.now()
             wait = share.take(now, self.live_count(), priority, cost)
@@ -102,7 +113,7 @@
         timeout: float,
         call: Callable[[float], Awaitable[Result]],
     ) -> Result:
-        """Await `call(seconds left)` when the breaker and the rate allow it."""
+        """Await `call(remaining seconds)` once the breaker and the rate allow it."""
         refusal = self.refusal_if_down()
         if refusal is not None:
             return refusal
@@ -120,7 +131,7 @@
         return result
 
     def record_result(self, result: Result, share: RateShare, call_timeout: float) -> None:
-        """Learn from a call that was given `waited` seconds whether the service is there."""
+        """Update the breaker and the rate with the result of a call made with `call_timeout`."""
         kind = None if result.is_ok() else result.error.kind
         if kind is StoreErrorKind.UNKNOWN and call_timeout < MIN_FAILURE_TIMEOUT:
             return
@@ -128,7 +139,7 @@
             self._record_failure(result.error)
             return
         if self.breaker.is_open:
-            log.info("Store answers again.")
+            log.info("Store is available again.")
         self.breaker.record_success()
         if kind is StoreErrorKind.REJECTED:
             self.counts.rejected += 1
--- a/sequoiabridge/store/base.py
+++ b/sequoiabridge/store/base.py
@@ -1,8 +1,9 @@
-"""The platform's services as the daemon sees them: table service, object store, VM list.
+"""Interfaces of the platform's services: table service, object store and VM list.
 
-Each is an abstract base class; `platform.services` has the adapters, `tests.platform.service`
-and `tests.standins.memory` the stand-ins. All calls return a `Result` of `expression`: `Ok` with
-the answer or `Error` with a `StoreError`, whose kind says whether the write may have taken effect.
+`platform.services` implements them over HTTP; `tests.platform.service` and
+`tests.standins.memory` implement them for tests. All methods return a `Result` of `expression`:
+`Ok` with the answer, or `Error` with a `StoreError` whose kind says whether a write may have taken
+effect.
 """
 
 from abc import ABC, abstractmethod
@@ -13,20 +14,20 @@
 
 
 class StoreErrorKind(Enum):
-    """What is known after a call that gave no good answer."""
+    """What is known about the effect of a failed call."""
 
     CONDITION_FAILED = "condition-failed"
-    """Answered: a condition did not hold, and nothing was written."""
+    """The store answered that a condition did not hold. Nothing was written."""
     NOT_SENT = "not-sent"
-    """Nothing left this VM, so nothing was written."""
+    """Nothing was sent, so nothing was written."""
     UNKNOWN = "unknown"
-    """Sent, but no answer came: it may have taken effect now or take effect later."""
+    """The call was sent but not answered. It may have taken effect or may still do so."""
     REJECTED = "rejected"
-    """Answered: refused (rate, size, bad request), and nothing was written."""
+    """The store rejected the call (rate, size, bad request). Nothing was written."""
 
 
 class StoreError:
-    """Why a call to the platform failed; `message` names the remedy."""
+    """Why a call to the platform failed. `message` states what to do about it."""
 
     __slots__ = ("kind", "message")
 
@@ -39,7 +40,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row: `version` counts up with each write of this key and is given by the service."""
+    """One row. The service sets `version` and increments it with each write of the key."""
 
     table: str
     key: str
@@ -70,7 +71,7 @@
     async def transact(
         self, conditions: list[Condition], writes: list[Write], timeout: float
     ) -> Result[None, StoreError]:
-        """Make all writes if all conditions hold, else none; at most `timeout` seconds."""
+        """Make all writes if all conditions hold, otherwise none, within `timeout` seconds."""
 
     @abstractmethod
     async def read(self, table: str, key: str, timeout: float) -> Result[Row | None, StoreError]:
@@ -80,15 +81,15 @@
     async def scan(
         self, table: str, prefix: str, after: str, limit: int, timeout: float
     ) -> Result[list[Row], StoreError]:
-        """Return up to `limit` rows by key whose key starts with `prefix` and is over `after`."""
+        """Return up to `limit` rows whose key starts with `prefix` and sorts after `after`."""
 
 
 class ObjectStore(ABC):
-    """Immutable named objects; a name is written at most once."""
+    """Immutable named objects. Each name is written at most once."""
 
     @abstractmethod
     async def put(self, name: str, data: bytes, timeout: float) -> Result[None, StoreError]:
-        """Store an object; `CONDITION_FAILED` if the name is taken."""
+        """Store an object. The error is `CONDITION_FAILED` if the name exists."""
 
     @abstractmethod
     async def get(self, name: str, timeout: float) -> Result[bytes | None, StoreError]:
@@ -96,13 +97,13 @@
 
     @abstractmethod
     async def delete(self, name: str, timeout: float) -> Result[None, StoreError]:
-        """Remove the object; fine if there is none."""
+        """Delete the object. It is not an error if there is none."""
 
     @abstractmethod
     async def names(
         self, prefix: str, after: str, limit: int, timeout: float
     ) -> Result[list[str], StoreError]:
-        """Return up to `limit` names in order that start with `prefix` and are over `after`."""
+        """Return up to `limit` names that start with `prefix` and sort after `after`, in order."""
 
 
 class ListedVm(msgspec.Struct, frozen=True):
@@ -115,8 +116,8 @@
 
 
 class VmList(ABC):
-    """The platform's lagging list of live and leaving VMs: a hint, never the truth."""
+    """The platform's list of live and leaving VMs. It lags and may be wrong."""
 
     @abstractmethod
     async def vms(self, timeout: float) -> Result[list[ListedVm], StoreError]:
-        """Return the list as the platform knows it now."""
+        """Return the current list of the platform."""
--- a/sequoiabridge/store/breaker.py
+++ b/sequoiabridge/store/breaker.py
@@ -1,17 +1,17 @@
-"""Circuit breaker of the platform's service: pure, time is an argument."""
+"""Circuit breaker for calls to the platform's store. The caller passes the current time."""
 
 FAILURES_TO_OPEN = 3
-"""Calls in a row without a good answer after which calls are refused at once."""
+"""Number of consecutive failed calls that opens the breaker."""
 
 MIN_PROBE_DELAY = 0.25
-"""Seconds until the first call that tries the service again."""
+"""Seconds from the opening of the breaker to the first probe."""
 
 MAX_PROBE_DELAY = 2.0
-"""Longest wait in seconds between two such calls; each failure doubles the wait."""
+"""Maximum number of seconds between two probes. The delay doubles with each failed probe."""
 
 
 class CircuitBreaker:
-    """Refuses calls while the service is down and lets one through now and then."""
+    """Rejects calls while the service is down, except for single probes after a delay."""
 
     __slots__ = ("failures", "is_open", "probe_at", "wait", "outage_count")
 
@@ -23,7 +23,7 @@
         self.outage_count = 0
 
     def allow_call(self, now: float) -> bool:
-        """True if a call may go out now; while open, one call each `wait` seconds."""
+        """Return whether a call may be sent now. While open, only a call that is due as a probe."""
         if not self.is_open:
             return True
         if now < self.probe_at:
@@ -32,13 +32,13 @@
         return True
 
     def record_success(self) -> None:
-        """Take note of an answer, a refusal included: the service is there."""
+        """Record an answer of the service, also one that rejects the call; close the breaker."""
         self.failures = 0
         self.is_open = False
         self.wait = MIN_PROBE_DELAY
 
     def record_failure(self, now: float) -> None:
-        """Take note of a call without an answer."""
+        """Record a call without an answer, and open the breaker after several in a row."""
         self.failures += 1
         if self.is_open:
             self.wait = min(MAX_PROBE_DELAY, self.wait * 2)
@@ -50,5 +50,5 @@
             self.probe_at = now + self.wait
 
     def retry_after(self, now: float) -> float:
-        """Return the seconds until the next call that may go out."""
+        """Return the number of seconds until the next call is allowed."""
         return max(0.0, self.probe_at - now) if self.is_open else 0.0
--- a/sequoiabridge/store/claim_admin.py
+++ b/sequoiabridge/store/claim_admin.py
@@ -1,4 +1,4 @@
-"""What operators and time do to claims: listing, release by hand, removal by age."""
+"""Lists open claims and releases them for operators, and removes expired claims."""
 
 from random import Random
 
@@ -28,33 +28,33 @@
 log = get_log("claims")
 
 RETENTION = 24 * 3600.0
-"""Seconds for which a finished claim is kept; its key is refused or replayed that long."""
+"""Seconds for which a finished claim is stored and its key is replayed or refused."""
 
 REMOVAL_INTERVAL = 2.0
-"""Seconds between two steps of the removal by age."""
+"""Seconds between two steps of the removal of expired claims."""
 
 PAGE_SIZE = 100
-"""Rows read in one step of the removal, and in one step of a list."""
+"""Number of rows read by one scan."""
 
 DELETE_BATCH = 25
-"""Rows removed by one transaction."""
+"""Maximum number of rows that one transaction deletes."""
 
 MAX_LIST_PAGES = 50
-"""Pages read for one list."""
+"""Maximum number of scans for one list."""
 
 RELEASE_GRACE = 30.0
-"""Seconds after a holder's deadline before an operator may release its claim."""
+"""Seconds after the holder's deadline until an operator may release the claim."""
 
 OPEN_STATES = (ClaimState.HELD, ClaimState.UNKNOWN)
-"""States that only the holder or an operator ends."""
+"""States that only the holder or an operator can end."""
 
 
 class ClaimNotReleased(SequoiaError):
-    """An operator's release was refused and nothing was changed; the message says why."""
+    """A release by an operator was refused. Nothing was changed; the message states the reason."""
 
 
 class OpenClaim:
-    """An open claim for the operator: the row's key, the row, and for how long it is open."""
+    """An open claim: the row's key, the row, and the seconds since the claim was made."""
 
     __slots__ = ("row_key", "row", "open_seconds")
 
@@ -65,7 +65,7 @@
 
 
 class ClaimList:
-    """Open claims found; `next_after` is where to go on, None if the table was read to its end."""
+    """Open claims. `next_after` is the key to continue after, None at the end of the table."""
 
     __slots__ = ("claims", "next_after")
 
@@ -75,7 +75,10 @@
 
 
 class ClaimAdmin:
-    """Lists, releases and removes claims. `random` chooses where this VM begins to look."""
+    """Lists, releases and removes claims.
+
+    `random` chooses the key at which this VM starts to look for expired claims.
+    """
 
     def __init__(
         self, store: StoreClient, clock: Clock, random: Random, retention: float = RETENTION
@@ -87,11 +90,11 @@
         self.removed = 0
 
     def subscribe(self, timers: Timers) -> None:
-        """Remove old claims step by step."""
+        """Remove expired claims periodically."""
         timers.every(REMOVAL_INTERVAL, "claims sweep", self.remove_expired)
 
     async def list_open(self, limit: int, after: str = "") -> Result[ClaimList, StoreError]:
-        """Return up to `limit` claims whose outcome nobody has reported by their deadline."""
+        """Return up to `limit` open claims: outcome unknown, or not reported in time."""
         found: list[OpenClaim] = []
         for _ in range(MAX_LIST_PAGES):
             page = await self._read_page(after)
@@ -109,13 +112,14 @@
     async def release_by_operator(
         self, row_key: str, author: str, reason: str, timeout: float
     ) -> Result[ClaimRow, SequoiaError]:
-        """Free an open claim's key on the operator's word that its request did not run.
+        """Release an open claim after an operator has checked that its request did not run.
 
-        The release and its audit entry are one transaction. Refused within `RELEASE_GRACE` of the
-        holder's deadline: until then a holder that was paused might still send.
+        The release and its audit entry are written in one transaction. A release is refused until
+        `RELEASE_GRACE` after the holder's deadline, since the holder may still send.
 
-        Errors: `ClaimNotReleased`; `ConflictError` if the claim changed meanwhile;
-        `StoreUnavailable` if the store does not answer, the release is then not proven.
+        Errors: `ClaimNotReleased` if the release is refused; `ConflictError` if the claim changed
+        meanwhile; `StoreUnavailable` if the store does not answer, so that the claim may or may not
+        be released.
         """
         found = await self.store.read(CLAIMS_TABLE, row_key, timeout)
         if found.is_error():
@@ -134,12 +138,12 @@
     async def list_releases(
         self, limit: int, after: str = ""
     ) -> Result[list[AuditRow], StoreError]:
-        """Return releases by operators, oldest first."""
+        """Return up to `limit` releases by operators, oldest first."""
         rows = await self.store.scan(AUDIT_TABLE, "", after, limit, CALL_TIMEOUT)
         return rows.map(lambda found: [AUDIT_DECODER.decode(row.value) for row in found])
 
     async def remove_expired(self) -> int:
-        """Look at one page of claims and remove the finished ones past their age."""
+        """Read the next page of claims, delete expired ones and return how many were deleted."""
         page = await self._read_page(self.cursor)
         if page.is_error():
             return 0
--- a/sequoiabridge/store/claim_reports.py
+++ b/sequoiabridge/store/claim_reports.py
@@ -1,4 +1,4 @@
-"""Reports on claims that are not yet proven in the table: kept and tried again until they are."""
+"""Writes the outcomes of claims to the table, and retries until they are proven to be there."""
 
 from collections import OrderedDict
 
@@ -13,20 +13,21 @@
 log = get_log("claims")
 
 MAX_PENDING_REPORTS = 10_000
-"""Reports kept; while there are so many, no new claim is made."""
+"""Maximum number of pending reports. No new claims are made while the limit is reached."""
 
 MAX_PENDING_BODIES = 500
-"""Reports whose answer is kept in memory for later replay; the others are done without one."""
+"""Maximum number of pending reports whose answers are kept in memory for replay."""
 
 MAX_WRITE_ATTEMPTS = 3
-"""Times that one report is tried before it waits for its next turn."""
+"""Maximum number of attempts to write a report before it waits for the next retry."""
 
 
 class ClaimReport:
     """The outcome to write over the row that holds `row.token`.
 
-    `version` is the row's version as last known. An abandoned claim, whose own insert may still
-    land, is written as a tombstone under the insert's own condition: of the two, one takes effect.
+    `version` is the last known version of the row. For an abandoned claim, whose insert may still
+    take effect, a tombstone is written under the condition of the insert, so that at most one of
+    the two takes effect.
     """
 
     __slots__ = ("row_key", "row", "version")
@@ -38,7 +39,14 @@
 
 
 class ReportQueue:
-    """Writes reports, and keeps the unproven ones by token for another try."""
+    """Writes reports, and keeps those that are not proven to be written for a retry.
+
+    Attributes:
+        pending: Reports by the token of their claim.
+        proven_count: Number of reports that are done.
+        superseded: Number of reports dropped because the row had another token or outcome.
+            Releases are not counted.
+    """
 
     def __init__(self, store: StoreClient):
         self.store = store
@@ -48,25 +56,28 @@
 
     @property
     def is_full(self) -> bool:
-        """True if no further claim may be made before some reports are proven."""
+        """Whether no further claim may be made until some reports are proven."""
         return len(self.pending) >= MAX_PENDING_REPORTS
 
     def is_abandoned(self, token: str) -> bool:
-        """True if nothing was sent, and nothing will be, under the claim with this token."""
+        """Return whether a release of the claim with this token is pending.
+
+        Its request has not run and never will.
+        """
         report = self.pending.get(token)
         return report is not None and report.row.state is ClaimState.RELEASED
 
     def enqueue(self, report: ClaimReport) -> None:
-        """Keep a report for another try; of many, only the first keep their answers."""
+        """Add a report to the pending ones, without its answer if there are many."""
         if len(self.pending) >= MAX_PENDING_BODIES and report.row.body is not None:
             report.row = with_outcome(report.row, report.row.state, report.row.status)
         self.pending[report.row.token] = report
 
     async def write(self, report: ClaimReport, priority: Priority = Priority.CLAIM) -> bool:
-        """Try to write a report now; true if it is proven, else it is kept.
+        """Write a report; return True if it is done. Otherwise, it stays pending.
 
-        As urgent as new claims are: with less, claims at the limit of the rate would starve the
-        reports, and held rows would pile up.
+        The default priority is that of new claims. With a lower one, claims at the limit of the
+        rate would starve the reports, and held rows would accumulate.
         """
         self.enqueue(report)
         for _ in range(MAX_WRITE_ATTEMPTS):
@@ -80,9 +91,9 @@
         return False
 
     async def retry_pending(self, limit: int) -> int:
-        """Try up to `limit` kept reports again, oldest first; return how many are left.
+        """Retry up to `limit` pending reports, oldest first; return how many are pending then.
 
-        They are tried at the same time, so that they share transactions.
+        They are written concurrently, so that they are grouped into few transactions.
         """
         if self.store.is_down:
             return len(self.pending)
@@ -96,7 +107,7 @@
         return len(self.pending)
 
     async def _write_once(self, report: ClaimReport, priority: Priority) -> bool | None:
-        """Make one try: true if settled, false if unproven, None to try at once again."""
+        """Make one attempt; return True if done, False to retry later, None to retry at once."""
         condition = Condition(CLAIMS_TABLE, report.row_key, report.version)
         write = Write(CLAIMS_TABLE, report.row_key, ENCODER.encode(report.row))
         result = await self.store.transact([condition], [write], CALL_TIMEOUT, priority)
@@ -121,7 +132,7 @@
         return None
 
     def _check_missing_row(self, report: ClaimReport) -> bool | None:
-        # Gone by age, or deleted between two steps; only an insert under version 0 can still land.
+        # The row expired or was deleted. Only an insert under version 0 can still take effect.
         abandoned = report.row.state is ClaimState.RELEASED and report.version == 0
         return None if abandoned else True
 
@@ -129,5 +140,9 @@
         is_same_outcome = row.token == report.row.token and row.state is report.row.state
         if not is_same_outcome and report.row.state is not ClaimState.RELEASED:
             self.superseded += 1
-            log.warning("Claim %s is no longer this VM's: %s.", report.row_key, row.state.value)
+            log.warning(
+                "Claim %s is no longer held by this VM; its state is %s.",
+                report.row_key,
+                row.state.value,
+            )
         return True
--- a/sequoiabridge/store/claim_results.py
+++ b/sequoiabridge/store/claim_results.py
@@ -1,18 +1,18 @@
-"""What an attempt to claim a piece of work may end in."""
+"""Results of an attempt to claim a request."""
 
 from .claim_rows import ClaimRow
 
 
 class ClaimResult:
-    """Base of all outcomes of `Claims.acquire`."""
+    """Base class of the results of `Claims.acquire`."""
 
     __slots__ = ()
 
 
 class ClaimGranted(ClaimResult):
-    """This attempt alone may send the request, and nothing after `deadline` (monotonic).
+    """Only this attempt may send the request, and only until `deadline` (monotonic clock).
 
-    `version` is the row's version as far as known.
+    `version` is the last known version of the row.
     """
 
     __slots__ = ("row_key", "row", "version", "deadline")
@@ -25,7 +25,7 @@
 
 
 class ClaimReplay(ClaimResult):
-    """The work is done; `body` is None when its answer was too large to keep."""
+    """The request has run before; its answer is replayed. `body` is None if none is stored."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -36,7 +36,7 @@
 
 
 class ClaimBusy(ClaimResult):
-    """Another attempt with this key holds the claim, at `vm` since `since` (wall time)."""
+    """Another attempt holds the claim, on `vm` since `since` (wall time)."""
 
     __slots__ = ("vm", "since")
 
@@ -46,7 +46,7 @@
 
 
 class ClaimUnknown(ClaimResult):
-    """An earlier attempt may have run, and nobody knows; only an operator can release the key."""
+    """An earlier attempt may have run. Only its holder or an operator can end the claim."""
 
     __slots__ = ("vm", "since")
 
@@ -56,15 +56,15 @@
 
 
 class ClaimMismatch(ClaimResult):
-    """The key was used with another body; the caller is to take a new key."""
+    """The key was used with a different body. The caller has to use a new key."""
 
     __slots__ = ()
 
 
 class ClaimUnavailable(ClaimResult):
-    """The claim could not be proven in time; nothing is sent under it, now or later.
+    """The claim could not be confirmed in time. Nothing is ever sent under it.
 
-    That this request was not run is proven; it says nothing of earlier requests with its key.
+    This proves that this request has not run. It says nothing about earlier requests with the key.
     """
 
     __slots__ = ("message",)
--- a/sequoiabridge/store/claim_rows.py
+++ b/sequoiabridge/store/claim_rows.py
@@ -1,8 +1,8 @@
-"""Rows of at-most-once claims, and what a row that stands in the way means: pure.
+"""Rows of at-most-once claims, and what an existing row means for a new claim.
 
-A claim's row goes HELD -> DONE, UNKNOWN or RELEASED, and RELEASED -> HELD under a new token. It
-is never deleted while one of its writes may still be on its way: a RELEASED row is a tombstone
-whose version makes every older write fail.
+The state of a row changes from HELD to DONE, UNKNOWN or RELEASED, and from RELEASED to HELD with
+a new token. A row is never deleted while a write to it may still be in flight: a RELEASED row is a
+tombstone whose version makes all older writes fail.
 """
 
 import hashlib
@@ -12,45 +12,45 @@
 import msgspec
 
 CLAIMS_TABLE = "claims"
-"""Table of the claims."""
+"""Name of the table of claims."""
 
 AUDIT_TABLE = "claims-audit"
-"""Table of what operators released."""
+"""Name of the table of releases by operators."""
 
 STORED_BODY_LIMIT = 16 * 1024
-"""Bytes of an answer's body that are kept for replay; a larger answer is not kept."""
+"""Maximum size, in bytes, of an answer's body that is stored for replay."""
 
 STORED_HEADERS_LIMIT = 4 * 1024
-"""Bytes of an answer's header fields that are kept for replay."""
+"""Maximum total size, in bytes, of an answer's header fields that are stored for replay."""
 
 REPORT_GRACE = 5.0
-"""Seconds after the holder's deadline in which its report may still come."""
+"""Seconds after the holder's deadline during which its report is still expected."""
 
 KEY_BYTES = 20
-"""Length of the digest that names a row."""
+"""Length, in bytes, of the digest that is a row's key."""
 
 TOKEN_BYTES = 16
-"""Random bytes in a token."""
+"""Number of random bytes in a token."""
 
 
 class ClaimState(Enum):
-    """What is known of the work that a claim stands for."""
+    """What is known about the request that is claimed."""
 
     HELD = "held"
-    """Its holder may send the request, or has sent it, and has not reported yet."""
+    """The holder may send the request or has sent it, and has not reported the outcome."""
     DONE = "done"
-    """It ran, and its answer was complete."""
+    """The request ran and its answer was complete."""
     UNKNOWN = "unknown"
-    """It was sent, and nobody knows whether it ran."""
+    """The request was sent. It is not known whether it ran."""
     RELEASED = "released"
-    """Proven not run; the key may be claimed again."""
+    """The request is proven not to have run. The key may be claimed again."""
 
 
 class ClaimRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One claim as stored; times are wall time in seconds.
+    """A claim as stored. Times are wall time in seconds.
 
-    `token` is unique to one attempt. `until` is the holder's deadline: it sends nothing after it.
-    `body` is None when the answer was too large to keep.
+    `token` is unique to one attempt to claim the key. `until` is the holder's deadline, after which
+    it sends nothing. `body` is None if no body is stored.
     """
 
     state: ClaimState
@@ -68,7 +68,7 @@
 
 
 class AuditRow(msgspec.Struct, frozen=True):
-    """One release by an operator, with the claim as it was."""
+    """A release by an operator, with the claim as it was before."""
 
     row_key: str
     author: str
@@ -84,7 +84,7 @@
 
 
 def decode_claim(value: bytes) -> ClaimRow | None:
-    """Return the claim in a row's value, None if a newer version of the daemon wrote it."""
+    """Decode a row's value. Return None if a newer version of the daemon wrote it."""
     try:
         return CLAIM_DECODER.decode(value)
     except msgspec.DecodeError:
@@ -92,12 +92,12 @@
 
 
 def new_token() -> str:
-    """Return a token that no other attempt has."""
+    """Return a unique token."""
     return secrets.token_hex(TOKEN_BYTES)
 
 
 def claim_key(service: str, caller: str, key: str) -> str:
-    """Return the row's key: a digest, so that any caller's key fits and rows spread evenly."""
+    """Return the row's key: a digest, so that keys have a fixed length and are spread evenly."""
     name = msgspec.msgpack.encode((service, caller, key))
     return hashlib.blake2b(name, digest_size=KEY_BYTES).hexdigest()
 
@@ -109,7 +109,7 @@
     headers: list[tuple[bytes, bytes]] = (),
     body: bytes | None = None,
 ) -> ClaimRow:
-    """Return `row` with its outcome; an answer over the limits is left out."""
+    """Return `row` with its outcome. An answer that exceeds the size limits is left out."""
     size = sum(len(name) + len(value) for name, value in headers)
     if body is not None and (len(body) > STORED_BODY_LIMIT or size > STORED_HEADERS_LIMIT):
         headers, body = (), None
@@ -119,7 +119,7 @@
 
 
 class KeyStatus(Enum):
-    """What the row in the way means for a new attempt with the same key."""
+    """What an existing claim means for a new attempt to claim the same key."""
 
     FREE = "free"
     MISMATCH = "mismatch"
@@ -129,7 +129,10 @@
 
 
 def key_status(row: ClaimRow, digest: str, wall: float) -> KeyStatus:
-    """Judge the row in the way. Time never frees a held claim: its holder may only be paused."""
+    """Return what `row` means for a new claim of the same key, whose body has this digest.
+
+    A held claim never becomes free by time alone, since its holder may only be paused.
+    """
     if row.state is ClaimState.RELEASED:
         return KeyStatus.FREE
     if row.digest != digest:
--- a/sequoiabridge/store/claims.py
+++ b/sequoiabridge/store/claims.py
@@ -1,7 +1,8 @@
-"""At-most-once work: a claim is proven in the table before the first byte leaves this VM.
+"""Claims of requests that run at most once: a claim is committed before the request is sent.
 
-A claim is never taken over because time has passed: its holder may be paused and send later. What
-cannot be proven by the deadline is not sent, and its row is released under its own token later.
+A held claim is never taken over after a timeout, since its holder may be paused and send the
+request later. A request whose claim is not confirmed by the deadline is not sent, and its row is
+released later.
 """
 
 import curio
@@ -36,17 +37,17 @@
 from .rates import Priority
 
 MAX_CLAIM_ATTEMPTS = 4
-"""Times that a claim is tried on a row that others change meanwhile."""
+"""Maximum number of attempts to claim a row that others change at the same time."""
 
 REPORT_RETRY_INTERVAL = 1.0
-"""Seconds between two rounds of settling unproven reports."""
+"""Seconds between two retries of pending reports."""
 
 REPORT_RETRY_BATCH = 50
-"""Reports tried in one such round."""
+"""Maximum number of reports that one retry writes."""
 
 
 class ClaimCounts:
-    """Plain counters of outcomes, for metrics and the dump."""
+    """Counters of the results of claims, for metrics and the state dump."""
 
     __slots__ = (
         "granted",
@@ -64,7 +65,12 @@
 
 
 class Claims(Component):
-    """Claims of this VM; `vm_name` is shown to operators and proves nothing."""
+    """Claims of this VM.
+
+    Attributes:
+        vm_name: Stored in the rows for operators. Ownership is decided by tokens alone.
+        held: Granted claims whose outcome is not reported yet, by token.
+    """
 
     name = "claims"
 
@@ -77,16 +83,16 @@
         self.held: dict[str, ClaimGranted] = {}
 
     def subscribe(self, timers: Timers) -> None:
-        """Settle unproven reports in the background."""
+        """Retry pending reports periodically."""
         timers.every(REPORT_RETRY_INTERVAL, "claims settle", self.retry_reports)
 
     async def acquire(
         self, service: str, caller: str, key: str, body_digest: str, deadline: float
     ) -> ClaimResult:
-        """Claim the work named by `key` within service and caller.
+        """Claim the request with `key` of a caller to a service.
 
-        `deadline` is on the monotonic clock: a claim not proven by then is `ClaimUnavailable`,
-        and the holder of a granted one sends nothing after it.
+        `deadline` is on the monotonic clock. The result is `ClaimUnavailable` if the claim is not
+        confirmed by then. The holder of a granted claim sends nothing after the deadline.
         """
         now, wall = self.clock.now(), self.clock.wall()
         if self.reports.is_full:
@@ -111,28 +117,28 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes | None,
     ) -> bool:
-        """Report that the work ran; a small answer is kept for replay, None keeps none.
+        """Report that the request ran. A small answer is stored for replay; None stores no body.
 
-        True if the report is proven; otherwise it is tried again in the background.
+        Returns True if the report is proven to be written. Otherwise, it is retried later.
         """
         return await self._report(
             claim, with_outcome(claim.row, ClaimState.DONE, status, headers, body)
         )
 
     async def mark_unknown(self, claim: ClaimGranted) -> bool:
-        """Report that the request was sent, and that nobody knows whether it ran."""
+        """Report that the request was sent and that it is not known whether it ran."""
         return await self._report(claim, with_outcome(claim.row, ClaimState.UNKNOWN))
 
     async def release(self, claim: ClaimGranted) -> bool:
-        """Report that the request is proven not to have run; the key may be claimed again."""
+        """Report that the request has not run, so that the key may be claimed again."""
         return await self._report(claim, with_outcome(claim.row, ClaimState.RELEASED))
 
     async def retry_reports(self) -> int:
-        """Try unproven reports again; return how many are left. Called until 0 before a stop."""
+        """Retry pending reports; return how many are left. Repeated until it is 0 before a stop."""
         return await self.reports.retry_pending(REPORT_RETRY_BATCH)
 
     def dump(self) -> dict:
-        """Describe held claims, unproven reports and counters."""
+        """Return the numbers of held claims and pending reports, and the counters."""
         counts = {name: getattr(self.counts, name) for name in self.counts.__slots__}
         return {
             "held": len(self.held),
@@ -176,7 +182,7 @@
         return await self.store.read(CLAIMS_TABLE, row_key, remaining, Priority.CLAIM)
 
     def _result_for_existing(self, found: Row | None, row: ClaimRow) -> ClaimResult | None:
-        """Return the answer for the row in the way, None if it may be claimed."""
+        """Return the result that the existing row implies, or None if the key may be claimed."""
         if found is None:
             return None
         existing = decode_claim(found.value)
@@ -214,7 +220,7 @@
         return claim
 
     def _abandon(self, row_key: str, row: ClaimRow, version: int) -> ClaimUnavailable:
-        # Nothing is ever sent under this token: this object is the only one that knew it.
+        # Nothing is ever sent under this token, since only this object knows it.
         self.reports.enqueue(ClaimReport(row_key, with_outcome(row, ClaimState.RELEASED), version))
         self.counts.abandoned += 1
         return self._unavailable("the store did not confirm the claim in time; try again")
--- a/sequoiabridge/store/client.py
+++ b/sequoiabridge/store/client.py
@@ -1,7 +1,7 @@
-"""The one client of the platform's store for all parts of a daemon.
+"""Client of the platform's store, shared by all components of a daemon.
 
-It keeps to this daemon's share of the fleet's rates, groups transactions that wait at the same
-time, refuses at once while the store is down, and settles lost answers by reading back.
+It keeps to this daemon's share of the fleet's rates, groups transactions, fails at once while the
+store is down, and reads rows back to determine the outcome of a write whose answer was lost.
 """
 
 from collections.abc import Awaitable, Callable
@@ -26,34 +26,34 @@
 from .rates import Priority
 
 PROBE_INTERVAL = 0.25
-"""Seconds between two looks whether the service is to be tried again."""
+"""Seconds between two checks whether a probe of the store is due."""
 
 PROBE_TIMEOUT = 0.5
-"""Seconds that such a try may take."""
+"""Timeout of a probe, in seconds."""
 
 CALL_TIMEOUT = 0.5
-"""Seconds given to one call of several that settle a transaction."""
+"""Timeout of a single call, in seconds, where an operation may need several calls."""
 
 MAX_SENDS = 4
-"""Times that a transaction is sent before its outcome is left open."""
+"""Maximum number of times that a transaction is sent until its outcome is known."""
 
 FIRST_RESEND_DELAY = 0.02
-"""Seconds before a transaction is sent again; doubles each round."""
+"""Seconds before a transaction is sent a second time. The delay doubles each time."""
 
 
 class StoreClient(TableService, Component):
-    """Tables and objects (`objects`) at this daemon's share of the fleet's rates.
+    """Access to tables and objects (`objects`) at this daemon's share of the fleet's rates.
 
     Args:
         tables: Adapter of the table service.
         objects: Adapter of the object store.
         clock: Source of time.
-        live_count: Returns how many VMs share the rates now.
-        fleet_writes: Writes a second for the whole fleet, 0 for no limit.
-        fleet_reads: Reads a second for the whole fleet, 0 for no limit.
-        grouping: Send waiting transactions as one when their rows allow.
-        count_rows: The platform counts each written row, not each transaction.
-        sleep: Waits the seconds between two tries of one transaction.
+        live_count: Returns the number of VMs that share the rates now.
+        fleet_writes: Writes per second allowed for the whole fleet; 0 for no limit.
+        fleet_reads: Reads per second allowed for the whole fleet; 0 for no limit.
+        grouping: Send queued transactions in groups where their rows allow it.
+        count_rows: Each written row counts against the rate, not each transaction.
+        sleep: Waits the given seconds before a transaction is sent again.
     """
 
     name = "store"
@@ -80,12 +80,12 @@
         self.counts = self.admission.counts
 
     def subscribe(self, timers: Timers) -> None:
-        """Try the service again from time to time while it is down, apart from callers' work."""
+        """Probe the store on a timer while it is down, so that no caller's request has to."""
         self.admission.has_background_probe = True
         timers.every(PROBE_INTERVAL, "store probe", self.probe)
 
     async def probe(self) -> None:
-        """Make one small read if the service is down and a try is due."""
+        """Read one row if the store is down and a probe is due."""
         breaker = self.admission.breaker
         if not breaker.is_open or not breaker.allow_call(self.clock.now()):
             return
@@ -94,7 +94,7 @@
 
     @property
     def is_down(self) -> bool:
-        """True while calls are refused because the store gave no answers."""
+        """Whether calls are refused because the store does not answer."""
         return self.admission.breaker.is_open
 
     async def transact(
@@ -104,7 +104,7 @@
         timeout: float,
         priority: Priority = Priority.NORMAL,
     ) -> Result[None, StoreError]:
-        """Make all writes if all conditions hold, perhaps together with other transactions."""
+        """Make all writes if all conditions hold, otherwise none; may be sent in a group."""
         refusal = self.admission.refusal_if_down()
         if refusal is not None:
             return refusal
@@ -118,16 +118,16 @@
         deadline: float,
         priority: Priority = Priority.NORMAL,
     ) -> Result[None, StoreError]:
-        """Make a transaction and settle a lost answer by reading back what it wrote.
+        """Make a transaction; if the answer is lost, read back whether it took effect.
 
-        `token` is one of the writes, whose value no other attempt can have written and which
-        nobody writes over while its outcome is of interest. The same transaction is sent again
-        if the token is not there: its conditions let at most one copy take effect.
+        `token` is one of the writes. Its value must be unique to this transaction, and its row
+        must not be overwritten before the outcome is known. If the row does not hold the value, the
+        same transaction is sent again. Its conditions let at most one copy take effect.
 
-        `Ok` and `CONDITION_FAILED` are proven and final (as long as the rows of the conditions
-        are not deleted and made anew). `UNKNOWN` is neither: a copy may still take effect. To
-        rule that out, call this again with a tombstone in place of the writes under the SAME
-        conditions: then at most one of the two takes effect, for ever.
+        `Ok` and `CONDITION_FAILED` are proven and final, unless rows of the conditions are deleted
+        and created again. With `UNKNOWN`, a copy may still take effect. To rule that out, call this
+        again with a tombstone as the write and the same conditions: at most one of the two
+        transactions ever takes effect.
         """
         sent = False
         for round_number in range(MAX_SENDS):
@@ -167,7 +167,7 @@
             return None
         if found.ok is not None and found.ok.value == token.value:
             return Ok(None)
-        # A copy met a failed condition and the token is not there: no copy can take effect.
+        # A condition failed and the token was not written, so no copy can take effect any more.
         return result if result.error.kind is StoreErrorKind.CONDITION_FAILED else None
 
     async def read(
@@ -190,7 +190,10 @@
         timeout: float,
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[Row], StoreError]:
-        """Return up to `limit` rows by key; counts as one read."""
+        """Return up to `limit` rows whose key starts with `prefix` and sorts after `after`.
+
+        This counts as one read.
+        """
         return await self.admission.run_call(
             self.admission.reads,
             priority,
@@ -199,7 +202,7 @@
         )
 
     def dump(self) -> dict:
-        """Describe the breaker, the rates and the counters."""
+        """Return the state of the breaker, the rates and the counters."""
         admission = self.admission
         counts = {name: getattr(self.counts, name) for name in self.counts.__slots__}
         return {
--- a/sequoiabridge/store/committer.py
+++ b/sequoiabridge/store/committer.py
@@ -1,4 +1,4 @@
-"""Group commit: transactions that wait at the same time go to the table service as one."""
+"""Group commit: sends transactions that wait at the same time to the table service as one."""
 
 import curio
 from expression import Result
@@ -9,15 +9,15 @@
 from .rates import Priority
 
 MAX_CALLS_IN_FLIGHT = 4
-"""Calls on their way at one time; what comes meanwhile waits and goes as a group."""
+"""Maximum number of calls in flight. Transactions queue and are grouped meanwhile."""
 
 
 class Committer:
-    """Sends waiting transactions, grouped where their rows allow.
+    """Sends queued transactions, in groups where their rows allow it.
 
-    When the condition of one member fails, the whole group writes nothing and is sent again in
-    halves, at last singly. When the answer to a group is lost, each member is `UNKNOWN`, and
-    settles by its own token.
+    If a condition of one transaction fails, the group writes nothing and is sent again in halves,
+    down to single transactions. If the answer to a group is lost, the outcome of each of its
+    transactions is `UNKNOWN`.
     """
 
     def __init__(self, admission: AdmissionControl, tables: TableService, grouping: bool = True):
@@ -37,7 +37,7 @@
         timeout: float,
         priority: Priority,
     ) -> Result[None, StoreError]:
-        """Make all writes if all conditions hold; at most `timeout` seconds."""
+        """Make all writes if all conditions hold, otherwise none, within `timeout` seconds."""
         self.admission.counts.asked += 1
         entry = QueuedTransaction(conditions, writes, priority, self.clock.now() + timeout)
         self.queue.append(entry)
@@ -80,7 +80,8 @@
             self.dispatching = False
 
     async def _wait_for_token(self) -> bool:
-        # The most urgent that waits pays; a claim that arrives later need not wait behind others.
+        # The token is taken at the highest priority in the queue, again after each arrival, so that
+        # a claim does not wait behind transactions of lower priority.
         while self.queue:
             priority = min(entry.priority for entry in self.queue)
             admission = self.admission
@@ -93,7 +94,7 @@
         return False
 
     def _max_group_rows(self) -> int:
-        # Where each row counts, a group is no larger than what is paid for already.
+        # If each row costs a token, the available tokens limit the size of the group.
         affordable = 1 + int(max(0.0, self.admission.writes.tokens))
         return min(MAX_GROUP_ROWS, affordable) if self.admission.count_rows else MAX_GROUP_ROWS
 
@@ -104,7 +105,9 @@
         try:
             await self._commit(group)
         finally:
-            cancelled = store_error(StoreErrorKind.UNKNOWN, "cut off; read back the token")
+            cancelled = store_error(
+                StoreErrorKind.UNKNOWN, "the call was cancelled; read back the token"
+            )
             for entry in group:
                 await entry.set_result(cancelled)
             await self.in_flight_limit.release()
@@ -137,7 +140,7 @@
                 await self._commit(active)
 
     async def _refuse_queued(self) -> None:
-        # Those who wait when the breaker opens learn it at once; nothing of them was sent.
+        # Queued transactions fail as soon as the breaker opens. None of them was sent.
         if not self.admission.breaker.is_open:
             return
         text = "the platform's store does not answer; try again later"
--- a/sequoiabridge/store/groups.py
+++ b/sequoiabridge/store/groups.py
@@ -1,4 +1,4 @@
-"""Group commit: which waiting transactions may go to the table service as one."""
+"""Group commit: chooses the queued transactions that are sent to the table service as one."""
 
 import curio
 from expression import Result
@@ -7,14 +7,23 @@
 from .rates import Priority
 
 MAX_GROUP_ROWS = 25
-"""Rows written by one group."""
+"""Maximum number of rows that one group writes."""
 
 MAX_GROUP_BYTES = 256 * 1024
-"""Bytes of values written by one group."""
+"""Maximum total size, in bytes, of the values that one group writes."""
 
 
 class QueuedTransaction:
-    """One transaction that waits to be sent; `taken` once it is part of a group."""
+    """A transaction that waits to be sent.
+
+    Attributes:
+        keys: Tables and keys of all rows that it reads or writes.
+        size: Size of its values in bytes.
+        dequeued: It was added to a group and may have been sent.
+        abandoned: Nobody waits for the result any more.
+        result: The result, or None while it is not known.
+        done: Set once the result is known.
+    """
 
     __slots__ = (
         "conditions",
@@ -48,7 +57,7 @@
         self.done = curio.Event()
 
     async def set_result(self, result: Result[None, StoreError]) -> None:
-        """Hand the result to whoever waits for it."""
+        """Set the result if there is none yet, and wake the task that waits for it."""
         if self.result is None:
             self.result = result
             await self.done.set()
@@ -57,9 +66,9 @@
 def dequeue_group(
     queue: list[QueuedTransaction], grouping: bool = True, max_rows: int = MAX_GROUP_ROWS
 ) -> list[QueuedTransaction]:
-    """Take out of `waiting` the transactions to send next: most urgent first, oldest first.
+    """Remove the transactions to send next from `queue`, by priority and then by age.
 
-    Two transactions that name the same row never share a group: they depend on each other.
+    Transactions that use the same row depend on each other and are never in one group.
     """
     group: list[QueuedTransaction] = []
     keys: set[tuple[str, str]] = set()
@@ -80,7 +89,7 @@
 
 
 def merge_group(group: list[QueuedTransaction]) -> tuple[list[Condition], list[Write]]:
-    """Return the conditions and the writes of the whole group."""
+    """Return the conditions and the writes of all transactions of a group."""
     conditions = [condition for entry in group for condition in entry.conditions]
     return conditions, [write for entry in group for write in entry.writes]
 
--- a/sequoiabridge/store/rate_limited_objects.py
+++ b/sequoiabridge/store/rate_limited_objects.py
@@ -1,4 +1,4 @@
-"""The object store at this daemon's share of the fleet's rates."""
+"""Object store that keeps to this daemon's share of the fleet's rates."""
 
 from expression import Result
 
@@ -8,9 +8,9 @@
 
 
 class RateLimitedObjects(ObjectStore):
-    """Passes calls on when the breaker and the share of the rates allow.
+    """Passes calls on to `objects` once the breaker and the rates allow it.
 
-    Puts and deletes count as writes, gets and lists as reads.
+    Puts and deletes count as writes, gets and lists of names as reads.
     """
 
     def __init__(self, admission: AdmissionControl, objects: ObjectStore):
@@ -20,7 +20,7 @@
     async def put(
         self, name: str, data: bytes, timeout: float, priority: Priority = Priority.NORMAL
     ) -> Result[None, StoreError]:
-        """Store an object; `CONDITION_FAILED` if the name is taken."""
+        """Store an object. The error is `CONDITION_FAILED` if the name exists."""
         return await self.admission.run_call(
             self.admission.writes,
             priority,
@@ -42,7 +42,7 @@
     async def delete(
         self, name: str, timeout: float, priority: Priority = Priority.BACKGROUND
     ) -> Result[None, StoreError]:
-        """Remove the object; fine if there is none. Nobody waits for it, so it goes last."""
+        """Delete the object, by default at low priority. It is not an error if there is none."""
         return await self.admission.run_call(
             self.admission.writes,
             priority,
@@ -58,7 +58,7 @@
         timeout: float,
         priority: Priority = Priority.NORMAL,
     ) -> Result[list[str], StoreError]:
-        """Return up to `limit` names in order."""
+        """Return up to `limit` names that start with `prefix` and sort after `after`, in order."""
         return await self.admission.run_call(
             self.admission.reads,
             priority,
--- a/sequoiabridge/store/rates.py
+++ b/sequoiabridge/store/rates.py
@@ -1,25 +1,25 @@
-"""This daemon's share of a rate that the whole fleet may use: pure, time is an argument."""
+"""Token bucket for this daemon's share of a fleet-wide rate. The caller passes the current time."""
 
 from enum import IntEnum
 
 BURST_SECONDS = 0.5
-"""Seconds of the share that may be saved up."""
+"""Capacity of the bucket, in seconds of the current rate."""
 
 MIN_BURST_CALLS = 2.0
-"""Calls that may be saved up at least, however small the share."""
+"""Minimum capacity of the bucket, in calls."""
 
 REJECTION_FACTOR = 0.5
-"""The share is multiplied by this when the platform says that the fleet is over its rate."""
+"""Factor applied to the share each time the platform rejects a call."""
 
 RECOVERY_PER_SECOND = 0.1
-"""Part of the full share that is won back each second after a cut."""
+"""Fraction of the full share that is restored per second after a reduction."""
 
 MIN_SCALE = 0.1
-"""Least part of the share that cuts leave."""
+"""Minimum fraction of the share that reductions leave."""
 
 
 class Priority(IntEnum):
-    """Who goes first when the share is short; lower first."""
+    """Priority of a call when tokens are scarce. Lower values go first."""
 
     CLAIM = 0
     NORMAL = 1
@@ -27,14 +27,14 @@
 
 
 RESERVED_BURST_SHARE = {Priority.CLAIM: 0.0, Priority.NORMAL: 0.25, Priority.BACKGROUND: 0.5}
-"""Part of the burst that a call of this priority must leave to more urgent ones."""
+"""Fraction of the bucket that calls of a priority leave to calls of higher priority."""
 
 
 class RateShare:
-    """A token bucket filled with `fleet_rate / live VMs` a second; 0 means no limit.
+    """Token bucket filled at `fleet_rate / live VMs` per second. A rate of 0 means no limit.
 
-    When VMs disagree on how many are live, they spend more than the rate together and the
-    platform refuses some calls; `pressed` then cuts the share for a while.
+    VMs that disagree on the number of live VMs may exceed the fleet's rate together, so that the
+    platform rejects calls. `record_rejection` then reduces the share for a while.
     """
 
     __slots__ = ("fleet_rate", "tokens", "updated_at", "scale")
@@ -46,9 +46,9 @@
         self.scale = 1.0
 
     def take(self, now: float, live_vms: int, priority: Priority, cost: int = 1) -> float:
-        """Pay for a call and return 0, or return the seconds to wait before asking again.
+        """Take tokens for a call and return 0, or return the seconds to wait before trying again.
 
-        One whole token must be there; a cost over that is paid later, as a debt.
+        One token must be available. Any cost above that makes the number of tokens negative.
         """
         if self.fleet_rate <= 0:
             return 0.0
@@ -62,7 +62,7 @@
         return 0.0
 
     def record_rejection(self) -> None:
-        """Take note that the platform refused a call as over the rate."""
+        """Reduce the share because the platform rejected a call."""
         self.scale = max(MIN_SCALE, self.scale * REJECTION_FACTOR)
 
     def _refill(self, now: float, rate: float, burst: float) -> None:
--- a/sequoiabridge/store/rows.py
+++ b/sequoiabridge/store/rows.py
@@ -1,13 +1,13 @@
-"""Rows of the platform's table service, as plain values."""
+"""Rows, conditions and writes of the platform's table service, as `tables.Tables` uses them."""
 
 from __future__ import annotations
 
 UNREADABLE = b""
-"""Stands for a value whose bytes cannot be read; no reader of this package takes an empty value."""
+"""Placeholder for a value that cannot be decoded. No decoder of this package accepts it."""
 
 
 class StoredRow:
-    """One row; `value` is None for a row that was removed, `version` grows with each change."""
+    """One row. `value` is None if the row was removed; `version` grows with each change."""
 
     __slots__ = ("table", "part", "key", "value", "version")
 
@@ -44,7 +44,7 @@
 
 
 class Rows:
-    """Rows as of one moment; `version` is the store's newest at that moment."""
+    """Rows as of one moment. `version` is the store's newest version at that moment."""
 
     __slots__ = ("rows", "version")
 
@@ -54,6 +54,6 @@
 
 
 class Changes(Rows):
-    """Rows that changed, in order; `version` is where to go on from."""
+    """Rows that changed, in order. `version` is the version to read further changes after."""
 
     __slots__ = ()
--- a/sequoiabridge/store/tables.py
+++ b/sequoiabridge/store/tables.py
@@ -1,4 +1,4 @@
-"""The platform's table service as the relay needs it."""
+"""Interface of the platform's table service that the relay uses."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 
 class Tables(ABC):
-    """Rows in named tables, read whole or followed, changed by conditional transactions.
+    """Rows in named tables. Rows are read or watched, and changed by conditional transactions.
 
-    All calls raise `StoreUnavailable` when no good answer came, `StoreRefused` when the store
-    said that it did nothing.
+    All methods raise `StoreUnavailable` if the store gave no valid answer, and `StoreRefused` if
+    it answered that it did nothing.
     """
 
     @abstractmethod
     async def rows(
         self, table: str, part: str = "", start: str = "", end: str = "", limit: int = 0
     ) -> Rows:
-        """Return rows of a part of a table with keys from `start` up to, not with, `end`.
+        """Return the rows of a part of a table whose keys are in the range from `start` to `end`.
 
-        All of them, or the first `limit`.
+        `end` is exclusive. All rows are returned, or the first `limit` if it is not 0.
         """
 
     @abstractmethod
     async def changes(self, table: str, after: int, wait: float) -> Changes:
-        """Return the rows of a table that changed after a version; wait until there is one.
+        """Return the rows of a table that changed after version `after`; wait for a change.
 
         Args:
-            wait: Seconds after which an empty answer comes.
+            wait: Maximum number of seconds to wait. No changes are returned if there was none.
 
         Raises:
-            HistoryLost: The store does not know what changed since; read all rows.
+            HistoryLost: The store no longer has the changes since `after`. Read all rows instead.
         """
 
     @abstractmethod
     async def transact(self, conditions: Sequence[Condition], writes: Sequence[Write]) -> int:
-        """Make all writes if all conditions hold, else none; return the store's new version.
+        """Make all writes if all conditions hold, otherwise none; return the store's new version.
 
         Raises:
             ConditionFailed: A condition did not hold.
--- a/sequoiabridge/store/version_rows.py
+++ b/sequoiabridge/store/version_rows.py
@@ -1,27 +1,27 @@
-"""Rows of the fleet's configuration in the table service, and what a proposal may end in."""
+"""Rows of the fleet's configuration in the table service, and results of a proposal."""
 
 import msgspec
 
 CONFIGURATION_TABLE = "configuration"
-"""Table of the head row and of the changes."""
+"""Name of the table of the head row and the changes."""
 
 HEAD_KEY = "head"
-"""Key of the one row that says which version is the newest."""
+"""Key of the row that names the newest version."""
 
 CHANGE_PREFIX = "change/"
-"""Prefix of the keys of the changes; the version follows in decimal, padded to sort."""
+"""Prefix of the keys of changes. The version follows, padded with zeros so that keys sort."""
 
 SNAPSHOT_PREFIX = "configuration-"
-"""Prefix of the names of the snapshots in the object store."""
+"""Prefix of the names of snapshots in the object store."""
 
 SNAPSHOT_INTERVAL = 50
-"""Versions between two snapshots."""
+"""Number of versions between two snapshots."""
 
 
 class HeadRow(msgspec.Struct, frozen=True):
-    """The newest version, who set it and when (wall time), and the token of that change.
+    """The newest version, its author, its wall time, and the token of its change.
 
-    `fences` counts rewrites that only make proposals on their way fail.
+    `fences` counts the rewrites of the row that only make proposals in flight fail.
     """
 
     version: int
@@ -32,7 +32,7 @@
 
 
 class ChangeRow(msgspec.Struct, frozen=True):
-    """The change that made `version` out of the one before; `change` is the configuration's own."""
+    """The change that leads to `version`. `change` is encoded by the configuration."""
 
     version: int
     author: str
@@ -42,14 +42,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The whole configuration as of `version`; `data` is the configuration's own encoding."""
+    """The whole configuration as of `version`. `data` is encoded by the configuration."""
 
     version: int
     data: bytes
 
 
 class LoadedConfiguration(msgspec.Struct, frozen=True):
-    """The newest version: a snapshot and all changes after it up to `head`."""
+    """A snapshot and all changes after it, up to the version of `head`."""
 
     head: HeadRow
     snapshot: Snapshot
@@ -65,27 +65,27 @@
 
 
 NO_SNAPSHOT = Snapshot(0, b"")
-"""The empty configuration, from which the first change is made."""
+"""The empty configuration, to which the first change applies."""
 
 
 def change_key(version: int) -> str:
-    """Return the key of the change that made `version`."""
+    """Return the key of the change that leads to `version`."""
     return f"{CHANGE_PREFIX}{version:012d}"
 
 
 def snapshot_name(version: int) -> str:
-    """Return the object's name of the snapshot of `version`."""
+    """Return the name of the object that holds the snapshot of `version`."""
     return f"{SNAPSHOT_PREFIX}{version:012d}"
 
 
 class ProposalResult:
-    """Base of all outcomes of `Versions.propose`."""
+    """Base class of the results of `Versions.propose`."""
 
     __slots__ = ()
 
 
 class Accepted(ProposalResult):
-    """Proven committed as `version`; `row` is the change, so that it need not be read again."""
+    """The change is proven to be committed as `version`. `row` is the change as stored."""
 
     __slots__ = ("version", "row")
 
@@ -95,7 +95,7 @@
 
 
 class Conflict(ProposalResult):
-    """Proven not committed: `author` set the newer `version` first, at wall time `at`."""
+    """The change is not committed: `author` committed `version` first, at wall time `at`."""
 
     __slots__ = ("version", "author", "at")
 
@@ -106,7 +106,7 @@
 
 
 class Unproven(ProposalResult):
-    """It may be committed, now or later; `Versions.resolve` finds out when the store is back."""
+    """The change may be committed, now or later. `Versions.resolve` determines the outcome."""
 
     __slots__ = ("version", "token", "message")
 
@@ -117,7 +117,7 @@
 
 
 class NotAccepted(ProposalResult):
-    """Proven not committed and never will be, without a newer version known; propose again."""
+    """The change is not committed and never will be. It may be proposed again."""
 
     __slots__ = ("message",)
 
--- a/sequoiabridge/store/versions.py
+++ b/sequoiabridge/store/versions.py
@@ -1,7 +1,7 @@
-"""Versions of the fleet's configuration: one head row advanced by compare-and-set.
+"""Versions of the fleet's configuration: a head row that is advanced by compare-and-set.
 
-"Accepted" is said only when the change row with this proposal's token has been proven to be in
-the table. A change row is never written over, so that it settles a lost answer at any later time.
+A proposal is accepted only once the change row with its token is proven to be in the table. Change
+rows are never overwritten, so that the outcome of a proposal can be read at any later time.
 """
 
 from expression import Error, Ok, Result
@@ -36,26 +36,26 @@
 )
 
 CHANGES_PER_SCAN = 100
-"""Change rows read by one scan."""
+"""Maximum number of change rows that one scan reads."""
 
 MAX_PROPOSE_ATTEMPTS = 3
-"""Times that a proposal is made when only a fence moved the head row."""
+"""Maximum number of attempts to commit or resolve a proposal while fences change the head row."""
 
 SNAPSHOT_LOOKBACK = 100
-"""Intervals between snapshots in which the newest is looked for."""
+"""Number of snapshot intervals that are searched for the newest snapshot."""
 
 RETAINED_CHANGES = 20_000
-"""Changes kept for the history; more than `SNAPSHOTS_SEEN` intervals."""
+"""Number of changes kept for the history. More than `SNAPSHOT_LOOKBACK` intervals."""
 
 PRUNE_BATCH = 25
-"""Changes removed by one transaction."""
+"""Maximum number of changes that one transaction deletes."""
 
 SNAPSHOT_TIMEOUT = 5.0
-"""Seconds for reading or writing a snapshot."""
+"""Timeout, in seconds, of reading or writing a snapshot."""
 
 
 class Versions:
-    """The configuration's rows and snapshots; changes and snapshots are opaque bytes here."""
+    """Reads and writes the configuration's rows and snapshots, which are opaque bytes here."""
 
     def __init__(
         self, store: StoreClient, clock: Clock, snapshot_interval: int = SNAPSHOT_INTERVAL
@@ -68,7 +68,7 @@
     async def propose(
         self, expected_version: int, change: bytes, author: str, timeout: float
     ) -> ProposalResult:
-        """Commit `change` as version `expected_version + 1` if that is still the next one."""
+        """Commit `change` as version `expected_version + 1` if that is the next version."""
         deadline = self.clock.now() + timeout
         row = ChangeRow(expected_version + 1, author, self.clock.wall(), new_token(), bytes(change))
         for _ in range(MAX_PROPOSE_ATTEMPTS):
@@ -88,10 +88,10 @@
         return NotAccepted("the head row changed each time; read it and propose again")
 
     async def resolve(self, unproven: Unproven, timeout: float) -> ProposalResult:
-        """Find out what became of a proposal, and rule out that it is committed later.
+        """Determine the outcome of a proposal, and rule out that it is committed later.
 
-        If its change row is not there, the head row is rewritten unchanged: its new version makes
-        the proposal's condition fail for ever.
+        If its change row does not exist, the head row is rewritten with a higher `fences`. The new
+        version of the row makes the condition of the proposal fail.
         """
         deadline = self.clock.now() + timeout
         for _ in range(MAX_PROPOSE_ATTEMPTS):
@@ -109,14 +109,14 @@
         return Unproven(unproven.version, unproven.token, "the head row changes; try again")
 
     async def latest(self, timeout: float = CALL_TIMEOUT) -> Result[HeadRow, StoreError]:
-        """Return the newest committed version; version 0 if there is none yet."""
+        """Return the head row of the newest version, or of version 0 if there is none."""
         found = await self.store.read(CONFIGURATION_TABLE, HEAD_KEY, timeout)
         return found.map(_decode_head)
 
     async def changes_since(
         self, version: int, limit: int = CHANGES_PER_SCAN
     ) -> Result[list[ChangeRow], StoreError]:
-        """Return up to `limit` changes after `version`, in order and without a gap."""
+        """Return up to `limit` changes after `version`, in order, up to the first gap."""
         rows = await self.store.scan(
             CONFIGURATION_TABLE, CHANGE_PREFIX, change_key(version), limit, CALL_TIMEOUT
         )
@@ -131,18 +131,21 @@
         return rows.map(lambda changes: changes[::-1])
 
     def is_snapshot_due(self, version: int) -> bool:
-        """True if whoever had `version` accepted is to save a snapshot of it."""
+        """Return whether a snapshot of `version` is to be saved by the VM that proposed it."""
         return version > 0 and version % self.snapshot_interval == 0
 
     async def save_snapshot(self, version: int, data: bytes) -> Result[None, StoreError]:
-        """Store the whole configuration as of `version`; fine if another VM has done so."""
+        """Store the whole configuration as of `version`, unless another VM has done so."""
         result = await self.objects.put(snapshot_name(version), data, SNAPSHOT_TIMEOUT)
         if result.is_error() and result.error.kind is StoreErrorKind.CONDITION_FAILED:
             return Ok(None)
         return result
 
     async def snapshot(self, version: int) -> Result[Snapshot, StoreError]:
-        """Return the newest snapshot up to `version` of the last `SNAPSHOTS_SEEN`, 0 if none."""
+        """Return the newest recent snapshot up to `version`, or that of version 0 if there is none.
+
+        The last `SNAPSHOT_LOOKBACK` intervals are searched.
+        """
         oldest = max(0, version - SNAPSHOT_LOOKBACK * self.snapshot_interval)
         names = await self.objects.names(
             SNAPSHOT_PREFIX, snapshot_name(oldest), SNAPSHOT_LOOKBACK + 1, SNAPSHOT_TIMEOUT
@@ -159,7 +162,7 @@
         )
 
     async def load(self) -> Result[LoadedConfiguration, StoreError]:
-        """Read what a new VM needs to be at the newest version."""
+        """Return all that a new VM needs to build the newest version."""
         head = await self.latest()
         if head.is_error():
             return head
@@ -180,9 +183,9 @@
         return Ok(LoadedConfiguration(head.ok, snapshot.ok, changes))
 
     async def prune(self, retained: int = RETAINED_CHANGES) -> int:
-        """Remove some of the changes that are older than the last `keep`; return how many.
+        """Delete some of the changes before the last `retained` ones; return how many.
 
-        Only with a recent snapshot, so that a new VM needs none of them.
+        Nothing is deleted without a later snapshot, so that a new VM never needs these changes.
         """
         head = await self.latest()
         newest_removable = head.ok.version - retained if head.is_ok() else 0
@@ -218,7 +221,7 @@
         return await self.store.transact_verified(conditions, writes, change, deadline)
 
     async def _committed_result(self, unproven: Unproven, deadline: float) -> ProposalResult | None:
-        """Return what the change row proves, None if it is not there."""
+        """Return the result that the change row proves, or None if the row does not exist."""
         remaining = min(CALL_TIMEOUT, max(0.0, deadline - self.clock.now()))
         found = await self.store.read(CONFIGURATION_TABLE, change_key(unproven.version), remaining)
         if found.is_error():
