--- a/sequoiabridge/platform/__init__.py
+++ b/sequoiabridge/platform/__init__.py
@@ -1,4 +1,4 @@
-"""What the users' platform speaks, translated into the project's own types; decides nothing.
+"""Adapter to the platform: translates its wire format to and from the project's own types.
 
-Names of its wire stand in this folder and its tests only.
+The wire format's names are used only in this package and its tests.
 """
--- a/sequoiabridge/platform/client.py
+++ b/sequoiabridge/platform/client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store over HTTP, with JSON bodies; the one client of it."""
+"""Client of the platform's store over HTTP with JSON bodies."""
 
 from __future__ import annotations
 
@@ -24,29 +24,34 @@
 from ..upstreams.fetch import Fetched, fetch
 
 CALL_TIMEOUT = 1.5
-"""Seconds for a call that answers at once; the store takes 4 ms, some 0.25 s when it is slow."""
+"""Seconds for the whole answer to a call other than a poll."""
 
 POLL_ANSWER_TIMEOUT = 0.6
-"""Seconds for the answer to a question for changes beyond the time that it may wait; short, so that
-an outage and its end are noticed soon. A slow store takes 0.25 s."""
+"""Seconds for the answer to a poll after its waiting time; short, so that an outage of the store
+and its end are detected soon."""
 
 MAX_CONNECTIONS = 256
-"""Connections to the store at a time; each call has one, and claims come in crowds."""
+"""Maximum number of connections to the store; each call in flight uses one."""
 
 MAX_PAGE_ROWS = 500
-"""Rows of one answer, as the platform fixes it."""
+"""Maximum number of rows in one answer, as set by the platform."""
 
 IDLE_TIMEOUT = 20.0
-"""Seconds that an idle connection to the store is used again."""
+"""Seconds after which an idle connection is no longer reused."""
 
 JSON_HEADERS = ((b"content-type", b"application/json"),)
 
 CallObserver = Callable[[bool], None]
-"""Told of each call, and whether it failed."""
+"""Called after each call with whether it failed."""
 
 
 class PlatformClient(Tables):
-    """The platform's store at one address."""
+    """The platform's store at one address.
+
+    Args:
+        on_call: Called after each call on tables, with whether it failed.
+        call_timeout: Seconds for a call other than a poll.
+    """
 
     def __init__(
         self,
@@ -73,7 +78,7 @@
                 query["from"] = start
             page = await self._get("/rows-get", query, self.call_timeout)
             rows += _decode_rows(page)
-            # Pages are read one after the other: only what the first saw is known of all.
+            # Rows may change between pages; only the first page's version holds for all.
             version = version or page["ver"]
             if not page.get("has_more") or not page["rows"] or 0 < limit <= len(rows):
                 return Rows(rows[: limit or None], version)
@@ -124,7 +129,11 @@
         headers: tuple[tuple[bytes, bytes], ...] = (),
         timeout: float | None = None,
     ) -> Fetched:
-        """Make one call, and once only, and return its whole answer, whatever its status."""
+        """Send one request without retries; return its whole answer, whatever its status.
+
+        Raises:
+            StoreUnavailable: There was no whole answer within `timeout` seconds.
+        """
         timeout = self.call_timeout if timeout is None else timeout
         try:
             async with curio.timeout_after(timeout):
@@ -132,45 +141,58 @@
                     self.connector, self.address, method, target, timeout, body, headers
                 )
         except curio.TaskTimeout:
-            raise StoreUnavailable(f"The store gave no answer within {timeout:.1f} s.") from None
+            raise StoreUnavailable(f"The store did not answer within {timeout:.1f} s.") from None
         except UpstreamFailed as error:
-            message = f"The store gave no answer: {error}"
+            message = f"No answer from the store: {error}"
             raise StoreUnavailable(message, sent=error.sent) from error
 
 
 def checked_body(answer: Fetched) -> bytes:
-    """Return the body of a good answer, or raise what another one stands for."""
+    """Return the body of a successful answer.
+
+    Raises:
+        HistoryLost: The changes since the given version are no longer available.
+        ConditionFailed: A condition of the transaction did not hold.
+        StoreRefused: The store refused the call and did nothing.
+        StoreUnavailable: Any other failure; a write may have been applied.
+    """
     status = answer.status
     if status == HTTPStatus.GONE:
-        raise HistoryLost("The store no longer knows what changed; read all rows.")
+        raise HistoryLost("The store no longer has the changes since this version; read all rows.")
     if status == HTTPStatus.PRECONDITION_FAILED:
-        raise ConditionFailed("A row was changed by another; read it and decide again.")
+        raise ConditionFailed(
+            "A row was changed by another writer; read it again before the next write."
+        )
     refused = 400 <= status < 500 and status != HTTPStatus.REQUEST_TIMEOUT
     if refused or status == HTTPStatus.SERVICE_UNAVAILABLE:
-        raise StoreRefused(f"The store refused the call ({status}) and did nothing; try later.")
+        raise StoreRefused(
+            f"The store refused the call with status {status} and did nothing; try again later."
+        )
     if status != HTTPStatus.OK:
-        raise StoreUnavailable(f"The store answered {status}; read back what was written.")
+        raise StoreUnavailable(
+            f"The store answered with status {status}; read back what was written."
+        )
     return answer.body
 
 
 def decode_answer(answer: Fetched) -> dict:
-    """Return the fields of a good answer, or raise what another one stands for."""
+    """Return the JSON object of a successful answer; raises the errors of `checked_body`."""
     try:
         return json.loads(checked_body(answer))
     except ValueError as error:
-        raise StoreUnavailable(f"The store's answer is not JSON: {error}.") from error
+        raise StoreUnavailable(f"The store's answer is not valid JSON: {error}.") from error
 
 
 def _decode_rows(page: dict) -> list[StoredRow]:
     """Return the rows of an answer.
 
     Raises:
-        StoreUnavailable: The answer is not of the store's form.
+        StoreUnavailable: The answer does not have the expected structure.
     """
     try:
         return [_decode_row(row) for row in page["rows"]]
     except (KeyError, TypeError, AttributeError) as error:
-        raise StoreUnavailable(f"The store's answer has no rows in it: {error!r}.") from error
+        raise StoreUnavailable(f"The store's answer has no valid rows: {error!r}.") from error
 
 
 def _decode_row(row: dict) -> StoredRow:
@@ -179,7 +201,7 @@
 
 
 def _decode_value(text: object) -> bytes:
-    """Return a row's value; one that cannot be read is that row's matter, and the others hold."""
+    """Return a row's value, or `UNREADABLE`, so that one invalid row does not affect the others."""
     if not isinstance(text, str):
         return UNREADABLE
     try:
--- a/sequoiabridge/platform/configuration.py
+++ b/sequoiabridge/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document, decoded."""
+"""Decodes the operator's configuration document."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 from ..balancing.routes import CallLimits, Route, RouteTable, ServiceSettings, Target
 
 IDEMPOTENT = "idempotent"
-"""The only kind of route whose calls may run more than once; uploads may not."""
+"""The only route type whose calls may run more than once."""
 
 DEFAULT_MAX_ATTEMPTS = 1
-DEFAULT_TIMEOUT = 30.0
+DEFAULT_TIMEOUT_SECONDS = 30.0
 DEFAULT_PRIORITY = 0
 DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_HEALTH_PATH = "/health"
-"""What holds where the document is silent; the careful choice in each case."""
+"""Values for settings that the document leaves out."""
 
 DEFAULT_LIMITS = CallLimits(
     max_head=16 * 1024, max_body=64 * 1024 * 1024, head_timeout=10.0, idle_timeout=60.0
 )
+"""Limits on requests of callers for limits that the document leaves out."""
 
 
 def decode_route_table(document: Mapping) -> RouteTable:
     """Return the route table of a configuration document.
 
     Raises:
-        ValueError, KeyError, TypeError: It is not such a document.
+        ValueError, KeyError, TypeError: The document is not valid.
     """
     hosts: dict[bytes, list[Route]] = {}
     for virtual_host in document.get("virtual_hosts", ()):
@@ -45,7 +46,7 @@
         name=str(path.get("name") or path["prefix"]),
         prefix=path["prefix"].encode(),
         idempotent=path.get("route_type") == IDEMPOTENT,
-        timeout=float(path.get("timeout_s") or DEFAULT_TIMEOUT),
+        timeout=float(path.get("timeout_s") or DEFAULT_TIMEOUT_SECONDS),
         target_latency=float(path.get("target_latency_s") or path.get("timeout_s") or 1.0),
         max_attempts=int(path.get("max_attempts") or DEFAULT_MAX_ATTEMPTS),
         priority=int(path.get("priority") or DEFAULT_PRIORITY),
--- a/sequoiabridge/platform/dialect.py
+++ b/sequoiabridge/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The headers of callers and upstreams on the platform."""
+"""The headers that callers and upstreams use on the platform."""
 
 from __future__ import annotations
 
@@ -23,12 +23,16 @@
 )
 
 REPLACED_HEADERS = frozenset({TIMEOUT_MS, INTENDED_UPSTREAM})
-"""Request headers that the balancer writes anew for each upstream."""
+"""Request headers that the daemon sets itself on each attempt."""
 
 MILLISECONDS_PER_SECOND = 1000.0
 PERCENT_PER_UNIT = 100.0
 NO_SLOWDOWN = 1.0
+"""Slowdown of an upstream that does not report one."""
+
 MIN_TIMEOUT_MS = 1
+"""Minimum timeout sent to an upstream."""
+
 OK = 200
 
 
@@ -80,7 +84,7 @@
 
 
 def parse_load(headers: RawHeaders) -> UpstreamLoad | None:
-    """Return the load that an answer tells, or None if it tells none that can be read."""
+    """Return the load report in the headers of an answer, or None if it is missing or invalid."""
     text = first_value(headers, LOAD)
     if text is None:
         return None
--- a/sequoiabridge/platform/entries.py
+++ b/sequoiabridge/platform/entries.py
@@ -1,4 +1,4 @@
-"""An upstream's entry in the platform's list: checked field by field, then decoded."""
+"""Checks and decodes the entries of the platform's list of upstreams."""
 
 from __future__ import annotations
 
@@ -13,28 +13,27 @@
 STATES = (READY, DRAINING)
 
 MAX_SLOTS = 100_000
-"""Requests at a time that an upstream may claim to run; the users' run 2 to 8. One that claims more
-than any server has would draw all calls."""
+"""Maximum number of slots in an entry; an upstream with too many would get all calls."""
 
 MAX_COLD_SECONDS = 3600.0
-"""Seconds for which an upstream may claim to be slow after its start; the users' are for 3."""
+"""Maximum seconds in an entry for which an upstream is slow after its start."""
 
 MAX_JSON_INTEGER = 2**53
-"""Largest whole number that all writers of JSON carry exactly: a Unix millisecond or a count."""
+"""Largest integer that all JSON implementations represent exactly."""
 
 
 def decode_upstream_record(row: StoredRow) -> UpstreamRecord:
-    """Return what a row of the platform's list says.
+    """Return the upstream of a row.
 
     Raises:
-        BadEntry: It names no upstream that can be used.
+        BadEntry: The entry is not valid.
     """
     if not row.key.isascii():
-        raise BadEntry("its key is no id that a header can carry")
+        raise BadEntry("its key has characters that a header cannot carry")
     entry = as_object(parse_json(row.value or b""), "the entry")
     info = as_object(entry.get("info"), "info")
     status = as_object(entry.get("status"), "status")
-    # It counts the entry's own changes; only an upstream itself writes it.
+    # The number of the upstream's own changes to its entry; checked, but not used.
     as_integer(status.get("sequence"), "sequence", 0, MAX_JSON_INTEGER)
     return UpstreamRecord(
         id=as_text(row.key, "its key"),
@@ -54,12 +53,12 @@
 def _decode_state(status: Mapping) -> str:
     state = status.get("state")
     if state not in STATES:
-        raise BadEntry(f"its state is none of {', '.join(STATES)}")
+        raise BadEntry(f"its state is not one of {', '.join(STATES)}")
     return state
 
 
 def _decode_born(entry: Mapping) -> int | None:
-    """Return the Unix millisecond of its start, None where the platform does not tell it."""
+    """Return the Unix time of the upstream's start in milliseconds, or None if not set."""
     if "born" not in entry:
         return None
     return as_integer(entry["born"], "born", 0, MAX_JSON_INTEGER)
--- a/sequoiabridge/platform/feeds.py
+++ b/sequoiabridge/platform/feeds.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the list of upstreams, read from the platform's store."""
+"""Feeds of the operator's configuration and of the list of upstreams in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ConfigurationFeed(Feed[RouteTable]):
-    """The operator's configuration: a single row that holds the newest whole."""
+    """The operator's configuration; one row holds the newest version."""
 
     name = "configuration"
 
@@ -35,7 +35,7 @@
 
 
 class UpstreamFeed(Feed[UpstreamRecord]):
-    """The list of upstreams: a row for each, by id."""
+    """The list of upstreams; one row for each, by id."""
 
     name = "upstreams"
 
--- a/sequoiabridge/platform/names.py
+++ b/sequoiabridge/platform/names.py
@@ -1,38 +1,38 @@
-"""Names on the platform's wire, lower case where they are headers."""
+"""Names of the platform's wire format; header names are in lower case."""
 
 CALL_ID = b"x-attempt-id"
-"""Names one attempt of a caller; upstreams repeat it on their answers."""
+"""Id of a call; the upstream repeats it in its answer."""
 
 TIMEOUT_MS = b"x-deadline-ms"
-"""Milliseconds that the sender still waits; not a point in time."""
+"""Milliseconds for which the sender still waits; a span, not a point in time."""
 
 SIGNATURE = b"x-server-signature"
-"""An upstream's signature over its answer."""
+"""Signature of the upstream over its answer."""
 
 INTENDED_UPSTREAM = b"x-expect-instance"
-"""Id of the upstream that is meant; any other answers 421 and runs nothing."""
+"""Id of the intended upstream; any other answers 421 and does not run the request."""
 
 LOAD = b"x-instance-load"
-"""Requests running, requests waiting, slots and, from some, the slowdown in percent."""
+"""Load report: running requests, queued requests, slots, optionally the slowdown in percent."""
 
 NOT_RUN = b"x-not-executed"
-"""On answers to requests that did not run and never will."""
+"""Set on the answer to a request that did not run and never will."""
 
 UPSTREAM_ID = b"x-instance-id"
-"""On health answers and on 421: the id of the upstream that answered."""
+"""Id of the upstream that answered; set on answers to health checks and on status 421."""
 
 RETRY_AFTER = b"retry-after"
-"""Seconds, with fractions."""
+"""Seconds until a retry, with fractions."""
 
 CONTENT_ENCODING = b"content-encoding"
-"""Nobody asks for an encoding; a body that has one is not the upstream's."""
+"""Encoding of a body; nobody requests one, so an encoded body is not the upstream's own."""
 
 CONFIGURATION_TABLE = "op"
 CONFIGURATION_KEY = "config"
-"""Where the operator's newest configuration lies."""
+"""Table and key of the row that holds the operator's configuration."""
 
 UPSTREAM_TABLE = "servers"
-"""The upstreams' own entries, by id."""
+"""Table of the upstreams' entries, by id."""
 
 MISDIRECTED_REQUEST = 421
-"""Status of an upstream that was not the one meant."""
+"""Status of an answer from another upstream than the intended one."""
--- a/sequoiabridge/platform/services.py
+++ b/sequoiabridge/platform/services.py
@@ -1,6 +1,6 @@
-"""The platform's store as the daemon without the platform's balancer uses it: results, not errors.
+"""Adapters of the platform's store that return results instead of raising errors.
 
-Everything goes through the one `PlatformClient`.
+`daemon.Daemon` uses them through the interfaces of `store.base`.
 """
 
 from __future__ import annotations
@@ -33,9 +33,13 @@
 """The table that lists VMs, by name."""
 
 NO_PART = ""
+"""Part of a table that holds all rows, so that one transaction may cover any of them."""
+
 ONLY_IF_ABSENT = (b"if-none-match", b"*")
+"""Header that makes a write fail if the object exists."""
+
 CLIENT_TIMEOUT = 60.0
-"""Seconds of the client's own limit; the callers' limits are shorter."""
+"""Timeout of the client in seconds; each method has a shorter one."""
 
 MAX_KEY = "\U0010ffff"
 """Sorts after every character of a key."""
@@ -46,10 +50,10 @@
 async def call_store(
     call: Callable[[], Awaitable], convert: Callable[[object], object], timeout: float
 ) -> Result:
-    """Make a call within `timeout` seconds; return what it gave, or what is known after a failure.
+    """Make a call within `timeout` seconds; return its converted result or the error.
 
-    A condition that failed and a refusal are proof that nothing was written; silence after a byte
-    has left proves nothing.
+    A failed condition or a refusal proves that nothing was written. Without an answer, a write may
+    have been applied as soon as one byte was sent.
     """
     try:
         return Ok(convert(await curio.timeout_after(timeout, call)))
@@ -61,16 +65,16 @@
         kind = StoreErrorKind.UNKNOWN if error.sent else StoreErrorKind.NOT_SENT
         return Error(StoreError(kind, str(error)))
     except curio.TaskTimeout:
-        text = f"the store gave no answer within {timeout:.1f} s; read back what was written"
+        text = f"the store did not answer within {timeout:.1f} s; read back what was written"
         return Error(StoreError(StoreErrorKind.UNKNOWN, text))
 
 
 def discard(_answer: object) -> None:
-    """Take an answer that says nothing."""
+    """Ignore an answer without content."""
 
 
 class PlatformTables(TableService):
-    """The table service; all rows lie in one part, so that a transaction may cover any of them."""
+    """The table service."""
 
     def __init__(self, address: str, clock: Clock):
         self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
@@ -144,7 +148,7 @@
     async def _call(
         self, method: bytes, path: str, name: str, data: bytes = b"", headers: tuple = ()
     ) -> bytes | None:
-        """Return an answer's body, None if there is no such object."""
+        """Return an answer's body, or None if there is no such object."""
         target = (path + quote(name, safe="")).encode()
         answer = await self.client.exchange(method, target, data, headers)
         if answer.status == HTTPStatus.NOT_FOUND:
@@ -153,7 +157,7 @@
 
 
 class PlatformVmList(VmList):
-    """The list of VMs, which lies in a table."""
+    """The list of VMs, a table of the store."""
 
     def __init__(self, address: str, clock: Clock):
         self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
@@ -166,10 +170,10 @@
 
 
 def to_row(row: stored.StoredRow) -> Row:
-    """Return a stored row as the daemon's other parts know it."""
+    """Convert a stored row to the type of `store.base`."""
     return Row(row.table, row.key, row.value, row.version)
 
 
 def identity(data: bytes | None) -> bytes | None:
-    """Return an object's bytes as they are."""
+    """Return an object's bytes unchanged."""
     return data
--- a/sequoiabridge/tests/platform/__init__.py
+++ b/sequoiabridge/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what the platform speaks, and the emulator that stands in for the platform."""
+"""Tests of the platform adapter, with emulators of the platform's store and upstreams."""
--- a/sequoiabridge/tests/platform/environment.py
+++ b/sequoiabridge/tests/platform/environment.py
@@ -1,4 +1,4 @@
-"""A small deployment in one process: the store, some upstreams, one daemon, and callers."""
+"""Test environment in one process: emulated store and upstreams, one daemon, and callers."""
 
 import curio
 import h11
@@ -28,7 +28,7 @@
 
 
 def route(prefix, kind, service, **more):
-    """Return one route of the operator's document."""
+    """Return a route of the configuration document."""
     return {
         "name": prefix.strip("/"),
         "prefix": prefix,
@@ -43,7 +43,7 @@
 
 
 def document(version=1, paths=(), **limits):
-    """Return an operator's document with routes for reads, approvals and uploads."""
+    """Return a configuration document with routes for reads, approvals and uploads."""
     routes = [
         route("/read/", "idempotent", "reads"),
         route("/approve/", "non_idempotent", "approvals"),
@@ -66,7 +66,7 @@
 
 
 class Reply:
-    """What a caller got; `is_complete` is false when the connection ended before the answer did."""
+    """The answer a caller got; `is_complete` is False if the connection ended too early."""
 
     def __init__(self):
         self.status = 0
@@ -76,7 +76,7 @@
 
 
 class Connection:
-    """A caller's connection."""
+    """A caller's connection to the daemon."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -100,7 +100,7 @@
             try:
                 event = self.state.next_event()
             except h11.RemoteProtocolError:
-                return reply  # It ended before the answer did.
+                return reply  # The connection ended before the answer was complete.
             if event is h11.NEED_DATA:
                 try:
                     self.state.receive_data(await self.sock.recv(65536))
@@ -126,7 +126,11 @@
 
 
 class Environment:
-    """The parts of the deployment."""
+    """The store, upstreams and daemon of a test.
+
+    Attributes:
+        log_lines: Lines of the daemon's decision log.
+    """
 
     def __init__(self):
         self.store = StoreEmulator()
@@ -137,14 +141,14 @@
         self.log_lines: list[bytes] = []
 
     async def add_upstream(self, id, service, data_centre="here", **more) -> UpstreamEmulator:
-        """Start an upstream and list it."""
+        """Start an upstream and add its entry to the store."""
         upstream = self.upstreams[id] = UpstreamEmulator(id, service, data_centre, **more)
         await upstream.start()
         await self.store.put("servers", id, upstream.entry())
         return upstream
 
     async def update_entry(self, id) -> None:
-        """Write an upstream's entry anew."""
+        """Write the current entry of an upstream to the store."""
         await self.store.put("servers", id, self.upstreams[id].entry())
 
     async def start_store(self) -> None:
@@ -175,7 +179,7 @@
         return Connection(await curio.open_connection(host, int(port)))
 
     async def call(self, target, call_id="c1", **more) -> Reply:
-        """Make one call on a connection of its own."""
+        """Make one call on a new connection."""
         connection = await self.connect()
         try:
             return await connection.call(target, call_id, **more)
@@ -183,12 +187,12 @@
             await connection.sock.close()
 
     def run_count(self, call_id) -> int:
-        """Return how often a call ran."""
+        """Return how often upstreams ran a call."""
         return sum(upstream.runs.count(call_id) for upstream in self.upstreams.values())
 
 
 def free_port() -> int:
-    """Return a port that is free now."""
+    """Return a port that is currently free."""
     import socket
 
     with socket.socket() as sock:
@@ -197,7 +201,7 @@
 
 
 def run_in_environment(test, configured=True, reads=2, approvals=2):
-    """Run `test(env)` with a store, upstreams and a daemon that serves."""
+    """Run `test(env)` with a store, upstreams and a daemon, ready if `configured`."""
 
     async def main():
         env = Environment()
--- a/sequoiabridge/tests/platform/service.py
+++ b/sequoiabridge/tests/platform/service.py
@@ -1,8 +1,8 @@
-"""The platform as a process of its own, for demos, benchmarks and tests over real sockets.
+"""Emulator of the platform as a separate process, for demos, benchmarks and tests over sockets.
 
-Prints its address as one line when it listens. `POST /control` with JSON fields of `Faults`
-switches faults at run time, `PUT /vms` sets the VM list, `GET /control` returns the counts.
-Where the in-memory stand-in refuses connections (`down`), this one closes them without an answer.
+Prints its address as one line when it listens. `POST /control` with JSON fields of `Faults` sets
+faults at run time, `PUT /vms` sets the VM list, `GET /control` returns faults and call counts.
+For the fault `down`, it closes connections without an answer instead of refusing them.
 """
 
 import sys
@@ -22,7 +22,7 @@
 from ..standins.memory import Faults, MemoryObjects, MemoryTables, MemoryVmList
 
 BURST_SECONDS = 0.25
-"""Seconds of the rate that may come at once."""
+"""Burst size of the rate limiter, in seconds of its rate."""
 
 ENCODER = msgspec.json.Encoder()
 VM_LIST_DECODER = msgspec.json.Decoder(list[ListedVm])
@@ -32,12 +32,12 @@
     StoreErrorKind.REJECTED: HTTPStatus.TOO_MANY_REQUESTS,
 }
 
-
 MAX_LISTED_NAMES = 1000
+"""Maximum number of names in one list of objects."""
 
 
 class RowReference(msgspec.Struct):
-    """A row as transactions name it."""
+    """A row in a transaction."""
 
     table: str
     key: str
@@ -62,7 +62,7 @@
 
 
 class RateLimiter:
-    """Refuses what comes over `per_second`; 0 means no limit."""
+    """Token bucket of `per_second` tokens a second; 0 means no limit."""
 
     def __init__(self, per_second: float):
         self.per_second = per_second
@@ -83,7 +83,7 @@
 
 
 class ConnectionDropped(Exception):
-    """The connection is closed without an answer."""
+    """Raised to close the connection without an answer."""
 
 
 class PlatformEmulator:
@@ -239,9 +239,9 @@
     count_rows: bool = False,
     vm: list[str] = (),
 ) -> None:
-    """Serve the stand-in platform until stopped.
+    """Serve the emulated platform until stopped.
 
-    :param address: IP:port to listen on; port 0 takes a free one
+    :param address: IP:port to listen on; port 0 selects a free port
     :param writes: writes per second for all clients; 0 means no limit
     :param reads: reads per second for all clients; 0 means no limit
     :param count_rows: count each row of a transaction as one write
--- a/sequoiabridge/tests/platform/store_emulator.py
+++ b/sequoiabridge/tests/platform/store_emulator.py
@@ -1,4 +1,4 @@
-"""The platform's store as a stand-in: rows with one counter of versions, a feed, faults."""
+"""Emulator of the platform's store: versioned rows, polls for changes, and faults."""
 
 import json
 from base64 import b64decode, b64encode
@@ -11,11 +11,19 @@
 from ..standins.upstream_http import GONE, Incoming, Wire
 
 MAX_HISTORY = 1000
-"""Changes that the feed still knows."""
+"""Maximum number of changes that polls can return."""
 
 
 class StoreFaults:
-    """What is wrong with the store now."""
+    """Faults of the store.
+
+    Attributes:
+        unresponsive: Never answer.
+        refuse: Number of calls still to be refused.
+        lose_answers: Number of answers still to be lost; the calls take effect.
+        delay: Seconds before each call is processed.
+        refused_vms: Not used.
+    """
 
     def __init__(self):
         self.unresponsive = False
@@ -26,7 +34,14 @@
 
 
 class StoreEmulator:
-    """Rows by (table, part, key); `calls` counts calls by path."""
+    """The store.
+
+    Attributes:
+        rows: Value and version of each row by (table, part, key).
+        history: Version, row and value of the latest changes; the value is None for a removal.
+        forgotten_version: Version up to which changes are no longer in the history.
+        calls: Number of calls by path.
+    """
 
     def __init__(self):
         self.rows: dict[tuple[str, str, str], tuple[bytes, int]] = {}
@@ -41,7 +56,7 @@
         self.connections: set[Wire] = set()
 
     async def put(self, table: str, key: str, value: dict | None, part: str = "") -> None:
-        """Write or remove a row as the platform itself does, whatever the faults."""
+        """Write or remove a row directly, unaffected by faults."""
         data = None if value is None else json.dumps(value).encode()
         await self.apply([((table, part, key), data)])
 
@@ -59,7 +74,7 @@
         await old.set()
 
     def forget_history(self) -> None:
-        """Drop the history: whoever follows must read all rows."""
+        """Drop the history, so that clients must read all rows again."""
         self.history.clear()
         self.forgotten_version = self.version
 
@@ -95,7 +110,7 @@
         await curio.sleep(faults.delay)
         status, body = await self.answer(request.method, url.path, query, request.body)
         if faults.unresponsive:
-            # Questions that were waiting when it fell silent are forgotten.
+            # Calls that were pending when the fault began get no answer either.
             await curio.sleep(3600)
         if faults.lose_answers:
             faults.lose_answers -= 1
@@ -157,13 +172,13 @@
 
 
 def abort_connection(connection: Wire) -> None:
-    """End a connection at once; the task that reads from it ends as well."""
+    """Shut down a connection, which also ends the task that reads from it."""
     with connection.sock.blocking() as sock:
         sock.setblocking(False)
         try:
             sock.shutdown(SHUT_RDWR)
         except OSError:
-            return  # The other end was first.
+            return  # The other end has closed it already.
 
 
 def encode_row(row_id: tuple[str, str, str], value: bytes | None, version: int) -> dict:
--- a/sequoiabridge/tests/platform/test_dialect.py
+++ b/sequoiabridge/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers, decoded."""
+"""Tests of decoding and setting the platform's headers."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return Answer(status, pairs, 0, None)
 
 
-def test_a_callers_words_are_taken_in_and_written_anew_for_the_upstream():
+def test_call_headers_are_decoded_and_set_for_the_upstream():
     sent = [(b"x-attempt-id", b"c1"), (b"x-deadline-ms", b"800"), (b"x-expect-instance", b"me")]
     request = Request(b"GET", b"/", [*sent, (b"accept", b"*/*")])
     metadata = DIALECT.call_metadata(request)
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"soon", b"-5", b"1.5"])
-def test_a_time_that_cannot_be_read_is_none(text):
+def test_an_invalid_timeout_is_ignored(text):
     request = Request(b"GET", b"/", [(b"x-deadline-ms", text)])
     assert DIALECT.call_metadata(request).timeout is None
 
@@ -46,26 +46,26 @@
         (b"", None),
     ],
 )
-def test_a_load_is_read_or_is_none(text, load):
-    found = parse_load([(b"x-instance-load", text)])
-    assert (found and (found.running, found.waiting, found.slots, found.slowdown)) == load
+def test_a_load_report_is_decoded_or_ignored(text, load):
+    report = parse_load([(b"x-instance-load", text)])
+    assert (report and (report.running, report.waiting, report.slots, report.slowdown)) == load
 
 
-def test_only_a_signed_answer_without_an_encoding_is_the_upstreams_own():
+def test_only_a_signed_answer_without_an_encoding_is_genuine():
     assert DIALECT.answer_metadata(answer(200, x_server_signature=b"s")).genuine
     assert not DIALECT.answer_metadata(answer(200)).genuine
-    coded = answer(200, x_server_signature=b"s", content_encoding=b"gzip")
-    assert not DIALECT.answer_metadata(coded).genuine
+    encoded = answer(200, x_server_signature=b"s", content_encoding=b"gzip")
+    assert not DIALECT.answer_metadata(encoded).genuine
 
 
-def test_not_run_is_taken_from_the_upstreams_word_alone():
+def test_only_an_explicit_statement_proves_that_a_request_did_not_run():
     assert DIALECT.answer_metadata(answer(503, x_not_executed=b"1")).not_run
     assert DIALECT.answer_metadata(answer(421)).not_run
     assert not DIALECT.answer_metadata(answer(503)).not_run
     assert not DIALECT.answer_metadata(answer(500)).not_run
 
 
-def test_answers_to_other_calls_are_told_apart():
+def test_an_answer_that_names_another_call_is_detected():
     assert DIALECT.is_answer_to(b"c1", [(b"x-attempt-id", b"c1")]) and DIALECT.is_answer_to(
         b"c1", []
     )
@@ -75,12 +75,12 @@
     ), "a health answer names no call"
 
 
-def test_health_is_told_with_who_answers():
+def test_a_health_answer_has_the_upstreams_id_and_load():
     metadata = DIALECT.health_metadata(answer(503, x_instance_id=b"i-1", x_instance_load=b"0,0,2"))
     assert (metadata.healthy, metadata.upstream, metadata.load.slots) == (False, "i-1", 2)
 
 
-def test_a_refusal_says_when_to_come_back_in_parts_of_a_second():
-    refusal = Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, "Come back.", 0.15)
-    made = DIALECT.refusal(refusal, "c1")
-    assert made.status == 503 and (b"retry-after", b"0.150") in made.headers
+def test_a_refusal_has_a_retry_after_in_fractions_of_a_second():
+    refusal = Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, "Try again later.", 0.15)
+    answer_sent = DIALECT.refusal(refusal, "c1")
+    assert answer_sent.status == 503 and (b"retry-after", b"0.150") in answer_sent.headers
--- a/sequoiabridge/tests/platform/test_entries.py
+++ b/sequoiabridge/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of other writers in the platform's tables: they name nothing, and the others hold."""
+"""Invalid rows, answers and datagrams are rejected one by one and do not affect valid ones."""
 
 import json
 from base64 import b64encode
@@ -19,13 +19,13 @@
 from ...timers import ManualClock
 from ..relay.fakes import decision_log
 
-GOOD = {
+VALID_ENTRY = {
     "address": "10.0.0.7:8080",
     "info": {"service": "s", "version": "v1", "zone": "here", "slots": 4},
     "status": {"state": "ready", "sequence": 4, "cold_remaining_s": 0.5},
     "born": 1_700_000_000_000,
 }
-DEEP = b"[" * 100_000 + b"]" * 100_000
+DEEPLY_NESTED = b"[" * 100_000 + b"]" * 100_000
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
@@ -39,10 +39,10 @@
     return StoredRow("servers", "", key, data, version)
 
 
-def changed(place, value):
-    """Return a good entry with one field of another value."""
-    entry = json.loads(json.dumps(GOOD))
-    *tables, name = place.split(".")
+def with_field(field, value):
+    """Return a valid entry with one field changed."""
+    entry = json.loads(json.dumps(VALID_ENTRY))
+    *tables, name = field.split(".")
     inner = entry
     for table in tables:
         inner = inner[table]
@@ -50,21 +50,21 @@
     return entry
 
 
-def test_a_good_entry_is_read_whole():
-    found = decode_upstream_record(row(GOOD))
-    assert (found.id, found.service, found.address) == ("i-1", "s", "10.0.0.7:8080")
-    assert (found.data_centre, found.slots, found.draining, found.cold_seconds) == (
+def test_a_valid_entry_is_decoded_with_all_its_fields():
+    record = decode_upstream_record(row(VALID_ENTRY))
+    assert (record.id, record.service, record.address) == ("i-1", "s", "10.0.0.7:8080")
+    assert (record.data_centre, record.slots, record.draining, record.cold_seconds) == (
         "here",
         4,
         False,
         0.5,
     )
-    assert found.born == 1_700_000_000_000
-    without = {name: value for name, value in GOOD.items() if name != "born"}
-    assert decode_upstream_record(row(without)).born is None
+    assert record.born == 1_700_000_000_000
+    entry_without_born = {name: value for name, value in VALID_ENTRY.items() if name != "born"}
+    assert decode_upstream_record(row(entry_without_born)).born is None
 
 
-BAD_FIELDS = [
+INVALID_FIELDS = [
     ("info.service", ["s"]),
     ("info.service", None),
     ("info.service", ""),
@@ -101,30 +101,32 @@
 ]
 
 
-@pytest.mark.parametrize(("place", "value"), BAD_FIELDS)
-def test_an_entry_with_a_field_of_another_kind_names_no_upstream(place, value):
+@pytest.mark.parametrize(("field", "value"), INVALID_FIELDS)
+def test_an_entry_with_an_invalid_field_is_rejected(field, value):
     with pytest.raises(BadEntry):
-        decode_upstream_record(row(changed(place, value)))
+        decode_upstream_record(row(with_field(field, value)))
 
 
-@pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"{", b"7", b"null", b"[]", DEEP, b"1" * 9999])
-def test_bytes_that_cannot_be_read_name_no_upstream(value):
+@pytest.mark.parametrize(
+    "value", [b"", b"\xff\xfe", b"{", b"7", b"null", b"[]", DEEPLY_NESTED, b"1" * 9999]
+)
+def test_an_entry_that_is_no_json_object_is_rejected(value):
     with pytest.raises(BadEntry):
         decode_upstream_record(row(value))
 
 
 @pytest.mark.parametrize("key", ["", "i-1\n", "i-\u00e9", "i-1\r\nx: y"])
-def test_an_id_that_no_header_can_carry_names_no_upstream(key):
+def test_an_entry_whose_id_a_header_cannot_carry_is_rejected(key):
     with pytest.raises(BadEntry):
-        decode_upstream_record(row(GOOD, key))
+        decode_upstream_record(row(VALID_ENTRY, key))
 
 
 @pytest.mark.parametrize("value", ["%%%", "AB", 7, None, ["QUJD"], "\u00e9"])
-def test_a_value_that_is_no_base64_spoils_its_own_row_only(value):
-    good = b64encode(json.dumps(GOOD).encode()).decode()
+def test_a_value_that_is_no_base64_affects_only_its_row(value):
+    valid_value = b64encode(json.dumps(VALID_ENTRY).encode()).decode()
     rows = [
         {"table": "servers", "key": "bad", "value": value, "ver": 2},
-        {"table": "servers", "key": "i-1", "value": good, "ver": 1},
+        {"table": "servers", "key": "i-1", "value": valid_value, "ver": 1},
     ]
     update = UpstreamFeed(None).replace_rows(Rows(client._decode_rows({"rows": rows}), 2))
     assert [record.id for record in update.entries] == ["i-1"]
@@ -132,35 +134,35 @@
 
 
 @pytest.mark.parametrize("page", [{}, {"rows": None}, {"rows": [7]}, {"rows": [{"value": ""}]}])
-def test_an_answer_that_is_not_of_the_stores_form_is_no_answer(page):
+def test_an_answer_of_unexpected_structure_means_the_store_is_unavailable(page):
     with pytest.raises(StoreUnavailable):
         client._decode_rows(page)
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.sampled_from([place for place, _ in BAD_FIELDS]), VALUES)
-def test_whatever_a_field_holds_the_entry_is_read_or_refused(place, value):
-    entry = changed(place, value)
+@given(st.sampled_from([field for field, _ in INVALID_FIELDS]), VALUES)
+def test_an_entry_with_any_field_value_is_decoded_or_rejected(field, value):
+    entry = with_field(field, value)
     try:
-        found = decode_upstream_record(row(entry))
+        record = decode_upstream_record(row(entry))
     except BadEntry:
         return
-    assert found.slots >= 1 and 0.0 <= found.cold_seconds < 1e6
-    assert found.service.isprintable() and found.address.count(":") == 1
+    assert record.slots >= 1 and 0.0 <= record.cold_seconds < 1e6
+    assert record.service.isprintable() and record.address.count(":") == 1
 
 
 ENTRIES = st.sampled_from(
     [
-        GOOD,
-        changed("status.state", "draining"),
-        changed("address", "10.0.0.8:8080"),
-        changed("born", 1_700_000_000_500),
-        changed("born", 1_600_000_000_000),
-        changed("info.service", "nobody"),
-        changed("info.service", ["s"]),
-        {name: value for name, value in GOOD.items() if name != "born"},
+        VALID_ENTRY,
+        with_field("status.state", "draining"),
+        with_field("address", "10.0.0.8:8080"),
+        with_field("born", 1_700_000_000_500),
+        with_field("born", 1_600_000_000_000),
+        with_field("info.service", "nobody"),
+        with_field("info.service", ["s"]),
+        {name: value for name, value in VALID_ENTRY.items() if name != "born"},
         b"\xff",
-        DEEP,
+        DEEPLY_NESTED,
         None,
     ]
 )
@@ -169,16 +171,18 @@
 
 @settings(max_examples=100, deadline=None)
 @given(ROWS)
-def test_after_any_order_of_words_only_the_latest_good_one_of_the_latest_lifetime_holds(words):
+def test_only_the_latest_valid_entry_of_the_latest_lifetime_counts(changes):
     log, _ = decision_log()
-    known, feed = UpstreamList("here", ManualClock(9.0), log, lambda u: None), UpstreamFeed(None)
-    known.set_services(["s"])
+    upstreams, feed = UpstreamList("here", ManualClock(9.0), log, lambda u: None), UpstreamFeed(
+        None
+    )
+    upstreams.set_services(["s"])
     expected: dict[str, dict] = {}
     latest: dict[str, int] = {}
-    for version, (key, value) in enumerate(words, 1):
+    for version, (key, value) in enumerate(changes, 1):
         stored = StoredRow("servers", "", key, None, version) if value is None else None
         update = feed.update_rows(Rows([stored or row(value, key, version)], version))
-        known.update(update.entries, update.removed, version, update.unusable)
+        upstreams.update(update.entries, update.removed, version, update.unusable)
         if value is None or update.unusable:
             expected.pop(key, None)
         elif value.get("born", -1) >= latest.get(key, -1):
@@ -189,17 +193,17 @@
         for key, value in expected.items()
         if value["info"]["service"] == "s" and value["status"]["state"] == "ready"
     }
-    assert {u.id for u in known.for_service("s")} == usable
-    assert known.configured_count == sum(
+    assert {u.id for u in upstreams.for_service("s")} == usable
+    assert upstreams.configured_count == sum(
         value["info"]["service"] == "s" for value in expected.values()
     )
-    for upstream in known.for_service("s"):
+    for upstream in upstreams.for_service("s"):
         assert upstream.address == expected[upstream.id]["address"]
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=60) | VALUES.map(lambda value: json.dumps(value).encode()))
-def test_a_datagram_or_answer_from_anywhere_does_no_harm(data):
+def test_arbitrary_datagrams_and_peer_answers_raise_no_unexpected_error(data):
     decode_message(data)
     with pytest.raises(StoreUnavailable):
         decode_rows(data)
@@ -219,11 +223,11 @@
         b'[["hello"]]',
     ],
 )
-def test_a_forged_datagram_is_no_message(data):
+def test_an_invalid_datagram_is_ignored(data):
     assert decode_message(data) is None
 
 
-def test_hundreds_of_foreign_entries_are_told_of_once_each_and_counted():
+def test_each_invalid_entry_is_logged_once_and_always_counted():
     log, lines = decision_log()
     entry_errors = EntryErrorLog(log)
     problems = [BadEntry("it is no JSON", f"x{n}") for n in range(150)]
@@ -232,4 +236,4 @@
     assert [json.loads(line)["key"] for line in lines] == [f"x{n}" for n in range(150)]
     assert entry_errors.count == 450
     entry_errors.record("upstreams", [BadEntry("its state is none", "x0")])
-    assert json.loads(lines[-1])["why"] == "its state is none", "another reason is news"
+    assert json.loads(lines[-1])["why"] == "its state is none", "another reason is logged"
--- a/sequoiabridge/tests/platform/test_services.py
+++ b/sequoiabridge/tests/platform/test_services.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters say truthfully what is known after each fault, over real sockets."""
+"""Tests of the store adapters over real sockets: each result says what is known after a fault."""
 
 import curio
 import pytest
@@ -32,7 +32,7 @@
     curio.run(with_platform, check, PlatformEmulator(writes, 0.0, False, vms))
 
 
-def test_rows_objects_and_list_over_one_connection_each():
+def test_rows_objects_and_vm_list_reuse_one_connection_each():
     async def check(address, platform):
         tables, objects = PlatformTables(address, SystemClock()), PlatformObjects(
             address, SystemClock()
@@ -62,7 +62,7 @@
         ({"reject": 1}, StoreErrorKind.REJECTED, False),
     ],
 )
-def test_fault_is_told_truthfully(faults, kind, stored):
+def test_each_fault_is_reported_with_what_is_known_of_the_write(faults, kind, stored):
     async def check(address, platform):
         for name, value in faults.items():
             setattr(platform.faults, name, value)
@@ -73,7 +73,7 @@
     run(check)
 
 
-def test_refused_connection_is_not_sent_and_rate_is_enforced():
+def test_a_refused_connection_is_reported_as_not_sent_and_the_rate_is_enforced():
     async def check(address, platform):
         tables = PlatformTables(address, SystemClock())
         results = [await tables.transact([], WRITE, 5.0) for _ in range(4)]
@@ -82,31 +82,31 @@
 
     run(check, writes=0.01)
     sock = curio.tcp_server_socket("127.0.0.1", 0)
-    free = address_of(sock)
+    unused_address = address_of(sock)
     curio.run(sock.close)
-    refused = curio.run(PlatformTables(free, SystemClock()).transact, ABSENT, WRITE, 5.0)
+    refused = curio.run(PlatformTables(unused_address, SystemClock()).transact, ABSENT, WRITE, 5.0)
     assert refused.error.kind is StoreErrorKind.NOT_SENT
 
 
-def test_faults_are_switched_at_run_time():
+def test_the_emulators_faults_are_set_at_run_time():
     async def check(address, platform):
-        control, tables = PlatformClient(address, SystemClock()), PlatformTables(
+        control_client, tables = PlatformClient(address, SystemClock()), PlatformTables(
             address, SystemClock()
         )
-        await control.exchange(b"POST", b"/control", b'{"late": 1, "late_after": 0.01}')
+        await control_client.exchange(b"POST", b"/control", b'{"late": 1, "late_after": 0.01}')
         late = await tables.transact(ABSENT, WRITE, 5.0)
         assert late.error.kind is StoreErrorKind.UNKNOWN
         while (await tables.read("t", "a", 5.0)).ok is None:
             await curio.sleep(0.005)
-        await control.exchange(b"PUT", b"/vms", b"[]")
+        await control_client.exchange(b"PUT", b"/vms", b"[]")
         assert (await PlatformVmList(address, SystemClock()).vms(5.0)).ok == []
-        counts = (await control.exchange(b"GET", b"/control")).body
+        counts = (await control_client.exchange(b"GET", b"/control")).body
         assert b'"writes":{"passed":1,' in counts
 
     run(check)
 
 
-def test_an_ipv6_address_is_connected_to_without_its_brackets():
+def test_an_ipv6_address_is_used_without_its_brackets():
     async def check():
         sock = curio.socket.socket(curio.socket.AF_INET6, curio.socket.SOCK_STREAM)
         sock.bind(("::1", 0))
@@ -120,7 +120,7 @@
     curio.run(check)
 
 
-def test_connection_closed_while_idle_is_not_used_for_a_write():
+def test_a_connection_closed_while_idle_is_not_reused_for_a_write():
     async def check(address, platform):
         tables = PlatformTables(address, SystemClock())
         assert (await tables.read("t", "a", 5.0)).is_ok()
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The operator's document and the upstreams' entries, decoded; the store's calls over HTTP."""
+"""Tests of decoding configuration and entries, and of the store client over HTTP."""
 
 import re
 from pathlib import Path
@@ -21,7 +21,7 @@
 
 
 def with_store(test):
-    """Run `test(client, store)` over a real connection."""
+    """Run `test(client, store)` against an emulated store over a real connection."""
 
     async def main():
         store = StoreEmulator()
@@ -34,22 +34,22 @@
     curio.run(main)
 
 
-def test_a_route_has_its_terms_and_uploads_may_run_once():
-    split = [{"service": "reads", "weight": 90}, {"service": "approvals", "weight": 10}]
+def test_a_route_has_its_settings_and_uploads_are_not_idempotent():
+    weighted_services = [{"service": "reads", "weight": 90}, {"service": "approvals", "weight": 10}]
     table = decode_route_table(
-        document(7, [route("/s/", "idempotent", None, weighted_services=split)])
+        document(7, [route("/s/", "idempotent", None, weighted_services=weighted_services)])
     )
     read = table.match(b"Reads.Example:80", b"/read/x")
     assert (read.idempotent, read.timeout, read.max_attempts) == (True, 1.0, 2)
     assert not table.match(b"reads.example", b"/upload/x").idempotent
     assert not table.match(b"reads.example", b"/approve/x").idempotent
-    shares = [(t.service, t.weight) for t in table.match(b"reads.example", b"/s/1").targets]
-    assert shares == [("reads", 90.0), ("approvals", 10.0)]
+    weights = [(t.service, t.weight) for t in table.match(b"reads.example", b"/s/1").targets]
+    assert weights == [("reads", 90.0), ("approvals", 10.0)]
     assert table.match(b"reads.example", b"/reads") is None
     assert table.version == 7 and table.limits.idle_timeout == 15.0
 
 
-def test_feeds_give_entries_removals_and_what_cannot_be_read():
+def test_feeds_return_entries_removals_and_invalid_entries():
     async def test(client, store):
         feed = UpstreamFeed(client)
         info = {"service": "s", "zone": "z", "slots": 2, "version": "v1"}
@@ -67,7 +67,7 @@
     with_store(test)
 
 
-def test_the_configuration_is_one_row_and_others_beside_it_are_passed_over():
+def test_only_the_configuration_row_of_its_table_is_decoded():
     async def test(client, store):
         await store.put("op", "other", {"x": 1})
         await store.put("op", "config", document(3))
@@ -87,7 +87,7 @@
     with_store(test)
 
 
-def test_a_transaction_holds_to_its_conditions():
+def test_a_transaction_checks_its_conditions():
     async def test(client, store):
         row = Write("t", "", "k", b"\x00v")
         await client.transact([Condition("t", "", "k", 0)], [row])
@@ -100,7 +100,7 @@
     with_store(test)
 
 
-def test_each_failure_says_what_is_known():
+def test_each_failure_raises_the_error_that_says_what_is_known():
     async def test(client, store):
         await store.put("t", "k", {})
         store.forget_history()
@@ -112,7 +112,7 @@
         store.faults.lose_answers = 1
         with pytest.raises(StoreUnavailable) as lost:
             await client.transact([], [Write("t", "", "k2", b"")])
-        assert not isinstance(lost.value, StoreRefused), "it may have been written"
+        assert not isinstance(lost.value, StoreRefused), "the row may have been written"
         assert len((await client.rows("t")).rows) == 2
 
     with_store(test)
@@ -122,28 +122,28 @@
     ("status", "refused"),
     [(400, True), (413, True), (429, True), (503, True), (408, False), (500, False)],
 )
-def test_only_an_answer_that_says_so_proves_that_nothing_was_written(status, refused):
+def test_only_a_refusal_status_proves_that_nothing_was_written(status, refused):
     with pytest.raises(StoreUnavailable) as found:
         checked_body(Fetched(status, b""))
     assert isinstance(found.value, StoreRefused) is refused
 
 
-WIRE_WORDS = [
+WIRE_NAMES = [
     *(value.decode() for value in vars(names).values() if isinstance(value, bytes)),
     *("rows-tx", "rows-get", "rows-feed", "expected_rev", "virtual_hosts", "route_type"),
     *("non_idempotent", "weighted_services", "target_latency_s", "cold_remaining_s"),
 ]
-OWN_WORDS = {"retry-after", "content-encoding"}
-"""Standard names of HTTP."""
+STANDARD_NAMES = {"retry-after", "content-encoding"}
+"""Standard names of HTTP, which may stand anywhere."""
 
 
-def test_no_name_of_the_wire_stands_outside_the_adapter_and_its_tests():
+def test_wire_names_are_used_only_in_the_adapter_and_its_tests():
     found = []
     for file in PACKAGE.rglob("*.py"):
         if "platform" in file.relative_to(PACKAGE).parts[:2] or file.name == "test_gateway.py":
             continue
         text = file.read_text().lower()
-        for word in set(WIRE_WORDS) - OWN_WORDS:
-            if re.search(rf"\b{re.escape(word)}\b", text):
-                found.append(f"{file.relative_to(PACKAGE)}: {word}")
+        for name in set(WIRE_NAMES) - STANDARD_NAMES:
+            if re.search(rf"\b{re.escape(name)}\b", text):
+                found.append(f"{file.relative_to(PACKAGE)}: {name}")
     assert found == []
--- a/sequoiabridge/tests/platform/upstream_emulator.py
+++ b/sequoiabridge/tests/platform/upstream_emulator.py
@@ -1,4 +1,4 @@
-"""An upstream of the platform as a stand-in: slots, queue, neighbours, signals, faults."""
+"""Emulator of an upstream: slots, a queue, load reports, health checks and faults."""
 
 from random import Random
 
@@ -11,7 +11,26 @@
 
 
 class UpstreamFaults:
-    """What is wrong with an upstream now; shares are 0 to 1 of the requests."""
+    """Faults of an upstream; a share is the probability that a request is hit.
+
+    Attributes:
+        slowdown: Factor on the processing time that load reports include.
+        slow: Factor on the processing time that load reports do not include.
+        fail: Share of requests answered with status 500.
+        shed: Reject all requests as not run.
+        reset: Share of requests that run and whose connection is then closed without an answer.
+        lose: As `reset`.
+        cut: Share of answers that end half-way.
+        extra: Send a second answer after each answer.
+        late_extra: Send a second answer 50 ms after each answer.
+        unsigned: Leave out the signature.
+        until_close: Send answers without a length, which end with their connection.
+        early: Not used.
+        hang: Never finish a request.
+        health_hangs: Never answer a health check.
+        health_status: Status of answers to health checks.
+        crash_path: Path prefix of requests that crash the upstream; "" for none.
+    """
 
     def __init__(self):
         self.slowdown = 1.0
@@ -33,7 +52,17 @@
 
 
 class UpstreamEmulator:
-    """One upstream; `runs` has the call id of each request that it began to run."""
+    """One upstream.
+
+    Attributes:
+        processing_time: Seconds for one request without a slowdown.
+        queue: Maximum number of queued requests.
+        runs: Call ids of the requests that it started to run.
+        requests: All received requests except health checks.
+        probes: Number of received health checks.
+        cancelled: Number of requests whose connection was closed while they ran.
+        born: Unix time of its start in milliseconds; None to leave it out of the entry.
+    """
 
     def __init__(
         self, id: str, service: str, data_centre: str, processing_time: float = 0.01, seed: int = 1
@@ -60,7 +89,7 @@
         self.connections: set[Wire] = set()
 
     def entry(self) -> dict:
-        """Return its row in the platform's list."""
+        """Return its entry in the platform's list of upstreams."""
         born = {} if self.born is None else {"born": self.born}
         return {
             **born,
@@ -85,7 +114,7 @@
         self.listener = await curio.spawn(curio.network.run_server, sock, self.serve, daemon=True)
 
     async def crash(self) -> None:
-        """End at once: the listener and all connections go."""
+        """Stop listening and reset all connections."""
         await self.listener.cancel()
         for connection in list(self.connections):
             abort_connection(connection)
@@ -157,7 +186,7 @@
         return await self.reply(connection, request)
 
     async def process(self, connection: Wire) -> bool:
-        """Work; return False if the other end closed meanwhile, which ends the work."""
+        """Wait for the processing time; return False if the connection was closed meanwhile."""
         faults = self.faults
         seconds = 3600 if faults.hang else self.processing_time * faults.slow * faults.slowdown
         watch = await curio.spawn(connection.closed, daemon=True)
