--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -1,4 +1,4 @@
-"""Sends an accepted upload to an upstream of its service, once for each attempt at its delivery."""
+"""Delivers accepted uploads to the upstreams of their service."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from .uploads import delivery_request, delivery_result
 
 CONNECT_TIMEOUT = 2.0
-"""Seconds in which a connection for a delivery opens."""
+"""Maximum duration of opening a connection for a delivery, in seconds."""
 
 ANSWER_TIMEOUT = 60.0
-"""Seconds that an upstream may take to answer after the whole body was sent."""
+"""Seconds that an upstream has to answer, added to the time for sending the body."""
 
 MIN_BYTES_PER_SECOND = 64 * 1024
-"""Bytes a second below which sending is given up."""
+"""Minimum mean rate at which an upload must be sent."""
 
 HOST = b"host"
 
 
 class UploadSender:
-    """The `send` of `store.upload_delivery.UploadDeliverer`."""
+    """Sends an upload for `store.upload_delivery.UploadDeliverer`, once per attempt."""
 
     __slots__ = ("services", "connector", "observer", "clock")
 
@@ -42,7 +42,7 @@
         self.clock = clock
 
     async def send(self, manifest: Manifest, body: Body) -> DeliveryResult:
-        """Send one upload to an upstream on a new connection, and judge the answer."""
+        """Send one upload to an upstream on a new connection and return the result."""
         state = self.services.by_name.get(manifest.service)
         if state is None:
             return DeliveryResult(
@@ -70,13 +70,13 @@
         except BaseException:
             self._record_end(state, upstream, started, Failure.CANCELLED)
             raise
-        # How long an upload takes says nothing about the upstream's load.
+        # The duration of an upload does not reflect the upstream's load: record no answer.
         self._record_end(state, upstream, started, Failure.CANCELLED)
         self._apply_drain(state, upstream, answer)
         return delivery_result(manifest, answer)
 
     def _apply_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
-        """Take in that the upstream is leaving: a service may have no other calls that tell."""
+        """Apply a drain that the answer reports; the service may have no other calls."""
         drains = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
         for incarnation in drains:
             apply_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
@@ -88,13 +88,13 @@
         upstream: UpstreamState,
         error: UpstreamFailed,
     ) -> DeliveryResult:
-        """Tell a death from a lost connection: a dead upstream takes no new connection."""
+        """Record a crash if the upstream accepts no new connection; return the result."""
         dead = error.sent and not await self.connector.reachable(
             upstream.address, REACHABLE_TIMEOUT
         )
         if not dead:
             return DeliveryResult(DeliveryOutcome.RETRY, str(error))
-        # A suspect beside the calls that were with the upstream: they share the blame.
+        # The upload and the calls in flight to the upstream share the blame for the crash.
         self.observer.record_upload_crash(state.service.name, manifest.id, upstream.name)
         return DeliveryResult(
             DeliveryOutcome.CRASHED, f"{upstream.name} died while it had it", upstream.name
--- a/sequoiabridge/pipeline/uploads.py
+++ b/sequoiabridge/pipeline/uploads.py
@@ -1,4 +1,4 @@
-"""Spooled uploads over HTTP: a caller's request becomes an upload, its state becomes an answer.
+"""Translates between HTTP requests and spooled uploads.
 
 The caller guide (docs/callers/uploads.md) documents the headers and answers.
 """
@@ -27,7 +27,7 @@
 from .exchange import Answer, Body, BytesBody, Exchange, Request
 
 STORE_RETRY_AFTER = 5.0
-"""Seconds after which a caller may try again when the store did not answer."""
+"""Seconds after which a caller may retry if the store did not answer."""
 
 EXCLUDED_HEADERS = frozenset(
     {
@@ -41,10 +41,10 @@
         names.UPLOAD_DIGEST,
     }
 )
-"""Request headers that are not stored for the delivery; the upload has its own in their place."""
+"""Request headers that are not stored with an upload; deliveries set their own."""
 
 REFUSING_STATUSES = frozenset({400, 409, 413, 415, 422})
-"""Statuses by which an upstream refuses an upload for good."""
+"""Status codes with which an upstream refuses an upload permanently."""
 
 REFUSALS: dict[type[SequoiaError], tuple[int, Reason]] = {
     AcceptanceUnknown: (503, Reason.STORE_DOWN),
@@ -55,16 +55,16 @@
     UploadUnknown: (404, Reason.BAD_REQUEST),
     UploadTooLarge: (413, Reason.BODY_TOO_LARGE),
 }
-"""Status and reason of the refusal for each error; only an unsettled acceptance is `unknown`."""
+"""Status and reason of the refusal for each error."""
 
 LOOKUP_OFFSET = "?"
-"""Value of `Sequoia-Upload-Offset` that asks for the offset."""
+"""Value of `Sequoia-Upload-Offset` that requests the current offset."""
 
 OFFSET_DIGIT_LIMIT = 19
-"""Digits that an offset must stay under."""
+"""An offset must have fewer digits than this."""
 
 DIGEST_LENGTH = 64
-"""Characters of a SHA-256 in hexadecimal."""
+"""Length of a SHA-256 digest in hexadecimal digits."""
 
 
 class UploadStatus(msgspec.Struct, frozen=True):
@@ -78,7 +78,7 @@
 
 
 class UploadHandler:
-    """Answers the calls of rules with `upload = spool`."""
+    """Processes the calls of rules with `upload = spool`."""
 
     __slots__ = ("uploads",)
 
@@ -99,7 +99,7 @@
 
 
 def delivery_request(manifest: Manifest, body: Body) -> UpstreamRequest:
-    """Return the request that delivers an upload; the caller adds `Host` for its upstream."""
+    """Return the request that delivers an upload; the header `Host` must still be added."""
     headers = [
         *manifest.headers,
         (names.CALLER, manifest.caller.encode()),
@@ -110,10 +110,10 @@
 
 
 def delivery_result(manifest: Manifest, answer: Answer) -> DeliveryResult:
-    """Judge an upstream's answer to a delivery; only a 2xx confirms.
+    """Return the result of a delivery from the upstream's answer; only a 2xx confirms it.
 
-    An answer that carries `Sequoia-Upload-Digest` confirms that content, even if the upstream did
-    not read the body again.
+    If the answer has `Sequoia-Upload-Digest`, the digest must match. The upstream then has the
+    content already and may not have read the body.
     """
     returned_digest = next((v for f, v in answer.headers if f == names.UPLOAD_DIGEST), None)
     if answer.status in REFUSING_STATUSES:
