--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -1,4 +1,4 @@
-"""A connector whose upstreams behave as a test says, and a small service to dispatch to."""
+"""Fakes for the tests of the pipeline: a connector, observers and a scene for dispatching calls."""
 
 from enum import Enum
 from random import Random
@@ -27,15 +27,15 @@
     REFUSE_CONNECTION = "refuse connection"
     RESET = "reset"
     CRASH = "crash"
-    CUT = "cut"
-    CUT_DRAINING = "cut, and leaving"
-    BREAK_BEFORE_SEND = "break before a byte has left, but after the body was begun"
-    STAY_SILENT = "stay silent"
-    ANSWER_DRAINING = "answer, and say that it is leaving"
+    TRUNCATE = "truncate the answer"
+    TRUNCATE_DRAINING = "truncate the answer, and report a drain"
+    BREAK_BEFORE_SEND = "break after the body was started, before a byte was sent"
+    NEVER_ANSWER = "never answer"
+    ANSWER_DRAINING = "answer, and report a drain"
 
 
 class FakeConnection(UpstreamConnection):
-    """One connection to an upstream that acts as told."""
+    """A connection to an upstream with the given behaviour."""
 
     def __init__(self, connector, address, behaviour):
         self.connector = connector
@@ -56,7 +56,7 @@
         self.connector.bodies.append(body)
 
     async def read_head(self):
-        if self.behaviour is Behaviour.STAY_SILENT:
+        if self.behaviour is Behaviour.NEVER_ANSWER:
             await curio.sleep(3600)
         if self.behaviour in (Behaviour.RESET, Behaviour.CRASH):
             raise UpstreamFailed("reset", sent=True)
@@ -64,7 +64,7 @@
             return Answer(503, [(NOT_RUN, b"1")], 0, None)
         status = 500 if self.behaviour is Behaviour.FAIL else 200
         fields = [(b"x-from", self.address.encode())]
-        if self.behaviour in (Behaviour.ANSWER_DRAINING, Behaviour.CUT_DRAINING):
+        if self.behaviour in (Behaviour.ANSWER_DRAINING, Behaviour.TRUNCATE_DRAINING):
             fields.append((DRAIN, b"7"))
         return Answer(status, fields, 5, StreamedBody(self.behaviour))
 
@@ -77,20 +77,23 @@
 
 
 class StreamedBody(Body):
-    """The body `hello`, or one that breaks off after its first bytes."""
+    """The streamed body `hello`; with some behaviours, it fails after its first piece."""
 
     def __init__(self, behaviour):
         self.pieces = [b"hel", b"lo"]
         self.behaviour = behaviour
 
     async def read(self):
-        if self.behaviour in (Behaviour.CUT, Behaviour.CUT_DRAINING) and len(self.pieces) == 1:
+        if (
+            self.behaviour in (Behaviour.TRUNCATE, Behaviour.TRUNCATE_DRAINING)
+            and len(self.pieces) == 1
+        ):
             raise UpstreamFailed("cut off", sent=True)
         return self.pieces.pop(0) if self.pieces else b""
 
 
 class FakeConnector(Connector):
-    """Upstreams by address; `received` has what reached them, in order."""
+    """Connects to fake upstreams; `received` has the requests that reached them, in order."""
 
     def __init__(self, behaviours):
         self.clock = SystemClock()
@@ -117,7 +120,7 @@
 
 
 class CountingObserver(Observer):
-    """An observer that only counts."""
+    """Keeps the recorded failures, returns and drains."""
 
     def __init__(self):
         self.failures = []
@@ -147,7 +150,7 @@
 
 
 class LedgerObserver(CountingObserver):
-    """An observer that enters each crash in the service's ledger, as a daemon does."""
+    """Records each crash in the service's ledger, as `Sharing` does."""
 
     def __init__(self, ledger, clock):
         super().__init__()
@@ -161,7 +164,7 @@
 
 
 def document(upstreams: int, **rule) -> Document:
-    """Return a configuration of one service with so many upstreams and one rule."""
+    """Return a configuration of one service with one rule and the given number of upstreams."""
     lines = ["[service s]", "[pool p]", "service = s", "[rule r]", "service = s"]
     lines += [f"{key} = {value}" for key, value in rule.items()]
     for number in range(1, upstreams + 1):
@@ -170,7 +173,7 @@
 
 
 class DispatchScene:
-    """A dispatch over a fake network; `acts` are those of upstreams u1, u2, …"""
+    """A dispatch over a fake connector; `behaviours` are those of the upstreams u1, u2, …"""
 
     def __init__(self, *behaviours: Behaviour, seed=7, **rule):
         self.connector = FakeConnector(
@@ -184,7 +187,7 @@
         self.dispatch = Dispatch(self.services, self.connector, self.clock, self.observer)
 
     def exchange(self, window=30.0) -> Exchange:
-        """Return a call that matched the rule."""
+        """Return a call for which service and rule are set."""
         now = self.clock.now()
         exchange = Exchange("id", Request(b"POST", b"/", [(b"host", b"s")]), now)
         exchange.service = self.document.services["s"]
@@ -193,11 +196,11 @@
         return exchange
 
     def run(self, exchange: Exchange) -> Answer:
-        """Dispatch a call; raises its `Refusal`."""
+        """Dispatch a call; raise its `Refusal` if it is refused."""
         return curio.run(self.dispatch.run, exchange)
 
     @property
     def in_flight(self) -> int:
-        """Return how many attempts the evidence still counts."""
+        """Number of attempts in flight, as the pool counts them."""
         pool = self.services.by_name["s"].pool
         return sum(upstream.in_flight for upstream in pool.upstreams.values())
--- a/sequoiabridge/tests/pipeline/test_dispatch.py
+++ b/sequoiabridge/tests/pipeline/test_dispatch.py
@@ -1,4 +1,4 @@
-"""What is sent again and what is not, and what the caller is told: one fault at a time."""
+"""Tests which calls are retried or hedged, and the outcome that refusals report."""
 
 import curio
 import pytest
@@ -16,12 +16,12 @@
 
 
 def record_crashes_in_ledger(scene):
-    """Have the bench's crashes entered in the service's ledger, as a daemon does."""
+    """Record the crashes of a scene in the service's ledger, as a daemon does."""
     scene.observer = LedgerObserver(scene.services.by_name["s"].ledger, scene.clock)
     scene.dispatch = Dispatch(scene.services, scene.connector, scene.clock, scene.observer)
 
 
-def refused(scene, exchange):
+def get_refusal(scene, exchange):
     """Dispatch a call that must be refused; return the refusal."""
     with pytest.raises(Refusal) as caught:
         scene.run(exchange)
@@ -29,39 +29,39 @@
     return caught.value
 
 
-@pytest.mark.parametrize("behaviour", [Behaviour.RESET, Behaviour.CUT])
-def test_unrepeatable_work_is_sent_once_and_its_outcome_is_unknown(behaviour):
+@pytest.mark.parametrize("behaviour", [Behaviour.RESET, Behaviour.TRUNCATE])
+def test_non_idempotent_call_is_sent_once_and_its_outcome_is_unknown(behaviour):
     scene = DispatchScene(behaviour, behaviour, behaviour, **NON_IDEMPOTENT)
-    refusal = refused(scene, scene.exchange())
+    refusal = get_refusal(scene, scene.exchange())
     assert refusal.outcome is Outcome.UNKNOWN
     assert len(scene.connector.received) == 1
     assert scene.observer.failures == [Failure.RESET]
 
 
-def test_unrepeatable_work_that_reached_nobody_goes_to_another_upstream():
+def test_non_idempotent_call_that_reached_no_upstream_is_retried():
     scene = DispatchScene(Behaviour.REFUSE_CONNECTION, Behaviour.ANSWER, **NON_IDEMPOTENT)
     assert scene.run(scene.exchange()).status == 200
     assert len(scene.connector.received) == 1
     assert scene.in_flight == 0
 
 
-def test_work_that_every_upstream_shed_is_told_not_run_and_when_to_come_back():
+def test_call_that_every_upstream_shed_is_refused_as_not_run_with_retry_after():
     scene = DispatchScene(Behaviour.SHED, Behaviour.SHED, **NON_IDEMPOTENT)
-    refusal = refused(scene, scene.exchange())
+    refusal = get_refusal(scene, scene.exchange())
     assert refusal.outcome is Outcome.NOT_RUN
     assert refusal.reason is Reason.UPSTREAM_SHED
     assert refusal.retry_after > 0
 
 
-def test_one_unproven_attempt_makes_the_outcome_unknown_whatever_follows():
+def test_one_unproven_attempt_makes_the_outcome_unknown():
     scene = DispatchScene(Behaviour.RESET, Behaviour.SHED, Behaviour.SHED, **IDEMPOTENT)
-    assert refused(scene, scene.exchange()).outcome is Outcome.UNKNOWN
+    assert get_refusal(scene, scene.exchange()).outcome is Outcome.UNKNOWN
 
 
 @pytest.mark.parametrize(
-    "behaviour", [Behaviour.RESET, Behaviour.CUT, Behaviour.FAIL, Behaviour.SHED]
+    "behaviour", [Behaviour.RESET, Behaviour.TRUNCATE, Behaviour.FAIL, Behaviour.SHED]
 )
-def test_an_idempotent_call_gets_the_other_upstreams_answer(behaviour):
+def test_idempotent_call_gets_the_other_upstreams_answer(behaviour):
     answered = set()
     for seed in range(8):
         scene = DispatchScene(behaviour, Behaviour.ANSWER, seed=seed, **IDEMPOTENT)
@@ -72,28 +72,28 @@
     assert answered == {1, 2}
 
 
-def test_a_server_error_is_passed_on_when_no_retry_does_better():
+def test_server_error_is_returned_if_no_retry_succeeds():
     scene = DispatchScene(Behaviour.FAIL, Behaviour.FAIL, **IDEMPOTENT)
     assert scene.run(scene.exchange()).status == 500
     assert len(scene.connector.received) == 2
 
 
-def test_a_request_that_crashed_two_upstreams_does_not_reach_a_third():
+def test_request_that_crashed_two_upstreams_does_not_reach_a_third():
     scene = DispatchScene(Behaviour.CRASH, Behaviour.CRASH, Behaviour.CRASH, **IDEMPOTENT)
     record_crashes_in_ledger(scene)
-    assert refused(scene, scene.exchange()).outcome is Outcome.UNKNOWN
+    assert get_refusal(scene, scene.exchange()).outcome is Outcome.UNKNOWN
     assert len(scene.connector.received) == 2
 
 
-def test_a_request_whose_connections_broke_at_living_upstreams_is_not_blamed():
+def test_reset_by_a_reachable_upstream_is_not_recorded_as_a_crash():
     scene = DispatchScene(Behaviour.RESET, Behaviour.RESET, Behaviour.RESET, **IDEMPOTENT)
     record_crashes_in_ledger(scene)
-    assert refused(scene, scene.exchange()).outcome is Outcome.UNKNOWN
+    assert get_refusal(scene, scene.exchange()).outcome is Outcome.UNKNOWN
     assert len(scene.connector.received) == 3
     assert scene.services.by_name["s"].ledger.list_suspects(scene.clock.now()) == []
 
 
-def test_a_server_error_of_unrepeatable_work_is_not_sent_again():
+def test_server_error_of_a_non_idempotent_call_is_not_retried():
     scene = DispatchScene(Behaviour.FAIL, Behaviour.ANSWER, Behaviour.ANSWER, **NON_IDEMPOTENT)
     for _ in range(8):
         scene.connector.received.clear()
@@ -101,46 +101,46 @@
         assert len(scene.connector.received) == 1
 
 
-def test_a_silent_call_is_hedged_and_the_loser_is_closed():
-    scene = DispatchScene(Behaviour.STAY_SILENT, Behaviour.ANSWER, **HEDGED)
+def test_call_without_an_answer_is_hedged_and_the_loser_is_closed():
+    scene = DispatchScene(Behaviour.NEVER_ANSWER, Behaviour.ANSWER, **HEDGED)
     for _ in range(4):
         assert scene.run(scene.exchange()).status == 200
-    silent = [c for c in scene.connector.connections if c.behaviour is Behaviour.STAY_SILENT]
-    assert silent
-    assert all(connection.closed for connection in silent)
+    unanswered = [c for c in scene.connector.connections if c.behaviour is Behaviour.NEVER_ANSWER]
+    assert unanswered
+    assert all(connection.closed for connection in unanswered)
     assert scene.in_flight == 0
 
 
-def test_a_hedge_that_fails_does_not_end_the_call():
-    scene = DispatchScene(Behaviour.STAY_SILENT, Behaviour.RESET, **HEDGED)
-    refusal = refused(scene, scene.exchange(window=0.3))
+def test_failed_hedge_does_not_end_the_call():
+    scene = DispatchScene(Behaviour.NEVER_ANSWER, Behaviour.RESET, **HEDGED)
+    refusal = get_refusal(scene, scene.exchange(window=0.3))
     assert refusal.reason is Reason.TIMEOUT
     assert refusal.outcome is Outcome.UNKNOWN
 
 
-def test_silent_unrepeatable_work_is_given_up_at_its_deadline():
+def test_non_idempotent_call_without_an_answer_times_out_at_its_deadline():
     scene = DispatchScene(
-        Behaviour.STAY_SILENT, Behaviour.ANSWER, Behaviour.STAY_SILENT, **NON_IDEMPOTENT
+        Behaviour.NEVER_ANSWER, Behaviour.ANSWER, Behaviour.NEVER_ANSWER, **NON_IDEMPOTENT
     )
     pool = scene.services.by_name["s"].pool
     pool.upstreams["u2"].drained = True
     pool._refresh(scene.clock.now())
-    refusal = refused(scene, scene.exchange(window=0.05))
+    refusal = get_refusal(scene, scene.exchange(window=0.05))
     assert refusal.status == 504
     assert refusal.outcome is Outcome.UNKNOWN
     assert len(scene.connector.received) == 1
 
 
-def test_nothing_is_sent_after_the_deadline_of_a_call_whose_vm_was_paused():
+def test_nothing_is_sent_after_the_deadline():
     scene = DispatchScene(Behaviour.ANSWER, **NON_IDEMPOTENT)
     exchange = scene.exchange()
     exchange.deadline = scene.clock.now() - 1.0
-    assert refused(scene, exchange).outcome is Outcome.NOT_RUN
+    assert get_refusal(scene, exchange).outcome is Outcome.NOT_RUN
     assert scene.connector.received == []
 
 
-def test_a_call_whose_caller_leaves_is_cancelled_at_its_upstream():
-    scene = DispatchScene(Behaviour.STAY_SILENT, **NON_IDEMPOTENT)
+def test_call_is_cancelled_at_its_upstream_when_the_caller_disconnects():
+    scene = DispatchScene(Behaviour.NEVER_ANSWER, **NON_IDEMPOTENT)
 
     async def leave():
         task = await curio.spawn(scene.dispatch.run, scene.exchange())
@@ -153,15 +153,15 @@
     assert scene.in_flight == 0
 
 
-def test_an_upstream_whose_answer_is_cut_off_is_still_heard_to_be_leaving():
-    scene = DispatchScene(Behaviour.CUT_DRAINING)
+def test_drain_in_a_truncated_answer_is_applied():
+    scene = DispatchScene(Behaviour.TRUNCATE_DRAINING)
     with pytest.raises(Refusal):
         scene.run(scene.exchange())
     assert scene.services.by_name["s"].pool.upstreams["u1"].draining == 7
 
 
 class OneTimeBody(Body):
-    """A streamed body: what was read is gone."""
+    """A streamed body that can be read once."""
 
     def __init__(self):
         self.pieces = [b"first", b"second"]
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.SHED, Behaviour.BREAK_BEFORE_SEND])
-def test_a_streamed_body_that_was_begun_is_never_sent_again(behaviour):
+def test_call_is_not_retried_after_its_streamed_body_was_started(behaviour):
     for seed in range(4):
         scene = DispatchScene(behaviour, Behaviour.ANSWER, behaviour, seed=seed, **NON_IDEMPOTENT)
         exchange = scene.exchange()
--- a/sequoiabridge/tests/pipeline/test_drain_checks.py
+++ b/sequoiabridge/tests/pipeline/test_drain_checks.py
@@ -1,4 +1,4 @@
-"""An upstream that drained gets work again by its own newer word, and by nothing else."""
+"""Tests that only a healthy answer of a newer incarnation ends a drain, and what probes cost."""
 
 import curio
 import pytest
@@ -10,7 +10,7 @@
 
 
 class FakeProber:
-    """Answers each probe with what the test says."""
+    """Answers each probe with the same result."""
 
     def __init__(self, incarnation, drain=None, healthy=True):
         self.answer = Probe(0.001, 100)
@@ -24,7 +24,7 @@
 
 
 def is_back_after_probe(prober):
-    """Return whether u1, which drained as incarnation 7, is in use after one look."""
+    """Return whether u1, drained as incarnation 7, is in use after one round of probes."""
     scene = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER)
     state = scene.services.by_name["s"]
     state.probe_budget.tokens = 1.0
@@ -43,21 +43,21 @@
     return returned
 
 
-def test_a_newer_incarnation_ends_a_drain_and_is_told_to_the_fleet():
+def test_newer_incarnation_ends_a_drain_and_the_observer_is_notified():
     assert is_back_after_probe(FakeProber(8))
 
 
 @pytest.mark.parametrize(
     "prober",
     [FakeProber(7), FakeProber(None), FakeProber(8, drain=8), FakeProber(8, healthy=False)],
-    ids=["the same one", "no word", "leaving again", "not healthy"],
+    ids=["same incarnation", "no incarnation", "draining again", "unhealthy"],
 )
 def test_nothing_else_ends_a_drain(prober):
     assert not is_back_after_probe(prober)
 
 
 def probe_once(prober, budget, tokens, drained=True):
-    """Return the bench after a look; u1 left, or failed a call just before."""
+    """Run one round of probes; u1 is drained, or has just failed a call."""
     scene = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER)
     state = scene.services.by_name["s"]
     now = scene.clock.now()
@@ -79,19 +79,19 @@
 
 
 @pytest.mark.parametrize("drained", [True, False])
-def test_where_calls_pay_for_measuring_no_question_goes_unpaid(drained):
+def test_no_probe_is_sent_without_a_token_of_the_budget(drained):
     prober = FakeProber(8)
     probe_once(prober, 0.1, 0.9, drained)
     assert prober.probed == []
 
 
-def test_where_nothing_may_be_spent_an_upstream_that_left_is_asked_now_and_then():
+def test_drained_upstream_is_probed_without_a_probe_budget():
     prober = FakeProber(8)
     probe_once(prober, 0.0, 0.0)
     assert prober.probed == ["127.0.0.1:1"]
 
 
-def test_an_upstream_that_loses_its_answers_is_asked_whether_it_leaves():
+def test_upstream_that_fails_calls_is_probed_for_a_drain():
     prober = FakeProber(7, drain=7)
     scene = probe_once(prober, 0.1, 1.0, drained=False)
     assert prober.probed == ["127.0.0.1:1"]
--- a/sequoiabridge/tests/pipeline/test_idle.py
+++ b/sequoiabridge/tests/pipeline/test_idle_timers.py
@@ -1,4 +1,4 @@
-"""What is done time and again is done only while calls give reason to: an idle daemon sleeps."""
+"""Tests that periodic work runs only while there are calls, and which load is published."""
 
 import curio
 import pytest
@@ -15,11 +15,11 @@
 from .fakes import Behaviour, DispatchScene
 
 MIN_IDLE_INTERVAL = 1.0
-"""Seconds that an idle daemon's fastest timer here leaves between two looks, at least."""
+"""Minimum seconds until the next timer of an idle daemon."""
 
 
 class FakeFleet:
-    """Keeps what is published."""
+    """Keeps the published items."""
 
     def __init__(self):
         self.items = []
@@ -37,7 +37,7 @@
 
 
 class StalledQueue:
-    """A queue that lets every call wait until it is too late."""
+    """A queue in which every call waits until it expires."""
 
     displaced = ()
 
@@ -57,24 +57,24 @@
 
 
 def use_manual_clock(scene):
-    """Return a manual clock and timers; the bench's services work by them."""
+    """Return a manual clock, which the scene's services use, and timers on it."""
     clock = ManualClock(100.0)
     scene.services.clock = clock
     return clock, Timers(clock)
 
 
 def publish_all(sharing):
-    """Go through all services once."""
+    """Publish the load of all services once."""
     for _ in range(LOAD_SLICES):
         sharing.publish_load()
 
 
 def active_timers(timers):
-    """Return the names of what is done often and that the timers will do."""
+    """Return the names of the frequent timers that are running."""
     return {entry["name"] for entry in timers.dump()} & {"probing", "sharing load"}
 
 
-def test_looks_start_with_the_first_call_and_end_when_the_service_is_quiet():
+def test_timers_run_from_the_first_call_until_the_service_is_no_longer_busy():
     scene = DispatchScene(Behaviour.ANSWER)
     clock, timers = use_manual_clock(scene)
     Probing(scene.services, None, Metrics(), scene.observer, clock).subscribe(timers)
@@ -95,7 +95,7 @@
     assert active_timers(timers) == {"probing", "sharing load"}
 
 
-def test_a_queued_call_is_refused_in_time_though_nothing_looked_before_it_came():
+def test_queued_call_of_an_idle_daemon_is_refused_in_time():
     scene = DispatchScene(Behaviour.ANSWER)
     timers = Timers(scene.clock)
     admit = Admit(scene.services, scene.clock)
@@ -112,33 +112,33 @@
     assert not admit.queued_calls
 
 
-def test_a_suspicion_is_told_and_taken_back_without_a_further_call():
+def test_suspicion_is_published_and_withdrawn_without_a_further_call():
     scene, fleet = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER), FakeFleet()
     clock, _ = use_manual_clock(scene)
     sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
     state = scene.services.by_name["s"]
-    straggler = state.pool.upstreams["u1"]
+    slow_upstream = state.pool.upstreams["u1"]
     scene.services.record_call(state, clock.now())
-    straggler.record_start(clock.now())
+    slow_upstream.record_start(clock.now())
     clock.advance(2.0)
     publish_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
-    straggler.record_end(clock.now(), 2.0)
+    slow_upstream.record_end(clock.now(), 2.0)
     clock.advance(3.0)
     publish_all(sharing)
     assert [(item.upstream, item.suspect) for item in fleet.items[1:]] == [("u1", False)]
 
 
-def test_upstreams_without_calls_are_not_gone_through():
+def test_upstreams_of_idle_services_are_not_iterated():
     scene, fleet = DispatchScene(Behaviour.ANSWER), FakeFleet()
     clock, _ = use_manual_clock(scene)
     sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
-    scene.services.by_name["s"].pool.upstreams = None  # Whoever goes through them fails.
+    scene.services.by_name["s"].pool.upstreams = None  # Iterating over them raises.
     publish_all(sharing)
     assert not fleet.items
 
 
-def test_an_upstream_slower_than_its_pool_is_told_without_a_call_in_flight():
+def test_slow_upstream_is_published_without_a_call_in_flight():
     scene, fleet = DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER, Behaviour.ANSWER), FakeFleet()
     clock, _ = use_manual_clock(scene)
     sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
@@ -153,7 +153,7 @@
     assert [(item.upstream, item.suspect) for item in fleet.items] == [("u1", True)]
 
 
-def test_what_other_vms_suspect_is_not_told_on_as_own_suspicion():
+def test_suspicions_of_peers_are_not_published_as_local():
     scene, fleet = DispatchScene(*[Behaviour.ANSWER] * 4), FakeFleet()
     clock, _ = use_manual_clock(scene)
     sharing = Sharing("vm", scene.services, fleet, Metrics(), clock)
@@ -161,7 +161,7 @@
     scene.services.record_call(state, clock.now())
     for other in ("vm-2", "vm-3", "vm-4"):
         sharing.handle_load(LoadItem("u1", 0, 6000, True, 0), other)
-    clock.advance(0.1)  # Words of other VMs take effect together, with the next choice.
+    clock.advance(0.1)  # Suspicions of peers take effect together, with the next choice.
     state.pool.choose(clock.now())
     assert state.pool.upstreams["u1"].suspected
     publish_all(sharing)
--- a/sequoiabridge/tests/pipeline/test_pipeline.py
+++ b/sequoiabridge/tests/pipeline/test_pipeline.py
@@ -1,4 +1,4 @@
-"""Which filters a call leaves when one refuses it, and that nothing of it stays behind."""
+"""Tests which filters a refused call leaves, and that a finished call is freed."""
 
 import gc
 import weakref
@@ -15,17 +15,17 @@
 
 
 class LeaveOnly(Filter):
-    """Has only a hook on the way out."""
+    """A filter with a `leave` hook only."""
 
-    def __init__(self, name, seen):
-        self.name, self.seen = name, seen
+    def __init__(self, name, left_filters):
+        self.name, self.left_filters = name, left_filters
 
     async def leave(self, exchange, clean):
-        self.seen.append(self.name)
+        self.left_filters.append(self.name)
 
 
 class EnterAndLeave(LeaveOnly):
-    """Has both hooks; refuses if told to."""
+    """A filter with both hooks; refuses calls if `refuses` is set."""
 
     refuses = False
 
@@ -34,11 +34,11 @@
             raise Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, "Come back later.")
 
 
-@pytest.mark.parametrize(("refusing", "left"), [(1, ["a"]), (3, ["c", "b", "a"])])
-def test_a_refused_call_leaves_just_the_filters_that_it_has_entered(refusing, left):
-    seen = []
+@pytest.mark.parametrize(("refusing", "expected"), [(1, ["a"]), (3, ["c", "b", "a"])])
+def test_refused_call_leaves_only_the_filters_it_entered(refusing, expected):
+    left_filters = []
     kinds = (LeaveOnly, EnterAndLeave, LeaveOnly, EnterAndLeave, LeaveOnly)
-    filters = [kind(name, seen) for kind, name in zip(kinds, "abcde", strict=True)]
+    filters = [kind(name, left_filters) for kind, name in zip(kinds, "abcde", strict=True)]
     filters[refusing].refuses = True
     pipeline = Pipeline(filters, None, RequestIds("vm-1", 1), ManualClock())
 
@@ -50,16 +50,16 @@
         return answer.status
 
     assert curio.run(call) == 503
-    assert seen == left and not pipeline.open_exchanges
+    assert left_filters == expected and not pipeline.open_exchanges
 
 
 class WeakExchange(Exchange):
-    """An exchange whose end can be noticed."""
+    """An exchange that supports weak references."""
 
     __slots__ = ("__weakref__",)
 
 
-def test_a_call_that_has_ended_is_freed_without_the_garbage_collector(monkeypatch):
+def test_finished_call_is_freed_without_the_garbage_collector(monkeypatch):
     references = []
 
     class AnsweringFilter(Filter):
--- a/sequoiabridge/tests/pipeline/test_removed_service.py
+++ b/sequoiabridge/tests/pipeline/test_removed_service.py
@@ -1,4 +1,4 @@
-"""A service is removed while its calls run and wait: each still gets its answer."""
+"""Tests that each call of a removed service is still answered."""
 
 import curio
 import pytest
@@ -13,7 +13,7 @@
 from .fakes import Behaviour, DispatchScene
 
 
-def test_a_call_that_waits_is_refused_in_time_after_its_service_is_gone():
+def test_queued_call_is_refused_in_time_after_its_service_is_removed():
     scene = DispatchScene(Behaviour.ANSWER)
     state = scene.services.by_name["s"]
     state.queue.limit = ConcurrencyLimit(1, 1, 1)
@@ -36,7 +36,7 @@
     assert refusal.outcome is Outcome.NOT_RUN
 
 
-def test_a_call_that_was_admitted_finds_no_upstream_of_a_removed_service():
+def test_admitted_call_finds_no_upstream_of_a_removed_service():
     scene = DispatchScene(Behaviour.ANSWER)
     exchange = scene.exchange()
     scene.services.state_of(exchange)
@@ -47,7 +47,7 @@
     assert scene.connector.received == []
 
 
-def test_a_call_that_comes_too_late_is_told_so():
+def test_call_matched_before_its_service_was_removed_is_refused():
     scene = DispatchScene(Behaviour.ANSWER)
     exchange = scene.exchange()
     scene.services.update(Document.empty())
--- a/sequoiabridge/tests/pipeline/test_sharing.py
+++ b/sequoiabridge/tests/pipeline/test_sharing.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other of requests that are suspected of crashing upstreams."""
+"""Tests sharing of requests that are suspected of crashing upstreams."""
 
 from ...fleet.base import CrashItem
 from ...metrics import Metrics
@@ -7,7 +7,7 @@
 
 
 class DelayedFleet:
-    """A fleet of two VMs; `late` holds what the first said and the second has not heard."""
+    """A fleet of two VMs; `pending` has the items that were published and not yet delivered."""
 
     def __init__(self):
         self.pending = []
@@ -19,7 +19,7 @@
         self.pending.append(item)
 
 
-def test_an_answer_clears_a_request_on_vms_that_hear_of_its_crashes_late():
+def test_answer_clears_a_request_on_peers_that_learn_of_its_crashes_later():
     local_scene, peer_scene, fleet = (
         DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER),
         DispatchScene(Behaviour.ANSWER, Behaviour.ANSWER),
@@ -33,7 +33,7 @@
     for upstream in ("u1", "u2"):
         local.record_crash(exchange, upstream)
     local.record_answer(exchange)
-    # Between VMs, words may come in any order.
+    # Items may arrive in any order.
     for item in reversed(fleet.pending):
         assert isinstance(item, CrashItem)
         peer.handle_crash(item, "vm-1")
--- a/sequoiabridge/tests/pipeline/test_uploads.py
+++ b/sequoiabridge/tests/pipeline/test_uploads.py
@@ -1,4 +1,4 @@
-"""Spooled uploads over HTTP: what a caller is told, and what an upstream's answer means."""
+"""Tests the answers to spooled uploads, and how answers of upstreams to deliveries are taken."""
 
 import hashlib
 from types import SimpleNamespace
@@ -41,13 +41,13 @@
     return answer.status, dict(answer.headers), msgspec.json.decode(finish(answer.body.read()))
 
 
-def refused(vm, *args, **headers):
+def get_refusal(vm, *args, **headers):
     with pytest.raises(Refusal) as caught:
         call(vm, *args, **headers)
     return caught.value
 
 
-def test_accepted_looked_up_and_delivered_under_id_and_digest():
+def test_upload_is_accepted_looked_up_and_delivered_with_id_and_digest():
     world = World()
     vm = world.vm("a")
     status, headers, _ = call(vm, content_type=b"image/x", host=b"h", sequoia_deadline_ms=b"9")
@@ -70,7 +70,7 @@
     }
 
 
-def test_a_caller_that_knows_only_its_key_looks_up_and_resumes():
+def test_caller_can_look_up_and_resume_by_its_key_alone():
     world = World()
     vm = world.vm("a")
     with pytest.raises(CallerGone):
@@ -82,27 +82,27 @@
     assert (status, status_body["state"], status_body["offset"]) == (202, "accepted", 19)
 
 
-def test_a_store_that_is_down_or_silent_is_told_truthfully():
+def test_refusal_reports_the_outcome_if_the_store_is_down_or_unresponsive():
     world = World()
     world.tables.faults.down = True
-    down = refused(world.vm("a"))
+    down = get_refusal(world.vm("a"))
     assert (down.status, down.outcome, down.reason) == (503, Outcome.NOT_RUN, Reason.STORE_DOWN)
     assert down.retry_after > 0
     world.tables.faults.down = False
     world.tables.faults.late = 99
-    assert refused(world.vm("a")).outcome is Outcome.NOT_RUN
+    assert get_refusal(world.vm("a")).outcome is Outcome.NOT_RUN
     world.tables.land_late()
     assert world.manifests()[0].state is UploadState.OPEN
     world.tables.faults.late = 0
     vm = world.vm("a", chunks_per_commit=99, retry_timeout=1.0)
-    vm.chunks.put = lambda *_: silent(world)
-    lost = refused(vm)
+    vm.chunks.put = lambda *_: make_unresponsive(world)
+    lost = get_refusal(vm)
     assert (lost.outcome, lost.reason) == (Outcome.UNKNOWN, Reason.STORE_DOWN)
 
 
 @pytest.mark.parametrize("fault, value", [("down", True), ("slow", 100.0), ("lose_writes", 99)])
 @pytest.mark.parametrize("when", ["chunk", "accept"])
-def test_a_store_that_fails_in_between_is_told_by_the_deadline(fault, value, when):
+def test_store_failure_during_an_upload_is_reported_by_the_deadline(fault, value, when):
     world = World()
     vm = world.vm("a", chunks_per_commit=99)
     started = world.clock.now()
@@ -119,7 +119,7 @@
     assert world.clock.now() - started < WINDOW + 4 * LATE_CALL_TIMEOUT
 
 
-def test_an_acceptance_that_cannot_be_read_back_is_not_called_not_run():
+def test_acceptance_that_cannot_be_read_back_has_an_unknown_outcome():
     world = World()
     vm = world.vm("a", chunks_per_commit=99)
     task = handle_upload(vm, Bytes(DATA), len(DATA), deadline=world.clock.now() + WINDOW)
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("pause", [0.0, 30.0])
-def test_an_upload_that_is_longer_than_its_window_is_accepted_while_the_store_answers(pause):
+def test_upload_that_outlasts_its_window_is_accepted_while_the_store_answers(pause):
     world = World()
 
     class Slow(Bytes):
@@ -157,24 +157,24 @@
     assert answer.status == 202
 
 
-async def silent(world):
+async def make_unresponsive(world):
     world.tables.faults.late = 99
 
 
-def test_refusals_name_their_reason():
+def test_refusals_have_their_status_and_reason():
     world = World()
     vm = world.vm("a")
     upload = call(vm, idempotency_key=b"k")[1][b"sequoia-upload-id"]
-    other = refused(vm, b"other", idempotency_key=b"k")
+    other = get_refusal(vm, b"other", idempotency_key=b"k")
     assert (other.status, other.reason) == (422, Reason.KEY_REUSED)
     for offset, status in ((b"16", 422), (b"17", 409), (b"99", 409)):
         named = {"sequoia_upload_id": upload, "sequoia_upload_offset": offset}
-        assert refused(vm, b"e" * (19 - min(19, int(offset))), **named).status == status
-    assert refused(vm, b"", sequoia_upload_id=b"nobody").status == 404
-    assert refused(vm, b"x", sequoia_upload_id=upload).status == 400
-    assert refused(vm, b"x", sequoia_upload_offset=b"3").status == 400
-    assert refused(vm, b"x" * 1001).reason is Reason.BODY_TOO_LARGE
-    wrong = refused(vm, DATA, sequoia_upload_digest=b"0" * 64)
+        assert get_refusal(vm, b"e" * (19 - min(19, int(offset))), **named).status == status
+    assert get_refusal(vm, b"", sequoia_upload_id=b"nobody").status == 404
+    assert get_refusal(vm, b"x", sequoia_upload_id=upload).status == 400
+    assert get_refusal(vm, b"x", sequoia_upload_offset=b"3").status == 400
+    assert get_refusal(vm, b"x" * 1001).reason is Reason.BODY_TOO_LARGE
+    wrong = get_refusal(vm, DATA, sequoia_upload_digest=b"0" * 64)
     assert wrong.reason is Reason.KEY_REUSED and len(world.manifests()) == 3
 
 
@@ -190,14 +190,14 @@
         (422, None, DeliveryOutcome.REFUSED),
     ],
 )
-def test_only_a_confirmation_of_this_content_counts(status, echo, expected):
+def test_only_a_confirmation_of_the_same_content_counts(status, echo, expected):
     manifest = SimpleNamespace(digest="d")
     headers = [] if echo is None else [(b"sequoia-upload-digest", echo)]
     assert delivery_result(manifest, Answer(status, headers, 0, None)).outcome is expected
 
 
-def delivered_by_turns(world, behaviour):
-    """Have one VM after the other try to deliver one upload to three upstreams."""
+def deliver_from_several_vms(world, behaviour):
+    """Deliver one upload from several VMs in turn; return its id and the upstreams reached."""
     scene = DispatchScene(behaviour, behaviour, behaviour)
     request = incoming(DATA)
     request.service = "s"
@@ -212,10 +212,10 @@
     return upload, [address for address, _ in scene.connector.received]
 
 
-def test_an_upload_that_crashes_its_upstreams_is_held_after_two_in_the_whole_fleet():
+def test_upload_fails_after_crashing_two_upstreams_in_the_whole_fleet():
     world = World()
-    upload, reached = delivered_by_turns(world, Behaviour.CRASH)
-    assert len(reached) == 2 == len(set(reached))
+    upload, reached_addresses = deliver_from_several_vms(world, Behaviour.CRASH)
+    assert len(reached_addresses) == 2 == len(set(reached_addresses))
     row = upload_row(finish(world.vm("e").list_undelivered(1))[0], 0.0)
     assert (row.state, len(row.crashed.split(", "))) == ("failed", 2)
     assert all(name in row.error for name in row.crashed.split(", "))
@@ -226,15 +226,15 @@
     assert world.upstream.kept == {upload: DATA}
 
 
-def test_a_reset_by_an_upstream_that_lives_is_no_crash():
+def test_reset_by_a_reachable_upstream_is_no_crash():
     world = World()
-    _, reached = delivered_by_turns(world, Behaviour.RESET)
+    _, reached_addresses = deliver_from_several_vms(world, Behaviour.RESET)
     manifest = world.manifests()[0]
     assert (manifest.state, manifest.crashed) == (UploadState.ACCEPTED, ())
-    assert len(reached) > 2
+    assert len(reached_addresses) > 2
 
 
-def test_an_upstream_that_leaves_says_so_on_the_answer_to_a_delivery_too():
+def test_drain_in_the_answer_to_a_delivery_is_applied():
     world = World()
     scene = DispatchScene(Behaviour.ANSWER_DRAINING)
     request = incoming(DATA)
