--- a/sequoiabridge/assembly/__init__.py
+++ b/sequoiabridge/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""What puts one daemon together, keeps it at work and stops it; see `sequoiabridge.daemon`."""
+"""Builds, schedules and stops the components of a daemon; see `sequoiabridge.daemon`."""
--- a/sequoiabridge/assembly/call_path.py
+++ b/sequoiabridge/assembly/call_path.py
@@ -1,4 +1,4 @@
-"""Builds the path of calls: from the callers' port through the filters to the upstreams."""
+"""Builds the components that calls pass through, from the callers' port to the upstreams."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class CallPath:
-    """The parts that calls and uploads go through, over the store and the fleet of a daemon."""
+    """The components that calls and uploads pass through."""
 
     def __init__(self, daemon: Daemon):
         clock, fleet = daemon.clock, daemon.fleet
@@ -54,7 +54,7 @@
         self.orphans = UploadCleaner(daemon.uploads)
 
     def _filters(self, daemon: Daemon) -> list[Filter]:
-        """Return what each call goes through, in this order."""
+        """Return the filters that each call passes through, in this order."""
         return [
             Record(daemon.metrics, daemon.journal, daemon.clock),
             Identify(),
@@ -77,7 +77,7 @@
 
 
 def caller_limits(settings: Settings) -> CallerLimits:
-    """Return what callers may take, as set."""
+    """Return the limits for callers from the settings."""
     callers = settings.callers
     return CallerLimits(
         max_head=callers.max_head,
--- a/sequoiabridge/assembly/operators.py
+++ b/sequoiabridge/assembly/operators.py
@@ -1,4 +1,4 @@
-"""Builds what operators talk to: the admin port, and the way to the other VMs' admin ports."""
+"""Builds the admin port, through which operators control a daemon."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def build_admin(daemon: Daemon) -> AdminServer:
-    """Return the admin port of a daemon whose other parts are built."""
+    """Return the admin port of a daemon; its other components must have been built."""
     token = daemon.settings.admin.token
     dump = Dump(daemon.vm, daemon.components, [token, *daemon.settings.fleet.key.split()])
     routes = Routes(token, daemon.readiness, daemon.metrics, dump, build_executor(daemon))
@@ -31,7 +31,7 @@
 
 
 def build_executor(daemon: Daemon) -> Executor:
-    """Return what carries out the operators' commands."""
+    """Return the executor of the operators' commands."""
     clock, services, fleet = daemon.clock, daemon.services, daemon.fleet
     state = DaemonState(
         daemon.vm,
@@ -53,14 +53,14 @@
 
 
 def list_admin_peers(daemon: Daemon) -> list[Peer]:
-    """Return the other VMs' admin ports: every VM uses the same port number for it."""
+    """Return the admin ports of the other VMs; all VMs use the same port number."""
     port = daemon.admin.address.rpartition(":")[2]
     others = daemon.fleet.membership.live()
     return [Peer(m.name, f"{m.address.rpartition(':')[0]}:{port}") for m in others]
 
 
 def declare_daemon_metrics(daemon: Daemon) -> None:
-    """Show the readings of all parts as metrics."""
+    """Declare the metrics of all components."""
     metrics, path = daemon.metrics, daemon.path
     declare_call_metrics(metrics, path.services, path.callers)
     declare_fleet_metrics(metrics, daemon.fleet, daemon.configuration, daemon.readiness)
--- a/sequoiabridge/assembly/platform_tasks.py
+++ b/sequoiabridge/assembly/platform_tasks.py
@@ -1,4 +1,4 @@
-"""Periodic calls to the platform at a rate for the whole fleet, however many VMs share it."""
+"""Periodic calls to the platform, with a limited rate for the whole fleet."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
     from ..daemon import Daemon
 
 MIN_LIST_INTERVAL = 5.0
-"""Seconds between two looks at the platform's VM list, at least."""
+"""Minimum number of seconds between two reads of the platform's VM list by one VM."""
 
 MAX_FLEET_LIST_RATE = 20.0
-"""Reads of the VM list a second by the whole fleet: a larger one reads it less often."""
+"""Maximum number of reads of the VM list per second by the whole fleet."""
 
 PRUNE_INTERVAL = 60.0
-"""Seconds between two removals of old changes by the fleet, on average."""
+"""Average number of seconds between two removals of old changes by the fleet."""
 
 LIST_TIMEOUT = 1.0
+"""Maximum number of seconds for a read of the VM list."""
 
 
 class PlatformTasks:
-    """Reads the VM list, and removes old changes of the configuration."""
+    """Reads the VM list and removes old changes of the configuration."""
 
     def __init__(self, daemon: Daemon):
         self.timers = daemon.timers
@@ -30,12 +31,12 @@
         self.versions = daemon.versions
 
     def subscribe(self) -> None:
-        """Begin, at a time by chance, so that VMs started together do not ask together."""
+        """Start the tasks, with a random delay so that VMs started together spread their reads."""
         self.timers.after(self.random.uniform(0.0, MIN_LIST_INTERVAL), "vm list", self.read_list)
         self.timers.every(PRUNE_INTERVAL, "old changes", self.prune)
 
     async def read_list(self) -> None:
-        """Tell the fleet which VMs the platform lists, and look again later."""
+        """Pass the platform's VM list to the fleet and schedule the next read."""
         interval = max(MIN_LIST_INTERVAL, self.fleet.live_count() / MAX_FLEET_LIST_RATE)
         self.timers.after(interval * self.random.uniform(0.8, 1.2), "vm list", self.read_list)
         listed = await self.vm_list.vms(LIST_TIMEOUT)
@@ -43,6 +44,6 @@
             self.fleet.hint([vm.address for vm in listed.ok if not vm.leaving])
 
     async def prune(self) -> None:
-        """Remove some old changes, if it falls to this VM: on average one of the fleet does it."""
+        """Remove some old changes with a probability such that on average one VM does so."""
         if self.random.random() * self.fleet.live_count() < 1.0:
             await self.versions.prune()
--- a/sequoiabridge/assembly/schedule.py
+++ b/sequoiabridge/assembly/schedule.py
@@ -1,4 +1,4 @@
-"""The periodic work of a daemon, all on its one timer service."""
+"""The periodic work of a daemon, run by its timer service."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from ..daemon import Daemon
 
 IDLE_CHECK_INTERVAL = 5.0
-"""Seconds between two looks for connections that have been idle too long."""
+"""Seconds between two checks for connections that exceed the idle timeout."""
 
 DELIVERY_INTERVAL = 1.0
-"""Seconds between two looks for uploads to deliver."""
+"""Seconds between two checks for uploads to deliver."""
 
 ORPHAN_REMOVAL_INTERVAL = 30.0
-"""Seconds between two steps of the removal of orphan chunks."""
+"""Seconds between two steps of the removal of orphaned chunks."""
 
 
 class Schedule:
-    """Subscribes each part, and does what belongs to no part alone."""
+    """Subscribes the components' periodic work to the timer service."""
 
     def __init__(self, daemon: Daemon):
         self.clock = daemon.clock
@@ -36,7 +36,7 @@
         )
 
     def subscribe(self) -> None:
-        """Subscribe everything; the timers must not run yet."""
+        """Subscribe all periodic work; must be called before the timers run."""
         timers, path = self.timers, self.path
         for component in self.store_components:
             component.subscribe(timers)
@@ -52,9 +52,9 @@
         self.platform.subscribe()
 
     async def deliver(self) -> None:
-        """Look for uploads to deliver."""
+        """Deliver uploads that are due."""
         await self.path.deliveries.step(self.clock.wall())
 
     async def collect(self) -> None:
-        """Remove some chunks that no upload refers to."""
+        """Remove some chunks to which no upload refers."""
         await self.path.orphans.step(self.clock.wall())
--- a/sequoiabridge/assembly/stopping.py
+++ b/sequoiabridge/assembly/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop: signals ask for it, and it cuts nothing off."""
+"""The planned stop of a daemon, which finishes all work in flight."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 log = get_log("daemon")
 
 STOP_POLL_INTERVAL = 0.1
-"""Seconds between two looks whether all work has ended."""
+"""Seconds between two checks for work in flight."""
 
 
 def install_signal_handlers(daemon: Daemon) -> None:
-    """Begin a planned stop at SIGTERM or SIGINT; a second one ends the process at once."""
+    """Begin a planned stop at SIGTERM or SIGINT; a second signal ends the process immediately."""
 
     def on_signal(number: int, frame: object) -> None:
         if daemon.readiness.stopping:
@@ -32,9 +32,13 @@
 
 
 async def stop(daemon: Daemon) -> None:
-    """Leave the balancer, serve on for its lag, finish all in flight, leave the fleet."""
+    """Stop gracefully.
+
+    Keeps serving until the platform's load balancer sends no more callers, finishes the calls,
+    uploads and claims in flight, and leaves the fleet.
+    """
     path, lag = daemon.path, daemon.settings.callers.balancer_lag
-    log.info("Stopping: out of the balancer, serving on for %.1f s.", lag)
+    log.info("stopping; still serving for %.1f s while the load balancer reacts", lag)
     path.deliveries.stopping = True
     await curio.sleep(lag)
     await path.callers.stop_accepting()
@@ -45,9 +49,9 @@
         await curio.sleep(STOP_POLL_INTERVAL)
     await daemon.fleet.leave()
     await path.connector.close()
-    log.info("Stopped: nothing was cut off.")
+    log.info("stopped after finishing the calls and uploads in flight")
 
 
 async def _open_claims(daemon: Daemon) -> int:
-    """Try to report outcomes; return how many claims still lack a proven one."""
+    """Try to report outcomes; return the number of claims whose outcome is not stored yet."""
     return await daemon.claims.retry_reports() + len(daemon.claims.held)
--- a/sequoiabridge/codec.py
+++ b/sequoiabridge/codec.py
@@ -1,9 +1,8 @@
-"""HTTP/1.1 by h11's readers and writers, without the state machine of `h11.Connection`.
+"""Reads and writes HTTP/1.1 messages with h11's readers and writers.
 
-A relayed call passes h11 four times. `h11.Connection` spends a third of that on states that a
-relay keeps anyway (one request at a time, a connection reused only after a clean end); see
-docs/design/hop-latency.md. The names taken from h11's modules are not public: pyproject.toml
-holds h11 to 0.16, and only this module and `header_cache` import them.
+The state machine of `h11.Connection` is left out for speed: the daemon tracks the state of its
+connections itself. Some of the names imported from h11 are private, so pyproject.toml pins h11 to
+0.16, and only this module and `header_cache` import private names.
 """
 
 import h11
@@ -28,20 +27,20 @@
 from .header_fields import HTTP_11
 
 READ_SIZE = 64 * 1024
-"""Most bytes taken from a socket at once; bounds the memory of a streamed body."""
+"""Maximum number of bytes read from a socket at once."""
 MAX_LINE_BYTES = 16 * 1024
-"""Most bytes of a chunk's header or of the trailers."""
+"""Maximum size of a chunk header or of the trailers."""
 
 MIN_FINAL_STATUS = 200
-"""Status from which an answer is not an interim one."""
+"""Lowest status code of a response that is not an interim one."""
 HEADER_CACHE = HeaderCache()
-"""Remembered header lines of all connections."""
+"""Cache of parsed header lines, shared by all connections."""
 
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
 class UntilCloseReader:
-    """Reads a body that has no length and ends with its connection."""
+    """Reads a body of unknown length, which ends when the connection closes."""
 
     __slots__ = ()
 
@@ -55,13 +54,13 @@
 
 
 class UnsafeHeader(SequoiaError):
-    """A header value holds a line break; remove it where the value is made."""
+    """A header value contains a line break."""
 
 
 class InputBuffer:
-    """What has been received on a connection and not been read yet.
+    """Bytes received on a connection that have not been parsed yet.
 
-    `closed` is true once the other side has ended its stream.
+    `closed` is true once the remote end has closed its stream.
     """
 
     __slots__ = ("buffer", "closed")
@@ -74,26 +73,26 @@
         return len(self.buffer)
 
     def feed(self, data: bytes) -> None:
-        """Take what a socket returned, b"" for the end of the stream."""
+        """Append data read from a socket; b"" marks the end of the stream."""
         if data:
             self.buffer += data
         else:
             self.closed = True
 
     def take(self, size: int) -> bytes:
-        """Remove `size` bytes, all of which must be here, and return them."""
+        """Remove and return `size` bytes, which must have been received already."""
         return bytes(self.buffer.maybe_extract_at_most(size) or b"")
 
     def read_request(self) -> tuple[h11.Request | None, bytes]:
-        """Return the next request and its head's bytes; None while its head is not whole.
+        """Return the next request and the bytes of its head; None and b"" while it is incomplete.
 
         Raises:
-            h11.LocalProtocolError: It is malformed.
+            h11.LocalProtocolError: The head is malformed.
         """
         return self._read_head(parse_request)
 
     def read_response(self) -> tuple[h11.Response | h11.InformationalResponse | None, bytes]:
-        """Return the next answer and its head's bytes; as `read_request`."""
+        """Return the next response and the bytes of its head; see `read_request`."""
         return self._read_head(parse_response)
 
     def _read_head(self, reader) -> tuple[h11.Event | None, bytes]:
@@ -108,7 +107,7 @@
         return reader(lines), held[: len(held) - len(self.buffer)]
 
     def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage | None:
-        """Return the next part of a body, None while none is here.
+        """Return the next piece or the end of a body; None if more bytes are needed.
 
         Raises:
             h11.LocalProtocolError: The body is malformed.
@@ -120,17 +119,17 @@
 
 
 def parse_request(lines: list[bytearray]) -> h11.Request:
-    """Return the request of a head's lines, as h11's own reader does.
+    """Return the request with these head lines, as h11's own reader does.
 
     Raises:
-        h11.LocalProtocolError: It is malformed.
+        h11.LocalProtocolError: The head is malformed.
     """
     first = validate(request_line_re, lines[0], "illegal request line: {!r}", lines[0])
     return h11.Request(headers=HEADER_CACHE.parse(lines[1:]), _parsed=True, **first)
 
 
 def parse_response(lines: list[bytearray]) -> h11.Response | h11.InformationalResponse:
-    """Return the answer of a head's lines, as h11's own reader does; as `parse_request`."""
+    """Return the response with these head lines; see `parse_request`."""
     first = validate(status_line_re, lines[0], "illegal status line: {!r}", lines[0])
     status = int(first["status_code"])
     kind = h11.Response if status >= MIN_FINAL_STATUS else h11.InformationalResponse
@@ -144,22 +143,25 @@
 
 
 def body_reader(length: int | None) -> BodyReader:
-    """Return h11's reader of a body of `length` bytes, of a chunked one for None."""
+    """Return a reader for a body of `length` bytes, or for a chunked body if it is None."""
     return ChunkedReader() if length is None else ContentLengthReader(length)
 
 
 def body_writer(length: int | None, chunked: bool = True) -> BodyWriter:
-    """Return h11's writer of a body of `length` bytes; for None, chunked or up to the close."""
+    """Return a writer for a body of `length` bytes.
+
+    If `length` is None, the body is chunked, or it ends with the connection if `chunked` is false.
+    """
     if length is not None:
         return ContentLengthWriter(length)
     return ChunkedWriter() if chunked else Http10Writer()
 
 
 def encode_body_event(writer: BodyWriter, event: h11.Data | h11.EndOfMessage) -> bytes:
-    """Return the bytes of a part of a body; b"" for an end that has none.
+    """Return the encoded bytes of a piece or of the end of a body; may be b"".
 
     Raises:
-        h11.LocalProtocolError: The body is longer or shorter than its length says.
+        h11.LocalProtocolError: The body is longer or shorter than the writer's length.
     """
     parts: list[bytes] = []
     writer(event, parts.append)
@@ -167,22 +169,22 @@
 
 
 def encode_request_head(event: h11.Request) -> bytes:
-    """Return the head of a request; its fields must say how its body is framed."""
+    """Return the encoded head of a request; its headers must define the body's framing."""
     parts: list[bytes] = []
     write_request(event, parts.append)
     return _join_head(parts)
 
 
 def encode_response_head(event: h11.Response | h11.InformationalResponse) -> bytes:
-    """Return the head of an answer; its fields must say how its body is framed."""
+    """Return the encoded head of a response; its headers must define the body's framing."""
     parts: list[bytes] = []
     write_any_response(event, parts.append)
     return _join_head(parts)
 
 
 def _join_head(parts: list[bytes]) -> bytes:
-    """Join the lines of a head; raise `UnsafeHeader` if a value has brought one of its own."""
+    """Join the lines of a head; raise `UnsafeHeader` if a value contains a line break."""
     head = b"".join(parts)
     if head.count(b"\n") != len(parts) or head.count(b"\r") != len(parts):
-        raise UnsafeHeader("A header value holds a line break. Remove it where it is made.")
+        raise UnsafeHeader("A header value contains a line break; remove it where it is created.")
     return head
--- a/sequoiabridge/component.py
+++ b/sequoiabridge/component.py
@@ -1,18 +1,20 @@
-"""What each long-lived part of the daemon offers to operators."""
+"""Base class of the daemon's long-lived components."""
 
 from abc import ABC, abstractmethod
 
 
 class Component(ABC):
-    """A part of the daemon that shows its state in the dump.
+    """A component of the daemon that shows its state in the state dump.
 
-    Hooks:
-        name: Fixed word, the part's key in the dump and its prefix in the logs.
-        dump: Called on the operator's request; returns plain maps, lists, strings and numbers.
+    Attributes:
+        name: The component's key in the dump.
     """
 
     name = "part"
 
     @abstractmethod
     def dump(self) -> dict:
-        """Describe the present state, small enough to be read by a person."""
+        """Return the current state as dictionaries, lists, strings and numbers.
+
+        Called when an operator requests the dump; the result should be short enough to read.
+        """
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -1,9 +1,8 @@
-"""The configuration in force on this VM: learned, applied in order, proposed, spread.
+"""The configuration in force on this VM.
 
-Never an older one: `fleet.currency` refuses to go back, and changes are applied one by one on top
-of the version before. What is accepted is in the table first; the other VMs hear of it from the VM
-that proposed it, and poll the table's head row as a backstop. While the table is down, a VM that
-misses more than the others still hold as changes gets the whole document from one of them.
+Changes are committed to the platform's table, sent to the other VMs and applied there one by one,
+in the order of their versions. Each VM also polls the table, and while the table is unavailable it
+can get the whole document from another VM. `fleet.currency` prevents a return to an older version.
 """
 
 from __future__ import annotations
@@ -39,24 +38,24 @@
 log = get_log("configuration")
 
 POLL_INTERVAL = 2.0
-"""Seconds between two looks at the table's head row."""
+"""Seconds between two polls of the table for a newer version."""
 
 PROPOSE_TIMEOUT = 5.0
-"""Seconds in which a proposal is committed, or its outcome stays open."""
+"""Seconds to wait for the commit of a proposal, and again to find out a result that is unknown."""
 
 CONFIRMATION_TIMEOUT = 1.0
-"""Seconds to wait for other VMs to confirm before the operator is answered."""
+"""Maximum number of seconds to wait for other VMs to confirm a version."""
 
 CONFIRMATION_POLL_INTERVAL = 0.02
-"""Seconds between two looks at who has confirmed."""
+"""Seconds between two checks of the confirmations."""
 
 
 class ConfigurationInForce(ConfigurationGate, Component):
-    """Keeps the document that this VM works by.
+    """Keeps the configuration document that is in force on this VM.
 
     Args:
-        versions: The table's rows of the configuration.
-        fleet: Spreads changes and decides whether this VM is current.
+        versions: Reads and writes the configuration's rows in the table.
+        fleet: Sends changes to other VMs and checks whether this VM is current.
         on_applied: Called with each document that comes into force.
     """
 
@@ -81,7 +80,7 @@
         fleet.exchange_documents(self.provide_document, self.receive_document)
 
     def subscribe(self, timers: Timers) -> None:
-        """Look at the table at once, then every `POLL_INTERVAL` seconds."""
+        """Poll the table immediately, then every `POLL_INTERVAL` seconds."""
         self.timers = timers
         timers.after(0.0, "configuration load", self.poll)
         timers.every(POLL_INTERVAL, "configuration poll", self.poll)
@@ -90,7 +89,7 @@
         return self.in_force
 
     async def poll(self) -> None:
-        """Learn the newest version from the table, and fetch what is missing from there."""
+        """Read the newest version from the table, and apply the changes that are missing."""
         if self.polling:
             return
         self.polling = True
@@ -100,7 +99,7 @@
             self.polling = False
 
     async def at_version(self, version: int) -> Result[Document, SequoiaError]:
-        """Build an older version from the newest snapshot before it and the changes since."""
+        """Rebuild a version from the newest snapshot up to it and the changes since."""
         snapshot = await self.versions.snapshot(version)
         if snapshot.is_error():
             return Error(StoreUnavailable(snapshot.error.message))
@@ -117,7 +116,10 @@
         return Ok(document)
 
     async def propose(self, change: Change, author: str, expect: int) -> Result[int, SequoiaError]:
-        """Commit a change; answered once it is proven and other VMs have it, or a second passed."""
+        """Commit a change and put it in force.
+
+        Returns when the other VMs have confirmed it, or after `CONFIRMATION_TIMEOUT`.
+        """
         encoded = change.encode()
         outcome = await self.versions.propose(expect, encoded, author, PROPOSE_TIMEOUT)
         if isinstance(outcome, Unproven):
@@ -125,7 +127,7 @@
         if not isinstance(outcome, Accepted):
             await self.poll()
             return Error(_proposal_error(outcome))
-        # What was proposed is at hand: the table may be down by now.
+        # Uses the proposed row, since the table may be unavailable by now.
         self._apply(outcome.row)
         await self._fetch_changes(outcome.version)
         await self._wait_for_confirmations(outcome.version)
@@ -136,7 +138,7 @@
         return self.fleet.spread(version)
 
     def apply_received_changes(self) -> None:
-        """Apply the changes heard from other VMs that follow the version in force."""
+        """Apply the changes received from other VMs that follow the version in force."""
         while (item := self.fleet.currency.take()) is not None:
             encoded = change_of(item)
             if not encoded:
@@ -145,22 +147,24 @@
             self._apply(CHANGE_DECODER.decode(encoded))
 
     def provide_document(self) -> tuple[int, bytes]:
-        """Return the version in force and its document, for a VM that asks for all of it."""
+        """Return the version in force and its encoded document, for another VM."""
         return self.in_force.version, self.in_force.encode()
 
     def receive_document(self, version: int, data: bytes) -> None:
-        """Put a document that another VM gave in force, if it is newer, and what follows it."""
+        """Put a document from another VM in force if it is newer, then apply received changes."""
         if version <= self.in_force.version:
             return
         decoded = Document.decode(data)
         if decoded.is_error() or decoded.ok.version != version:
-            log.warning("A VM gave a document %d that can't be used; asking again.", version)
+            log.warning(
+                "invalid document for version %d from another VM; requesting it again", version
+            )
             return
         self._put_in_force(decoded.ok)
         self.apply_received_changes()
 
     def _poll_now(self) -> None:
-        """Read the table now: a change was too large to be spread."""
+        """Poll the table now, for a change that was too large to be sent to other VMs."""
         if self.timers is not None:
             self.timers.after(0.0, "configuration read", self.poll)
 
@@ -188,7 +192,7 @@
         self.fleet.currency.table(version, began)
 
     async def _catch_up(self, version: int) -> None:
-        """Read what is missing from the table: all of it on a new VM, else the changes since."""
+        """Read the whole configuration on a new VM, otherwise the changes that are missing."""
         if self.in_force.version == 0:
             loaded = await self.versions.load()
             if loaded.is_ok():
@@ -201,7 +205,7 @@
             rows = await self.versions.changes_since(self.in_force.version)
             if rows.is_error() or not rows.ok:
                 self.fleet.currency.table_failed()
-                log.warning("Cannot read the changes up to version %d yet.", version)
+                log.warning("cannot read the changes up to version %d", version)
                 return
             for row in rows.ok:
                 self._apply(row)
@@ -226,7 +230,7 @@
         self.in_force = document
         self.applied_at = self.clock.now()
         self.on_applied(document)
-        log.info("Version %d by %s is in force.", document.version, document.author)
+        log.info("version %d by %s is in force", document.version, document.author)
 
     async def _wait_for_confirmations(self, version: int) -> None:
         self.fleet.track(version)
@@ -238,7 +242,7 @@
             await curio.sleep(CONFIRMATION_POLL_INTERVAL)
 
     async def save_snapshot(self, version: int) -> None:
-        """Store the document as of `version`, if one is due and it is still in force."""
+        """Store a snapshot of `version` if one is due and the version is still in force."""
         if self.versions.is_snapshot_due(version) and self.in_force.version == version:
             await self.versions.save_snapshot(version, self.in_force.encode())
 
--- a/sequoiabridge/curio_import.py
+++ b/sequoiabridge/curio_import.py
@@ -1,8 +1,6 @@
-"""Imports curio without asyncio, which it needs only in programs that run both.
+"""Imports curio without asyncio, which curio needs only to interact with asyncio tasks.
 
-curio imports all of asyncio for the few methods that serve asyncio's tasks, which no daemon has. On
-a VM with half a core this is a fifth of the time from the start of a process to its first answer,
-and 1.3 MB of its memory.
+This shortens the start of a daemon and saves memory.
 """
 
 import sys
@@ -12,10 +10,10 @@
 
 
 def import_curio() -> None:
-    """Import curio with an empty module in asyncio's place; whoever imports asyncio later gets it
-    whole.
+    """Import curio with an empty module in place of asyncio.
 
-    Nothing is done where one of the two is imported already.
+    Does nothing if either module is imported already. A later import of asyncio gets the real
+    module.
     """
     if ASYNCIO in sys.modules or "curio" in sys.modules:
         return
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -1,7 +1,7 @@
-"""One daemon: its parts in the order in which they are built, and its run from start to stop.
+"""The daemon: builds its components and runs them from start to stop.
 
-`assembly.call_path` builds what calls go through, `assembly.operators` the admin port;
-`assembly.schedule` has the periodic work and `assembly.stopping` the planned stop.
+`assembly.call_path` builds the components that calls pass through and `assembly.operators` the
+admin port; `assembly.schedule` has the periodic work and `assembly.stopping` the planned stop.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Daemon:
-    """One daemon: built from its settings, run once."""
+    """A daemon, built from its settings and run once."""
 
     def __init__(self, settings: Settings, clock: Clock | None = None):
         self.settings = settings
@@ -65,7 +65,7 @@
         self.stop_requested = curio.UniversalEvent()
 
     def components(self) -> list[Component]:
-        """Return what the state dump shows."""
+        """Return the components that the state dump shows."""
         return [
             self.callers,
             self.services,
@@ -84,10 +84,10 @@
         ]
 
     async def run(self) -> int:
-        """Serve until SIGTERM or SIGINT, then stop in order; return the exit code."""
+        """Serve until SIGTERM or SIGINT, then stop gracefully; return the exit code."""
         self._install_signal_handlers()
         await self._start()
-        log.info("VM %s serves callers on %s.", self.vm, self.callers.address)
+        log.info("VM %s accepts callers on %s", self.vm, self.callers.address)
         await self.stop_requested.wait()
         await self._stop()
         return 0
@@ -107,7 +107,7 @@
         )
 
     def _build_store(self) -> None:
-        """Build the platform's services; tests put others in place of these three classes."""
+        """Build the clients of the platform's services; tests override this."""
         platform = self.settings.platform
         self.vm_list = PlatformVmList(platform.list, self.clock)
         self.store = StoreClient(
@@ -129,11 +129,11 @@
         self.readiness = DaemonReadiness(lambda: self.fleet.currency.why(self.clock.now()))
 
     def _apply(self, document: Document) -> None:
-        """Work by a document that has come into force."""
+        """Apply a document that has come into force."""
         self.services.update(document)
 
     async def _start(self) -> None:
-        """Listen first on what others depend on, on the callers' port last."""
+        """Start all components; the callers' port is opened last."""
         await self.admin.bind()
         await curio.spawn(self.admin.run(), daemon=True)
         await self.fleet.start()
@@ -141,7 +141,7 @@
         await curio.spawn(self.timers.run(), daemon=True)
         self.callers.bind(self.settings.callers.address)
         self.server = await curio.spawn(self.callers.serve(), daemon=True)
-        # What was made at the start stays; the collector need not go through it again and again.
+        # Objects created so far live as long as the process; exclude them from garbage collection.
         gc.collect()
         gc.freeze()
 
--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -1,7 +1,4 @@
-"""Metrics that the daemon's parts count for themselves, read at the time of a scrape.
-
-Nothing is added on the request path for them. docs/operators/metrics.md has each with what to do.
-"""
+"""Declares the metrics whose values the daemon's components keep, read at each scrape."""
 
 from __future__ import annotations
 
@@ -25,7 +22,7 @@
 
 
 def declare_call_metrics(metrics: Metrics, services: Services, callers: CallerServer) -> None:
-    """Show queues, calls in flight, ejections and callers' connections."""
+    """Declare the metrics of queues, calls in flight, ejections and callers' connections."""
 
     def per_service(read: Callable[[ServiceState], float]) -> Callable[[], Samples]:
         return lambda: [((state.service.name,), read(state)) for state in services.states()]
@@ -59,7 +56,7 @@
     configuration: ConfigurationInForce,
     readiness: DaemonReadiness,
 ) -> None:
-    """Show readiness, the version in force, the live VMs and the bytes between VMs."""
+    """Declare the metrics of readiness, the configuration and the messages between VMs."""
     metrics.gauge("sequoia_ready", "1 if callers may be sent here.", lambda: readiness.check()[0])
     metrics.gauge(
         "sequoia_configuration_version",
@@ -83,7 +80,7 @@
 
 
 def declare_store_metrics(metrics: Metrics, store: StoreClient, claims: Claims) -> None:
-    """Show what became of calls to the platform, and of claims."""
+    """Declare the metrics of calls to the platform's store, and of claims."""
     metrics.gauge("sequoia_store_down", "1 while no call goes out.", lambda: store.is_down)
     metrics.counter(
         "sequoia_store_outages", "Outages noticed.", lambda: store.admission.breaker.outage_count
@@ -108,7 +105,7 @@
 
 
 def declare_upload_metrics(metrics: Metrics, uploads: Uploads, deliveries: UploadDeliverer) -> None:
-    """Show what became of requests to uploads, and of deliveries."""
+    """Declare the metrics of uploads and their deliveries."""
     metrics.counter(
         "sequoia_uploads",
         "Requests to uploads by how they ended.",
--- a/sequoiabridge/exceptions.py
+++ b/sequoiabridge/exceptions.py
@@ -1,33 +1,33 @@
-"""Error kinds of the project; each message says what is wrong and what to do about it."""
+"""Exceptions of the project; each message says what is wrong and what to do about it."""
 
 from .outcome import Outcome, Reason
 
 
 class SequoiaError(Exception):
-    """Base of all errors that the project raises on purpose.
+    """Base class of the project's exceptions.
 
-    The command line prints the message as one sentence and exits with `exit_code`.
+    The command line tool prints the message and exits with `exit_code`.
     """
 
     exit_code = 1
 
 
 class ConfigurationError(SequoiaError):
-    """A settings file or a fleet configuration is not valid."""
+    """A settings file or a fleet configuration is invalid."""
 
     exit_code = 2
 
 
 class ConflictError(SequoiaError):
-    """Another operator's change came first; the message names the newer version and its author."""
+    """Another operator's change was accepted first; the message names its version and author."""
 
     exit_code = 3
 
 
 class StoreUnavailable(SequoiaError):
-    """The platform's service gave no answer in time; nothing is known to have been written.
+    """The platform's store did not answer in time; whether anything was written is unknown.
 
-    `sent` is false only if no byte of the call has left, which is proof that nothing was written.
+    `sent` is false only if no byte of the request was sent, so that nothing was written.
     """
 
     exit_code = 4
@@ -38,22 +38,22 @@
 
 
 class StoreRefused(StoreUnavailable):
-    """The platform's service answered that it is too busy or away; nothing was done."""
+    """The platform's store answered that it is overloaded or unavailable; nothing was written."""
 
 
 class ConditionFailed(StoreRefused):
-    """A condition of a transaction did not hold; nothing was written."""
+    """A condition of a transaction was not met; nothing was written."""
 
 
 class HistoryLost(StoreRefused):
-    """The platform's service no longer knows what changed since; all rows must be read."""
+    """The platform's store no longer has the requested changes; all rows must be read again."""
 
 
 class BadEntry(SequoiaError):
-    """Something that another writer wrote cannot be used; it names nothing to work with.
+    """Data from another process, such as a row or a message, is invalid.
 
     Attributes:
-        key: Key of the row that it stands in, "" if it is in none.
+        key: Key of the row that contains the data; "" if there is none.
     """
 
     def __init__(self, message: str, key: str = ""):
@@ -62,20 +62,20 @@
 
 
 class AdminError(SequoiaError):
-    """A daemon's admin port refused a command or could not be reached."""
+    """A daemon's admin port rejected a command or could not be reached."""
 
     exit_code = 5
 
 
 class CallerGone(SequoiaError):
-    """The caller closed its connection before its request or its answer was complete."""
+    """The caller closed its connection before the request or the response was complete."""
 
 
 class UpstreamFailed(SequoiaError):
     """An attempt at an upstream failed.
 
-    `sent` is true if a byte of the request may have reached the upstream, and then only the
-    upstream's own word can prove that the request did not run.
+    `sent` is true if a byte of the request may have reached the upstream. Then only the upstream
+    can prove that the request did not run.
     """
 
     def __init__(self, message: str, *, sent: bool, timed_out: bool = False):
@@ -85,21 +85,21 @@
 
 
 class NoFreeConnection(UpstreamFailed):
-    """All connections that this VM may have to an upstream are in use; it is not at fault."""
+    """This VM's share of connections to an upstream is in use; the upstream has not failed."""
 
 
 class Refusal(SequoiaError):
-    """A final answer that the daemon makes itself.
+    """A final response that the daemon generates itself.
 
     Args:
         status: HTTP status code.
-        outcome: `NOT_RUN` only when proven; see `Outcome`.
-        reason: Fixed word for metrics, the journal and the `Sequoia-Reason` header.
-        message: One sentence for the caller that names the remedy.
-        retry_after: Seconds after which a new try makes sense, or None.
+        outcome: Whether the request ran; `NOT_RUN` only if that is proven.
+        reason: Reason for metrics, the journal and the `Sequoia-Reason` header.
+        message: Sentence for the caller that includes the remedy.
+        retry_after: Seconds after which the caller may retry, or None.
 
     Attributes:
-        request_id: The request's id if it has one already, set by the pipeline.
+        request_id: The id of the request, or None; set by the pipeline.
     """
 
     def __init__(
--- a/sequoiabridge/exposition.py
+++ b/sequoiabridge/exposition.py
@@ -1,7 +1,7 @@
-"""Prometheus' text format, made in small pieces so that a scrape does not hold up calls.
+"""Renders metrics in Prometheus' text format without blocking other tasks for long.
 
-prometheus_client formats; this module cuts large metric families into pieces and lets other
-tasks run between two of them. docs/design/admin.md has the figures.
+Large metric families are split into pieces, which prometheus_client formats one at a time; other
+tasks run between them.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 
 MAX_PIECE_SAMPLES = 100
-"""Samples that are formatted before other tasks may run."""
+"""Maximum number of samples that are formatted before other tasks may run."""
 
 HEADER_LINES = 2
-"""`# HELP` and `# TYPE`, which may stand only once for each family."""
+"""Number of header lines (`# HELP` and `# TYPE`), which a family may have only once."""
 
 Samples = Iterable[tuple[Sequence[str], float]]
-"""Label values and the value that belongs to them."""
+"""Label values of each sample with its value."""
 
 SimpleFamily = type[GaugeMetricFamily] | type[CounterMetricFamily]
 
 
 class SingleMetricRegistry:
-    """What `generate_latest` takes for a registry, holding one piece of a family."""
+    """A registry for `generate_latest` that holds a single metric."""
 
     __slots__ = ("metric",)
 
@@ -34,14 +34,14 @@
         self.metric = metric
 
     def collect(self) -> Iterator[Metric]:
-        """Return the piece."""
+        """Return the metric."""
         return iter((self.metric,))
 
 
 def split_family(
     kind: SimpleFamily, name: str, help_text: str, labels: Sequence[str], samples: Samples
 ) -> Iterator[Metric]:
-    """Yield a metric family in pieces, one even if there are no samples."""
+    """Yield a metric family in pieces; at least one, even without samples."""
     rest = iter(samples)
     while True:
         piece = kind(name, help_text, labels=labels)
@@ -53,7 +53,7 @@
 
 
 def cumulative_buckets(names: Sequence[str], buckets: Sequence[int]) -> list[tuple[str, float]]:
-    """Return a histogram's buckets as Prometheus wants them: each with all below it."""
+    """Return the cumulative buckets of a histogram, as Prometheus expects them."""
     total = 0
     result = []
     for name, number in zip(names, buckets, strict=True):
@@ -63,7 +63,7 @@
 
 
 async def render(registry: CollectorRegistry) -> bytes:
-    """Return all families of a registry as text; pieces of one family follow each other."""
+    """Return all families of a registry as text; pieces of a family must be consecutive."""
     texts: list[bytes] = []
     last = ""
     for metric in registry.collect():
--- a/sequoiabridge/formatting.py
+++ b/sequoiabridge/formatting.py
@@ -1,15 +1,15 @@
-"""Small helps for sentences that people read."""
+"""Formats counts and errors for messages that people read."""
 
 import os
 
 
 def format_count(number: int, noun: str) -> str:
-    """Return a number with its noun, such as `1 VM` or `2 VMs`."""
+    """Return a number with its noun in the singular or plural, such as `1 VM` or `2 VMs`."""
     return f"{number} {noun}" if number == 1 else f"{number} {noun}s"
 
 
 def describe_error(error: Exception) -> str:
-    """Return an error of the network in a few words, such as `Connection refused`."""
+    """Return a short description of a network error, such as `Connection refused`."""
     number = getattr(error, "errno", None)
     if number is not None and number > 0:
         return os.strerror(number)
--- a/sequoiabridge/header_cache.py
+++ b/sequoiabridge/header_cache.py
@@ -1,7 +1,7 @@
-"""Header lines as h11 reads them, remembered: most lines of a head have come before.
+"""Caches header lines that h11 has parsed, since most lines repeat from message to message.
 
-What h11 says of one line depends on nothing but its bytes. So a line that it has read is looked up
-the next time, and only new ones are given to its expressions; see docs/design/hop-latency.md.
+The result of parsing a line depends only on its bytes. Heads with folded lines, or with several
+headers in `FRAMING_FIELDS`, are parsed by h11 as a whole.
 """
 
 from collections.abc import Iterator
@@ -12,20 +12,20 @@
 from .header_fields import CONTENT_LENGTH, TRANSFER_ENCODING, Headers
 
 MAX_CACHED_LINE_BYTES = 256
-"""Bytes of a line that is worth remembering."""
+"""Maximum size of a cached line."""
 MAX_LINES = 2048
-"""Lines of one generation; two are kept, so that lines that come once push nothing out for long."""
+"""Maximum number of lines in each of the two generations of the cache."""
 FRAMING_FIELDS = frozenset({CONTENT_LENGTH, TRANSFER_ENCODING})
-"""Fields that h11 also judges together, so that two of them need a look of its own."""
+"""Headers that h11 also checks against each other if a head has more than one of them."""
 SENSITIVE = frozenset({b"authorization", b"proxy-authorization", b"cookie", b"set-cookie"})
-"""Fields whose values are not kept longer than their call."""
+"""Headers that are never cached because their values are secrets."""
 
 ParsedField = tuple[bytes, bytes, bytes]
-"""Name as it came, name in lower case, value."""
+"""Name as received, name in lower case, value."""
 
 
 class ParsedHeaders(Headers):
-    """Header fields that came from h11's parser; quicker to go through than h11's own class."""
+    """Header fields from h11's parser; faster to iterate than h11's own class."""
 
     __slots__ = ()
 
@@ -34,7 +34,11 @@
 
 
 class HeaderCache:
-    """What h11 made of the header lines that came lately; bounded."""
+    """Bounded cache of parsed header lines.
+
+    When `recent` is full it becomes `previous`, and the lines of the former `previous` that have
+    not been used since are dropped.
+    """
 
     __slots__ = ("recent", "previous")
 
@@ -43,10 +47,10 @@
         self.previous: dict[bytes, ParsedField] = {}
 
     def parse(self, lines: list[bytearray]) -> Headers:
-        """Return the header fields of a head's lines, without its first line.
+        """Return the header fields of a head's lines, given without the first line.
 
         Raises:
-            h11.LocalProtocolError: They are malformed.
+            h11.LocalProtocolError: The lines are malformed.
         """
         items, framing_count, recent = [], 0, self.recent
         for line in map(bytes, lines):
@@ -61,19 +65,19 @@
         return parse_lines(lines) if framing_count > 1 else ParsedHeaders(items)
 
     def _lookup(self, line: bytes) -> ParsedField:
-        """Return a line that is not young: remembered from the last generation, or read anew."""
+        """Return the field of a line that is not in `recent`, parsing it if necessary."""
         item = self.previous.get(line)
         if item is None:
             item = parse_lines([line])._full_items[0]
         if len(line) > MAX_CACHED_LINE_BYTES or item[1] in SENSITIVE:
             return item
         if len(self.recent) >= MAX_LINES:
-            # `headers` holds on to the full one until its head is read, which does no harm.
+            # A running `parse` goes on with the full dictionary, which stays valid.
             self.recent, self.previous = {}, self.recent
         self.recent[line] = item
         return item
 
 
 def parse_lines(lines: list[bytearray] | list[bytes]) -> Headers:
-    """Return the header fields as h11 reads them, folded lines joined."""
+    """Parse header lines with h11, joining folded lines."""
     return normalize_and_validate(list(_decode_header_lines(lines)), _parsed=True)
--- a/sequoiabridge/header_fields.py
+++ b/sequoiabridge/header_fields.py
@@ -1,4 +1,4 @@
-"""Header fields on their way through the daemon, and what they say of the connection."""
+"""Header fields of requests and responses, and what they say about the framing of the message."""
 
 import re
 
@@ -14,25 +14,26 @@
 HTTP_11 = b"1.1"
 
 PER_CONNECTION_FIELDS = HOP_BY_HOP | {CONTENT_LENGTH}
-"""Fields that each side writes anew for its own connection."""
+"""Headers that apply to one connection and are not passed on."""
 
 BODILESS_STATUSES = frozenset({204, 304})
-"""Statuses of answers that never have a body, whatever their fields say."""
+"""Status codes of responses that never have a body, whatever their headers say."""
 
 KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(rb"timeout=(\d{1,6})")
-"""The part of a Keep-Alive field that says how many seconds an idle connection is kept."""
+"""The timeout parameter of a Keep-Alive header: seconds that an idle connection is kept open."""
 
 STANDARD_OPTIONS = frozenset({b"close", b"keep-alive", b""})
+"""Options of a Connection header that do not name another header."""
 
 Headers = type(h11.EndOfMessage().headers)
-"""h11's class of checked header fields; it has no public name."""
+"""h11's class of header fields, which has no public name."""
 
 
 class ValidatedHeaders(Headers):
-    """Header fields known to be well formed, names in lower case, in the form that h11 takes.
+    """Header fields that h11 writes without validating them again.
 
-    h11 checks each field of a plain list by regular expressions. Fields that a parser has passed
-    already, or that the daemon wrote itself, need not be checked again.
+    For fields that a parser has checked already or that the daemon has created. Names are in lower
+    case.
     """
 
     __slots__ = ("pairs",)
@@ -46,15 +47,15 @@
 
 
 class MessageHead:
-    """The fields of a received head that go on, and its framing.
+    """The header fields and the framing of a received message.
 
     Attributes:
-        pairs: The fields that go on, names in lower case.
-        length: The Content-Length as sent, or None.
+        pairs: The headers to pass on, names in lower case.
+        length: The Content-Length, or None.
         chunked: True if the body is chunked; with a length too, the framing is ambiguous.
-        keeps_alive: True if the sender means to go on with the connection.
+        keeps_alive: True if the sender keeps the connection open after this message.
         keep_alive_timeout: Seconds until the sender closes an idle connection, or None.
-        expects_continue: True if the sender waits for 100 (Continue) before its body.
+        expects_continue: True if the sender waits for 100 (Continue) before sending the body.
     """
 
     __slots__ = (
--- a/sequoiabridge/logs.py
+++ b/sequoiabridge/logs.py
@@ -1,33 +1,33 @@
-"""Logs: short sentences with a fixed prefix for each part, shown by absl.
+"""Loggers of the daemon's components, and their output through absl.
 
-absl itself is imported only by `set_up`: a process that writes its logs in another form (see
-`relay.journal`) then does without its 2.6 MB.
+absl is imported only by `configure_logging`, so that processes which log in another way do not
+load it.
 """
 
 import logging
 
 ROOT_LOGGER = "sequoiabridge"
-"""Name of the logger above those of all parts."""
+"""Name of the parent of all loggers."""
 
 
 class PrefixAdapter(logging.LoggerAdapter):
-    """Puts a part's fixed prefix before each message."""
+    """Prefixes each message with the name of its component."""
 
     def process(self, msg, kwargs):
         return f"{self.extra['prefix']}: {msg}", kwargs
 
 
 def get_log(part: str) -> PrefixAdapter:
-    """Return the log of one part; each module keeps its own as `log`."""
+    """Return the logger of a component; modules keep it as `log`."""
     return PrefixAdapter(logging.getLogger(f"{ROOT_LOGGER}.{part}"), {"prefix": part})
 
 
 def configure_logging(level: str) -> None:
-    """Send logs of `level` ("debug", "info", "warning", "error") and above to standard error."""
+    """Log messages of `level` ("debug", "info", "warning", "error") and above to standard error."""
     from absl import flags
     from absl import logging as absl_logging
 
-    flags.FLAGS.mark_as_parsed()  # The command line is defopt's; absl would warn that it is not.
+    flags.FLAGS.mark_as_parsed()  # Avoids a warning: absl does not parse the command line here.
     absl_logging.use_absl_handler()
     absl_logging.set_verbosity(level)
     logging.getLogger(ROOT_LOGGER).setLevel(level.upper())
@@ -35,5 +35,5 @@
 
 
 def silence_curio_timeouts() -> None:
-    """Silence curio's warning of waits that ended just after their timeout: no news under load."""
+    """Silence curio's warnings about operations that completed just after their timeout."""
     logging.getLogger("curio.time").setLevel(logging.ERROR)
--- a/sequoiabridge/metrics.py
+++ b/sequoiabridge/metrics.py
@@ -1,8 +1,7 @@
-"""Metrics of one daemon, exposed by prometheus_client.
+"""Metrics of one daemon, exposed through prometheus_client.
 
-The request path adds to plain integers; `Metrics` is a custom collector that turns them into
-metric families when somebody scrapes. docs/design/admin.md has the figures behind that choice.
-All methods are for the daemon's one thread and take no locks.
+The request path only increments plain numbers; `Metrics` is a custom collector that converts them
+to metric families at each scrape. It takes no locks: all methods are called from one thread.
 """
 
 from __future__ import annotations
@@ -39,11 +38,11 @@
 CALL_LABELS = ("service", "kind")
 
 COST_UNIT_CALLS = 1000
-"""The cost of measuring is given per so many calls."""
+"""Number of calls to which the cost of measuring load is related."""
 
 
 class CallSeries:
-    """Counts of one service and kind; `buckets` are not cumulative."""
+    """Counts of the calls of one service and kind; `buckets` are not cumulative."""
 
     __slots__ = ("statuses", "buckets", "seconds", "in_window", "late")
 
@@ -56,11 +55,11 @@
 
 
 Calls = list[tuple[tuple[str, str], CallSeries]]
-"""All series of calls, each with its service and kind."""
+"""Series of calls, each with its service and kind."""
 
 
 class Counter:
-    """A counter with labels; `add` costs one dictionary update."""
+    """A counter with labels."""
 
     __slots__ = ("name", "help", "labels", "values")
 
@@ -71,11 +70,11 @@
         self.values: defaultdict[tuple[str, ...], float] = defaultdict(int)
 
     def add(self, *label_values: str, by: float = 1) -> None:
-        """Add `by` to the series of these label values, given in the order of `labels`."""
+        """Add `by` to the series with these label values, in the order of `labels`."""
         self.values[label_values] += by
 
     def total(self, first: str, second: str | None = None) -> float:
-        """Return the sum over all series with these first label values; None stands for any."""
+        """Return the sum of all series with these first two label values; None matches any."""
         return sum(
             value
             for labels, value in self.values.items()
@@ -83,12 +82,12 @@
         )
 
     def samples(self) -> Samples:
-        """Return all series."""
+        """Return the label values and the value of each series."""
         return list(self.values.items())
 
 
 class CallbackMetric:
-    """Values that another part gives when somebody scrapes."""
+    """A metric whose values a callback returns at each scrape."""
 
     __slots__ = ("family", "name", "help", "labels", "read")
 
@@ -107,13 +106,13 @@
         self.read = read
 
     def samples(self) -> Samples:
-        """Ask the part; a value without labels is one sample."""
+        """Return the current samples; a plain number is a sample without labels."""
         value = self.read()
         return [((), value)] if isinstance(value, int | float) else value
 
 
 class Metrics(Component):
-    """All metrics of one daemon, in a registry of their own."""
+    """All metrics of one daemon, in a registry of its own."""
 
     name = "metrics"
 
@@ -130,7 +129,7 @@
     def record_call(
         self, service: str, kind: str, status: int, seconds: float, in_window: bool
     ) -> None:
-        """Count one call; the only method that every call pays for."""
+        """Count a call; `in_window` is true if it was answered before its deadline."""
         series = self.calls.get((service, kind))
         if series is None:
             series = self.calls[service, kind] = CallSeries()
@@ -144,16 +143,16 @@
             series.late += 1
 
     def record_refusal(self, service: str, reason: Reason, outcome: Outcome) -> None:
-        """Count one answer that the daemon made itself."""
+        """Count a response that the daemon generated itself."""
         self.refusals.add(service, reason.value, outcome.value)
 
     def record_measurement(
         self, service: str, source: str, sent_bytes: int, upstream_seconds: float
     ) -> None:
-        """Count one measurement of an upstream's load and what it cost.
+        """Count a load report of an upstream and its cost.
 
-        `source` says what measured, such as `probe`; `upstream_seconds` is the time that the
-        upstream spent on it, as far as that can be seen from here.
+        `source` is the origin of the report, such as `probe`; `upstream_seconds` is an estimate of
+        the time that the upstream spent on it.
         """
         self.measurements.add(service, source)
         self.measuring_bytes.add(service, source, by=sent_bytes)
@@ -166,7 +165,7 @@
         read: Callable[[], Samples | float],
         labels: tuple[str, ...] = (),
     ) -> None:
-        """Show what `read` returns at the time of each scrape."""
+        """Add a gauge with the value or the samples that `read` returns at each scrape."""
         self.callback_metrics.append(
             CallbackMetric(GaugeMetricFamily, name, help_text, labels, read)
         )
@@ -178,17 +177,17 @@
         read: Callable[[], Samples | float],
         labels: tuple[str, ...] = (),
     ) -> None:
-        """Show a counter that another part keeps; `name` without `_total`."""
+        """Add a counter that another component keeps; `name` is without `_total`."""
         self.callback_metrics.append(
             CallbackMetric(CounterMetricFamily, name, help_text, labels, read)
         )
 
     async def text(self) -> bytes:
-        """Return everything in Prometheus' text format; other tasks run in between."""
+        """Return all metrics in Prometheus' text format; other tasks run in between."""
         return await render(self.registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Build the metric families in pieces; called by the registry for each scrape."""
+        """Yield the metric families in pieces; called by the registry at each scrape."""
         yield from self._call_families()
         for counter in self.counters:
             yield from split_family(
@@ -199,7 +198,7 @@
             yield from self._collect_callback(metric)
 
     def dump(self) -> dict:
-        """Describe the calls for the state dump; everything else is on the metrics page."""
+        """Return a summary of the calls for the state dump."""
         return {
             f"{service}/{kind}": {
                 "calls": sum(series.statuses),
@@ -238,9 +237,9 @@
                 metric.family, metric.name, metric.help, metric.labels, metric.samples()
             )
         except Exception as error:
-            # One part's failure must not hide the metrics of all others.
+            # A component that fails must not hide the metrics of the others.
             if (metric.name,) not in self.failures.values:
-                log.warning("could not read %s: %s", metric.name, error)
+                log.warning("cannot read metric %s: %s", metric.name, error)
             self.failures.add(metric.name)
 
     def _call_families(self) -> Iterator[Metric]:
--- a/sequoiabridge/outcome.py
+++ b/sequoiabridge/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told about a request that got no upstream's answer."""
+"""Outcome and reason in the responses that the daemon generates itself."""
 
 from enum import Enum
 
@@ -6,8 +6,8 @@
 class Outcome(Enum):
     """Whether the request ran.
 
-    `NOT_RUN` is a promise: no byte left for any upstream, or each upstream that got one said
-    by its agreed signal that it did not run the request. Everything else is `UNKNOWN`.
+    `NOT_RUN` is a guarantee: no byte was sent to an upstream, or each upstream that received one
+    has reported that it did not run the request. Every other case is `UNKNOWN`.
     """
 
     NOT_RUN = "not-run"
@@ -15,7 +15,7 @@
 
 
 class Reason(Enum):
-    """Why the daemon answered by itself; the value of the `Sequoia-Reason` header."""
+    """Why the daemon generated the response; value of the `Sequoia-Reason` header."""
 
     BAD_REQUEST = "bad-request"
     HEAD_TOO_LARGE = "head-too-large"
--- a/sequoiabridge/readiness.py
+++ b/sequoiabridge/readiness.py
@@ -1,4 +1,4 @@
-"""Whether the platform's balancer should send callers to this VM, and why not."""
+"""Whether the platform's load balancer should send callers to this VM, and why not."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class DaemonReadiness(Readiness):
-    """Ready while the configuration is known to be current and no stop has begun.
+    """Ready while the configuration is current and no planned stop has begun.
 
     Args:
-        why_not_current: Returns one sentence, or "" if the configuration is current.
+        why_not_current: Returns why the configuration is not current, as a sentence, or "".
     """
 
     def __init__(self, why_not_current: Callable[[], str]):
@@ -21,7 +21,7 @@
         self.stopping = False
 
     def why_not_serving(self) -> str:
-        """Return why calls are refused, or ""; during a planned stop they are still served."""
+        """Return why calls are refused, or ""; a planned stop is no reason."""
         return self.why_not_current()
 
     def check(self) -> tuple[bool, str]:
--- a/sequoiabridge/selector.py
+++ b/sequoiabridge/selector.py
@@ -1,9 +1,8 @@
-"""A selector for curio's kernel that leaves sockets registered between two waits.
+"""A selector for curio's kernel that leaves sockets registered with epoll between waits.
 
-A relayed call waits on two sockets in turn. curio's kernel unregisters the one and registers the
-other each time, two system calls and a good deal of Python for each wait. This selector only marks
-a socket as not waited for, and takes it off the epoll descriptor when it has an event
-that nobody waits for. Pass it as `curio.run(main, selector=LazySelector())`.
+curio's kernel unregisters a socket after each wait, which costs system calls. This selector keeps
+the registration and removes it only when an event arrives for which no task waits. Pass it as
+`curio.run(main, selector=LazySelector())`.
 """
 
 import select
@@ -19,9 +18,9 @@
 
 
 class Descriptor:
-    """Stands for one open file at the selector; unlike a number it is never used again.
+    """Identifies an open file; unlike its number, it is never reused for another file.
 
-    It must be the same object for all waits on a file, and a new one for each file.
+    All waits on a file must use the same object, and each file needs an object of its own.
     """
 
     __slots__ = ("number",)
@@ -35,7 +34,7 @@
 
 
 class Key:
-    """A file that is waited for; curio reads these attributes."""
+    """A file for which a task waits; curio reads these attributes."""
 
     __slots__ = ("fileobj", "events", "data")
 
@@ -49,9 +48,9 @@
     """The part of `selectors.EpollSelector` that curio's kernel uses.
 
     Attributes:
-        keys: What is waited for, by file descriptor.
-        kept: File object and events on the epoll descriptor, by file descriptor. An object other
-            than the kept one means that the descriptor was closed and given out again.
+        keys: Files for which tasks wait, by file descriptor.
+        registered: File object and events registered with epoll, by file descriptor. Another
+            object for the same descriptor means that the descriptor was closed and reused.
     """
 
     def __init__(self):
@@ -60,7 +59,7 @@
         self.registered: dict[int, tuple[object, int]] = {}
 
     def register(self, fileobj: object, events: int, data: object = None) -> Key:
-        """Wait for `events` on `fileobj`, a descriptor or an object with `fileno`."""
+        """Wait for `events` on `fileobj`, a file descriptor or an object with `fileno`."""
         fd = _descriptor_of(fileobj)
         registered = self.registered.get(fd)
         if registered is None or registered[0] is not fileobj or registered[1] != events:
@@ -69,7 +68,7 @@
         return key
 
     def unregister(self, fileobj: object) -> Key:
-        """Wait for `fileobj` no more."""
+        """Stop waiting for `fileobj`."""
         key = self.keys.pop(_descriptor_of(fileobj))
         if isinstance(fileobj, int):
             self._remove_from_epoll(fileobj)
@@ -80,11 +79,11 @@
         return self.register(fileobj, events, data)
 
     def get_key(self, fileobj: object) -> Key:
-        """Return the key of `fileobj`, or raise `KeyError` if it is not waited for."""
+        """Return the key of `fileobj`; raise `KeyError` if no task waits for it."""
         return self.keys[_descriptor_of(fileobj)]
 
     def select(self, timeout: float | None = None) -> list[tuple[Key, int]]:
-        """Return the keys that have events, with these, after at most `timeout` seconds."""
+        """Return keys with their events, after at most `timeout` seconds."""
         try:
             events = self.epoll.poll(timeout, max(len(self.registered), 1))
         except InterruptedError:
@@ -124,7 +123,7 @@
         try:
             self.epoll.unregister(fd)
         except OSError:
-            # It was closed, and epoll forgot it by itself.
+            # The file was closed, which removed it from epoll.
             return
 
 
--- a/sequoiabridge/timers.py
+++ b/sequoiabridge/timers.py
@@ -1,6 +1,6 @@
-"""One timer service: parts subscribe to it and it calls them when their time has come.
+"""Timer service: components subscribe callbacks that it calls once or periodically.
 
-The clock is injected, so that tests move time by hand. Times are seconds on a monotonic clock.
+Times are seconds on a monotonic clock, which is injected so that tests can control it.
 """
 
 import heapq
@@ -18,7 +18,7 @@
 Callback = Callable[[], Coroutine | None]
 
 MAX_WAIT_SECONDS = 3600.0
-"""Seconds to sleep when nothing is subscribed."""
+"""Maximum number of seconds that the timer service sleeps at a time."""
 
 
 class Clock(ABC):
@@ -26,22 +26,22 @@
 
     @abstractmethod
     def now(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return seconds on a monotonic clock."""
 
     @abstractmethod
     def wall(self) -> float:
-        """Return seconds since 1970 in UTC, for logs, records and people."""
+        """Return the Unix time in seconds, for logs and stored records."""
 
 
 class SystemClock(Clock):
-    """The clocks of this VM; a call reads them some twenty times, so nothing is put around them."""
+    """The clocks of this VM, without a wrapper since they are read often."""
 
     now = staticmethod(time.monotonic)
     wall = staticmethod(time.time)
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to; for tests and policy benchmarks."""
+    """A clock that moves only by `advance`; for tests and policy benchmarks."""
 
     __slots__ = ("time", "offset")
 
@@ -61,7 +61,7 @@
 
 
 class Subscription:
-    """One entry of the timer service; `cancel` ends it."""
+    """A callback subscribed to the timer service."""
 
     __slots__ = ("name", "due_at", "interval", "callback", "cancelled")
 
@@ -73,15 +73,15 @@
         self.cancelled = False
 
     def cancel(self) -> None:
-        """Never call the callback again."""
+        """Stop calling the callback."""
         self.cancelled = True
 
 
 class OnDemandTimer:
-    """Calls a callback each `interval` seconds, but only while there is something to do.
+    """Calls a callback every `interval` seconds, but only while there is work.
 
-    Whoever makes work calls `wake`, which is cheap while awake. Once `needed` says that nothing
-    is left, the subscription ends, so that an idle process is not woken for nothing.
+    `wake` starts the periodic calls and must be called whenever work is added. The calls end when
+    `needed` returns false, so that an idle process is not woken.
     """
 
     __slots__ = ("timers", "interval", "name", "callback", "needed", "subscription")
@@ -102,7 +102,7 @@
         self.subscription: Subscription | None = None
 
     def wake(self) -> None:
-        """Call the callback from now on, unless that is so already."""
+        """Start the periodic calls, unless they are running."""
         if self.subscription is None:
             self.subscription = self.timers.every(self.interval, self.name, self._run_if_needed)
 
@@ -117,8 +117,8 @@
 class Timers:
     """The timer service.
 
-    Callbacks are plain functions, called one after the other. A callback that returns a
-    coroutine has it run as a task of its own by `run`; `run_due` alone returns such coroutines.
+    Callbacks are plain functions, called one after the other. If a callback returns a coroutine,
+    `run` spawns it as a task.
     """
 
     def __init__(self, clock: Clock):
@@ -129,7 +129,7 @@
         self.wake_at = 0.0
 
     def every(self, interval: float, name: str, callback: Callback) -> Subscription:
-        """Call `callback` each `interval` seconds, first after one interval."""
+        """Call `callback` every `interval` seconds, first after one interval."""
         due_at = self.clock.now() + interval
         return self._add(Subscription(name, due_at, interval, callback))
 
@@ -138,7 +138,7 @@
         return self._add(Subscription(name, self.clock.now() + delay, None, callback))
 
     def run_due(self) -> list[Coroutine]:
-        """Call all callbacks whose time has come and return the coroutines they gave back."""
+        """Call all callbacks that are due and return the coroutines that they returned."""
         now = self.clock.now()
         started: list[Coroutine] = []
         while self.heap and self.heap[0][0] <= now:
@@ -149,21 +149,21 @@
             try:
                 result = subscription.callback()
             except Exception:
-                # One part's fault must not end the timers of all others.
-                log.exception("%s failed; it is called again when due.", subscription.name)
+                # A component that fails must not stop the timers of the others.
+                log.exception("timer callback %r failed", subscription.name)
                 continue
             if result is not None:
                 started.append(result)
         return started
 
     def next_due(self) -> float:
-        """Return the seconds until the next callback, at most `IDLE_WAIT`."""
+        """Return the seconds until the next callback, at most `MAX_WAIT_SECONDS`."""
         if not self.heap:
             return MAX_WAIT_SECONDS
         return max(0.0, min(MAX_WAIT_SECONDS, self.heap[0][0] - self.clock.now()))
 
     async def run(self) -> None:
-        """Serve subscriptions until cancelled; the daemon runs this as one task."""
+        """Call the callbacks when they are due, until cancelled."""
         while True:
             for coroutine in self.run_due():
                 await curio.spawn(coroutine, daemon=True)
@@ -174,7 +174,7 @@
             self.changed.clear()
 
     def dump(self) -> list[dict]:
-        """Describe the subscriptions for the state dump."""
+        """Return the subscriptions for the state dump."""
         now = self.clock.now()
         live = [entry[2] for entry in sorted(self.heap) if not entry[2].cancelled]
         return [{"name": s.name, "due_s": round(s.due_at - now, 3)} for s in live]
@@ -182,7 +182,7 @@
     def _reschedule(self, subscription: Subscription, now: float) -> None:
         if subscription.interval is None or subscription.cancelled:
             return
-        # After a pause of the whole process the missed calls are not made up for.
+        # Calls that were missed while the process was paused are skipped.
         subscription.due_at = max(subscription.due_at + subscription.interval, now)
         heapq.heappush(self.heap, (subscription.due_at, next(self.sequence), subscription))
 
