--- a/sequoiabridge/tests/assembly/test_platform_tasks.py
+++ b/sequoiabridge/tests/assembly/test_platform_tasks.py
@@ -1,4 +1,4 @@
-"""What periodic work of a whole fleet costs the platform, in virtual time."""
+"""Rate of the periodic platform calls of a whole fleet, in virtual time."""
 
 from random import Random
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 class CallCounter:
-    """Counts the calls that reach the platform."""
+    """Counts calls to the platform."""
 
     def __init__(self):
         self.lists = self.prunes = 0
@@ -31,7 +31,7 @@
 
 
 def run_fleet(seconds, count):
-    """Let the work of `count` VMs run; returns what they asked."""
+    """Run the tasks of `count` VMs for some seconds; return the counts of their calls."""
     clock, platform_calls, random = ManualClock(), CallCounter(), Random(1)
     fleet = SimpleNamespace(live_count=lambda: count, hint=lambda addresses: None)
     daemon = SimpleNamespace(
@@ -52,13 +52,13 @@
 
 
 @pytest.mark.parametrize("count", [18, 500])
-def test_reads_of_the_vm_list_stay_under_a_rate_however_large_the_fleet(count):
+def test_rate_of_vm_list_reads_is_limited_for_the_whole_fleet(count):
     platform_calls = run_fleet(100, count)
     rate = platform_calls.lists / 100
     assert rate <= min(count / MIN_LIST_INTERVAL, MAX_FLEET_LIST_RATE) * 1.3
     assert rate >= min(count / MIN_LIST_INTERVAL, MAX_FLEET_LIST_RATE) * 0.7
 
 
-def test_old_changes_are_removed_by_about_one_vm_at_a_time():
+def test_on_average_one_vm_removes_old_changes():
     platform_calls = run_fleet(20 * PRUNE_INTERVAL, 18)
     assert 8 <= platform_calls.prunes <= 40
--- a/sequoiabridge/tests/test_benchmark_scene.py
+++ b/sequoiabridge/tests/test_benchmark_scene.py
@@ -1,9 +1,9 @@
-"""The addresses of the trials' daemons, by which they find each other's admin ports."""
+"""Addresses of the daemons in the benchmarks' scene."""
 
 from ..benchmarks.scene import Scene
 
 
-def test_each_daemon_of_a_scene_has_its_own_ip_and_all_have_the_same_ports():
+def test_daemons_have_distinct_ips_and_the_same_ports():
     scene = Scene(None, 300)
     daemons = [*scene.daemons, scene.new_daemon("vm-new")]
     for kind in ("callers", "admin", "fleet"):
--- a/sequoiabridge/tests/test_codec.py
+++ b/sequoiabridge/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""h11's readers and writers as the daemon uses them, beside what `h11.Connection` makes of it."""
+"""Encoding and reading of HTTP/1.1 messages, compared with `h11.Connection`."""
 
 import h11
 import pytest
@@ -19,7 +19,7 @@
 LENGTH = (b"content-length", b"5")
 
 
-def test_heads_are_what_h11s_connection_writes():
+def test_heads_are_encoded_as_by_h11_connection():
     request = h11.Request(method=b"PUT", target=b"/x", headers=ValidatedHeaders([HOST, LENGTH]))
     assert encode_request_head(request) == h11.Connection(h11.CLIENT).send(request)
     server = h11.Connection(h11.SERVER)
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("value", [b"a\r\nSequoia-Outcome: not-run", b"a\nb", b"a\rb"])
-def test_line_break_in_a_value_never_leaves(value):
+def test_header_value_with_a_line_break_is_rejected(value):
     with pytest.raises(UnsafeHeader):
         encode_response_head(
             h11.Response(status_code=200, headers=ValidatedHeaders([(b"x", value)]))
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
 @pytest.mark.parametrize("length", [None, 600])
-def test_body_is_read_whole_however_it_is_cut(step, length):
+def test_body_is_read_completely_for_any_chunk_size(step, length):
     writer = body_writer(length)
     data = encode_body_event(writer, h11.Data(b"x" * 100)) + encode_body_event(
         writer, h11.Data(b"y" * 500)
@@ -54,7 +54,7 @@
     assert ended and body == b"x" * 100 + b"y" * 500 and not received
 
 
-def test_body_that_does_not_fit_its_length_and_an_endless_chunk_header_are_refused():
+def test_body_of_wrong_length_and_endless_chunk_header_are_rejected():
     with pytest.raises(h11.LocalProtocolError):
         encode_body_event(body_writer(3), h11.Data(b"four"))
     with pytest.raises(h11.LocalProtocolError):
--- a/sequoiabridge/tests/test_configuration.py
+++ b/sequoiabridge/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, over real versions and a real fleet node; the platform fails."""
+"""The configuration in force while the platform's store is unavailable."""
 
 import curio
 
@@ -13,7 +13,7 @@
 CHANGE = Change([SetEntry("service", "spendview", {"path_prefix": "/spend"})])
 
 
-def alone(bench):
+def single_vm(bench):
     """Return the configuration of a fleet of one VM, and its timers."""
     node = Pump(1).all()[0]
     configuration = ConfigurationInForce(
@@ -24,9 +24,9 @@
     return configuration, timers
 
 
-def test_an_accepted_change_is_in_force_and_spread_though_the_store_is_down_right_after():
+def test_accepted_change_is_in_force_and_spread_if_the_store_fails_right_after_the_commit():
     bench = system_clock_platform()
-    configuration, _ = alone(bench)
+    configuration, _ = single_vm(bench)
     bench.faults.down_after = 1
     assert curio.run(configuration.propose, CHANGE, "anna", 0).ok == 1
     assert bench.faults.down
@@ -36,13 +36,13 @@
     assert configuration.fleet.spreader.changes.between(1, 1, 1000)
 
 
-def test_a_change_too_large_to_be_spread_is_read_from_the_table_at_once():
+def test_change_too_large_to_be_spread_is_read_from_the_table_at_once():
     bench = system_clock_platform()
-    assert curio.run(alone(bench)[0].propose, CHANGE, "anna", 0).ok == 1
-    configuration, timers = alone(bench)
-    timers.run_due()[0].close()  # The look at the table when the daemon starts comes too early.
+    assert curio.run(single_vm(bench)[0].propose, CHANGE, "anna", 0).ok == 1
+    configuration, timers = single_vm(bench)
+    timers.run_due()[0].close()  # Skip the poll at the start of the daemon.
     configuration.fleet.currency.offer(ConfigurationItem(1, b""), 0.0)
     configuration.apply_received_changes()
-    for look in timers.run_due():
-        curio.run(look)
+    for poll in timers.run_due():
+        curio.run(poll)
     assert configuration.document().version == 1
--- a/sequoiabridge/tests/test_configuration_poll.py
+++ b/sequoiabridge/tests/test_configuration_poll.py
@@ -1,4 +1,4 @@
-"""The look at the table for a newer configuration, while the platform is down."""
+"""Polling for a newer configuration while the platform's store is unavailable."""
 
 import curio
 
@@ -8,7 +8,7 @@
 from .store.store_fakes import system_clock_platform
 
 
-def test_a_look_at_a_table_that_is_down_ends_in_peace_and_the_next_one_succeeds():
+def test_poll_of_an_unavailable_table_raises_nothing_and_the_next_poll_succeeds():
     bench = system_clock_platform()
     node = Pump(1).all()[0]
     configuration = ConfigurationInForce(
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -1,4 +1,4 @@
-"""Configurations that VMs give each other while the table is down: real parts, a virtual fleet."""
+"""Transfer of configurations between VMs while the platform's table is unavailable."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
 
 
 def upstreams(count):
-    """Return a change that adds upstreams under addresses that do not compress well."""
+    """Return a change that adds upstreams with addresses that do not compress well."""
     random, entries = Random(1), [POOL]
     for number in range(count):
         address = f"10.{random.randrange(256)}.{random.randrange(256)}.7:{9000 + number}"
@@ -29,7 +29,7 @@
 
 
 class VirtualFleet:
-    """VMs with the real configuration in force, over one platform in memory."""
+    """VMs with real configurations and a platform in memory."""
 
     def __init__(self, count):
         self.bench, self.pump, self.configurations = system_clock_platform(), Pump(count), []
@@ -38,7 +38,7 @@
         assert self.pump.run_until(self.pump.complete, 20) is not None
 
     def join(self, node):
-        """Give a node its configuration; returns that, and all versions that came in force."""
+        """Add a node; return its configuration and a list of the versions that come into force."""
         versions, seen = Versions(self.bench.client(), self.bench.clock), []
         clock = self.bench.clock
         configuration = ConfigurationInForce(
@@ -49,7 +49,7 @@
         return configuration, seen
 
     def accept(self, change, lost=True):
-        """Accept a change at the first VM; the store is lost with its commit."""
+        """Accept a change at the first VM; if `lost`, the store fails after its commit."""
         self.bench.faults.down_after = int(lost)
         configuration = self.configurations[0]
         assert curio.run(
@@ -62,22 +62,22 @@
         return self.pump.run_until(lambda: self.all_have(version), limit)
 
     def all_have(self, version):
-        """Look at the table where that is due; True if a version is in force on all VMs."""
+        """Run the polls that are due; return whether a version is in force on all VMs."""
         for configuration in self.configurations:
-            for look in configuration.timers.run_due():
-                curio.run(look)
+            for poll in configuration.timers.run_due():
+                curio.run(poll)
         return all(
             configuration.in_force.version == version for configuration in self.configurations
         )
 
 
-def test_a_new_vm_is_ready_from_its_peers_while_the_table_is_down_and_never_older():
+def test_new_vm_gets_the_configuration_from_its_peers_while_the_table_is_down():
     fleet = VirtualFleet(4)
     fleet.accept(SERVICE)
     assert fleet.everywhere(1, 10) is not None
-    fleet.pump.run(10)  # Nothing of the change is on its way any more.
+    fleet.pump.run(10)  # No message about the change is in flight any more.
     for node in fleet.pump.all():
-        node.spreader.changes = ChangeLog()  # As after many more changes.
+        node.spreader.changes = ChangeLog()  # As after many later changes.
         node.spreader.queue.queues[Urgency.CONFIGURATION].clear()
     node = fleet.pump.add(5)
     configuration, seen = fleet.join(node)
@@ -86,7 +86,7 @@
     assert configuration.in_force.encode() == fleet.configurations[0].in_force.encode()
 
 
-def test_a_change_of_300_instances_is_in_force_though_the_store_is_lost_right_after():
+def test_change_of_300_upstreams_is_in_force_if_the_store_fails_right_after_the_commit():
     fleet = VirtualFleet(18)
     fleet.accept(SERVICE)
     assert fleet.everywhere(1, 10) is not None
@@ -95,7 +95,7 @@
     assert fleet.everywhere(2, 10) is not None
 
 
-def test_a_large_change_is_read_from_the_table_by_all_while_that_is_up():
+def test_large_change_is_read_from_the_table_while_it_is_available():
     fleet = VirtualFleet(4)
     fleet.accept(SERVICE)
     assert fleet.everywhere(1, 10) is not None
@@ -105,17 +105,17 @@
     assert [node.spreader.pushed for node in fleet.pump.all()] == [0] * 4
 
 
-def test_a_change_too_large_for_a_message_comes_as_a_document_from_peers():
+def test_change_too_large_for_a_message_is_received_as_a_document_from_peers():
     fleet = VirtualFleet(18)
     fleet.accept(SERVICE)
     assert fleet.everywhere(1, 10) is not None
     fleet.bench.faults.down = False
     fleet.accept(upstreams(2000))
-    # Without turns at the first peer that has it, this takes several times as long.
+    # Takes several times as long if the first VM that has the document does not take turns.
     assert fleet.everywhere(2, 150) is not None
 
 
-def test_the_operator_hears_on_how_many_vms_a_version_is_in_force():
+def test_spread_counts_the_vms_on_which_a_version_is_in_force():
     fleet = VirtualFleet(3)
     fleet.pump.cut(fleet.pump.all()[:1], fleet.pump.all()[1:])
     fleet.accept(SERVICE)
@@ -126,7 +126,7 @@
     assert fleet.configurations[0].spread(1) == (3, 3)
 
 
-def test_a_document_that_is_older_or_unreadable_changes_nothing():
+def test_older_or_invalid_document_is_ignored():
     fleet = VirtualFleet(1)
     fleet.accept(SERVICE)
     configuration = fleet.configurations[0]
--- a/sequoiabridge/tests/test_curio_import.py
+++ b/sequoiabridge/tests/test_curio_import.py
@@ -1,4 +1,4 @@
-"""A process that imports curio for a daemon does not carry asyncio, and gets it when it asks."""
+"""A daemon does not import asyncio, and a later import of asyncio gets the real module."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 from sequoiabridge.curio_import import import_curio
 import_curio()
 import sequoiabridge.gateway
-assert "asyncio" not in sys.modules, "something imports asyncio after all"
+assert "asyncio" not in sys.modules, "some module imports asyncio"
 import curio
 
 async def main():
@@ -26,12 +26,12 @@
     return subprocess.run([sys.executable, "-c", script], capture_output=True, text=True)
 
 
-def test_the_daemon_runs_without_asyncio_and_others_get_it_whole():
+def test_daemon_runs_without_asyncio_and_a_later_import_gets_the_real_module():
     done = run(SCRIPT)
     assert done.returncode == 0, done.stderr
 
 
-def test_nothing_is_replaced_where_asyncio_is_used_already():
+def test_asyncio_is_not_replaced_if_it_is_imported_already():
     script = (
         "import asyncio, sys; from sequoiabridge.curio_import import import_curio; import_curio();"
     )
@@ -39,7 +39,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_wrong_arguments_are_told_before_anything_is_imported():
+def test_invalid_arguments_print_the_usage():
     done = subprocess.run(
         [sys.executable, "-m", "sequoiabridge.commands.gateway", "--help"],
         capture_output=True,
--- a/sequoiabridge/tests/test_daemon_metrics.py
+++ b/sequoiabridge/tests/test_daemon_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a whole daemon: what its parts count is what a scrape shows."""
+"""Metrics of a whole daemon: a scrape shows the counts of its components."""
 
 import re
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, happens",
+    "line, set_count",
     [
         ('claims_total{result="busy"} 3', lambda d: setattr(d.claims.counts, "busy", 3)),
         ('store_events_total{event="settled"} 3', lambda d: setattr(d.store.counts, "settled", 3)),
@@ -44,12 +44,12 @@
         ),
     ],
 )
-def test_what_a_part_counts_is_on_the_metrics_page(daemon, line, happens):
-    happens(daemon)
+def test_scrape_shows_the_count_of_a_component(daemon, line, set_count):
+    set_count(daemon)
     assert f"sequoia_{line}.0" in curio.run(daemon.metrics.text).decode()
 
 
-def test_a_stop_and_a_store_that_is_down_show(daemon):
+def test_readiness_is_a_metric(daemon):
     assert "sequoia_ready 0.0" in curio.run(daemon.metrics.text).decode()
     daemon.readiness.why_not_current = str
     assert "sequoia_ready 1.0" in curio.run(daemon.metrics.text).decode()
@@ -57,11 +57,11 @@
     assert "sequoia_ready 0.0" in curio.run(daemon.metrics.text).decode()
 
 
-def test_the_page_names_every_metric_of_the_daemon_and_no_other(daemon):
+def test_documentation_lists_exactly_the_metrics_of_the_daemon(daemon):
     daemon.metrics.record_call("mottag", "image", 202, 0.1, True)
-    named = set(re.findall(r"^\| `(sequoia_\w+)`", PAGE.read_text(encoding="utf-8"), re.M))
-    has = {
+    documented = set(re.findall(r"^\| `(sequoia_\w+)`", PAGE.read_text(encoding="utf-8"), re.M))
+    declared = {
         f"{metric.name}_total" if metric.type == "counter" else metric.name
         for metric in daemon.metrics.collect()
     }
-    assert named == has
+    assert documented == declared
--- a/sequoiabridge/tests/test_header_cache.py
+++ b/sequoiabridge/tests/test_header_cache.py
@@ -1,4 +1,4 @@
-"""Remembered header lines: a head read again is what h11 makes of it, right or wrong."""
+"""Cached header lines must give the same fields and errors as h11."""
 
 import h11
 import pytest
@@ -32,13 +32,13 @@
     try:
         event = read()
     except h11.LocalProtocolError as error:
-        # Only the way in which the message quotes the line differs.
+        # The messages differ only in how they quote the line.
         return str(error).partition(":")[0], error.error_status_hint
     return event, list(event.headers), event.headers.raw_items()
 
 
 @pytest.mark.parametrize("lines", HEADS)
-def test_a_head_is_read_as_h11_reads_it_the_first_time_and_again(lines):
+def test_head_is_parsed_as_by_h11_uncached_and_cached(lines):
     data = b"GET /x HTTP/1.1\r\n" + lines + b"\r\n\r\n"
 
     def expected():
@@ -55,7 +55,7 @@
     assert outcome(found) == outcome(expected)
 
 
-def test_memory_is_bounded_keeps_no_secrets_and_no_long_lines():
+def test_cache_is_bounded_and_holds_no_secrets_and_no_long_lines():
     cache = HeaderCache()
     for number in range(3 * MAX_LINES):
         cache.parse([b"host: a", b"x-request: %d" % number])
--- a/sequoiabridge/tests/test_metrics.py
+++ b/sequoiabridge/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics: what a scrape shows, a part that fails, and a page that names every metric."""
+"""Metrics as a scrape shows them."""
 
 import re
 from pathlib import Path
@@ -30,7 +30,7 @@
     assert sample(metrics, "sequoia_call_seconds_bucket", le="+Inf", **one) == 3
 
 
-def test_the_cost_of_measuring_per_1000_calls():
+def test_measuring_cost_per_1000_calls():
     metrics = Metrics()
     for _ in range(500):
         metrics.record_call("katalog", "manifest", 200, 0.01, True)
@@ -40,7 +40,7 @@
     assert sample(metrics, "sequoia_measuring_bytes_per_1000_calls", service="katalog") == 400
 
 
-def test_a_part_that_fails_does_not_hide_the_others():
+def test_failing_callback_does_not_hide_other_metrics():
     metrics = Metrics()
     metrics.gauge("sequoia_ready", "Ready.", lambda: 1 // 0)
     metrics.gauge("sequoia_queue_length", "Queue.", lambda: [(("mottag",), 3)], ("service",))
@@ -52,7 +52,7 @@
     assert 'outcome="not-run",reason="queue-full"' in text
 
 
-def test_a_family_cut_into_pieces_is_one_family_in_the_text():
+def test_family_split_into_pieces_is_rendered_as_one_family():
     metrics = Metrics()
     for number in range(250):
         metrics.record_call(f"service-{number}", "read", 200, 0.004, True)
@@ -65,7 +65,7 @@
     assert len(by_name["sequoia_calls_by_window"]) == 500
 
 
-def test_the_page_names_every_metric_that_the_daemon_has_from_the_start():
-    named = set(re.findall(r"`(sequoia_\w+)`", PAGE.read_text(encoding="utf-8")))
-    has = {metric.name for metric in Metrics().collect()}
-    assert {name.removesuffix("_total") for name in named} >= has
+def test_documentation_lists_every_initial_metric():
+    documented = set(re.findall(r"`(sequoia_\w+)`", PAGE.read_text(encoding="utf-8")))
+    declared = {metric.name for metric in Metrics().collect()}
+    assert {name.removesuffix("_total") for name in documented} >= declared
--- a/sequoiabridge/tests/test_selector.py
+++ b/sequoiabridge/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""The selector: a socket that is not waited for costs nothing, and a reused number is no mix-up."""
+"""The lazy selector: unawaited events, and file descriptors that are reused."""
 
 import os
 import socket
@@ -21,20 +21,18 @@
     return local_end, remote_end, Descriptor(local_end.fileno())
 
 
-def test_event_that_nobody_waits_for_is_not_reported_and_does_not_spin(selector):
+def test_event_without_a_waiter_is_not_reported_and_causes_no_busy_loop(selector):
     local_end, remote_end, descriptor = pair()
     selector.register(descriptor, EVENT_READ, "task")
     selector.unregister(descriptor)
     remote_end.send(b"x")
     assert selector.select(0) == []
-    assert (
-        local_end.fileno() not in selector.registered
-    ), "or each later select would return at once"
+    assert local_end.fileno() not in selector.registered, "every later select would return at once"
     selector.register(descriptor, EVENT_READ, "task")
     assert [(key.data, mask) for key, mask in selector.select(0)] == [("task", EVENT_READ)]
 
 
-def test_wait_for_another_event_on_a_kept_socket(selector):
+def test_wait_for_another_event_on_a_registered_socket(selector):
     local_end, remote_end, descriptor = pair()
     selector.register(descriptor, EVENT_READ, "reader")
     selector.unregister(descriptor)
@@ -42,7 +40,7 @@
     assert [mask for _, mask in selector.select(0)] == [EVENT_WRITE]
 
 
-def test_reused_number_of_a_closed_socket_is_registered_again(selector):
+def test_reused_descriptor_of_a_closed_socket_is_registered_again(selector):
     local_end, remote_end, descriptor = pair()
     number = local_end.fileno()
     selector.register(descriptor, EVENT_READ)
--- a/sequoiabridge/tests/test_timers.py
+++ b/sequoiabridge/tests/test_timers.py
@@ -1,15 +1,15 @@
-"""The timer service: order, repetition, cancellation, and no catching up after a pause."""
+"""The timer service."""
 
 from ..timers import MAX_WAIT_SECONDS, ManualClock, OnDemandTimer, Timers
 
 
-def make():
+def make_timers():
     clock = ManualClock()
     return clock, Timers(clock)
 
 
-def test_calls_in_order_of_time():
-    clock, timers = make()
+def test_callbacks_are_called_in_order_of_time():
+    clock, timers = make_timers()
     calls = []
     timers.after(2.0, "late", lambda: calls.append("late"))
     timers.after(1.0, "early", lambda: calls.append("early"))
@@ -18,8 +18,8 @@
     assert calls == ["early", "late"]
 
 
-def test_a_cancelled_subscription_is_never_called():
-    clock, timers = make()
+def test_cancelled_callback_is_not_called():
+    clock, timers = make_timers()
     calls = []
     timers.after(1.0, "gone", lambda: calls.append("gone")).cancel()
     clock.advance(2.0)
@@ -27,8 +27,8 @@
     assert calls == []
 
 
-def test_a_pause_of_the_process_is_not_made_up_for():
-    clock, timers = make()
+def test_calls_missed_during_a_pause_are_skipped():
+    clock, timers = make_timers()
     calls = []
     timers.every(1.0, "beat", lambda: calls.append(clock.now()))
     clock.advance(60.0)
@@ -37,25 +37,25 @@
     assert timers.next_due() <= 1.0
 
 
-def test_on_demand_work_ends_when_nothing_is_left_and_begins_anew():
-    clock, timers = make()
+def test_on_demand_timer_stops_without_work_and_restarts_on_wake():
+    clock, timers = make_timers()
     work, calls = [1], []
-    looks = OnDemandTimer(timers, 1.0, "look", lambda: calls.append(work.pop()), lambda: bool(work))
-    looks.wake()
-    looks.wake()
+    timer = OnDemandTimer(timers, 1.0, "work", lambda: calls.append(work.pop()), lambda: bool(work))
+    timer.wake()
+    timer.wake()
     for _ in range(3):
         clock.advance(1.0)
         timers.run_due()
     assert calls == [1] and timers.next_due() == MAX_WAIT_SECONDS
     work.append(2)
-    looks.wake()
+    timer.wake()
     clock.advance(1.0)
     timers.run_due()
     assert calls == [1, 2]
 
 
-def test_a_callback_that_fails_ends_neither_itself_nor_the_others():
-    clock, timers = make()
+def test_failing_callback_stops_neither_itself_nor_others():
+    clock, timers = make_timers()
     calls = []
 
     def fail():
