--- a/sequoiabridge/tests/store/store_fakes.py
+++ b/sequoiabridge/tests/store/store_fakes.py
@@ -1,4 +1,4 @@
-"""What the tests of the store share: a daemon's client over the in-memory platform."""
+"""Fakes for the tests of the store: clients of an in-memory platform."""
 
 import curio
 
@@ -8,12 +8,12 @@
 
 
 async def no_sleep(_seconds: float) -> None:
-    """Let no time pass."""
+    """Yield to other tasks without a delay."""
     await curio.sleep(0)
 
 
 class FakePlatform:
-    """One platform in memory, and clients of as many VMs as a test asks for."""
+    """An in-memory platform that creates the clients of any number of VMs."""
 
     def __init__(self, clock=None):
         self.faults = Faults()
@@ -29,5 +29,5 @@
 
 
 def system_clock_platform() -> FakePlatform:
-    """Return a bench on the system's clock, for tests in which waiting itself is the point."""
+    """Return a platform on the system's clock, for tests that depend on real delays."""
     return FakePlatform(SystemClock())
--- a/sequoiabridge/tests/store/test_claims.py
+++ b/sequoiabridge/tests/store/test_claims.py
@@ -1,4 +1,4 @@
-"""At-most-once claims against each fault of the store, races, pauses and operators."""
+"""Tests of at-most-once claims with faults of the store, races, pauses and operators."""
 
 import random
 
@@ -28,16 +28,16 @@
     return Claims(platform.client(), platform.clock, vm)
 
 
-def acquire(of, key="k", digest="d", caller="c"):
-    deadline = of.clock.now() + WINDOW
-    return curio.run(of.acquire, "s", caller, key, digest, deadline)
+def acquire(claims_of_vm, key="k", digest="d", caller="c"):
+    deadline = claims_of_vm.clock.now() + WINDOW
+    return curio.run(claims_of_vm.acquire, "s", caller, key, digest, deadline)
 
 
 def admin(platform, **options):
     return ClaimAdmin(platform.client(), platform.clock, random.Random(1), **options)
 
 
-def test_duplicate_gets_the_stored_answer_at_another_vm():
+def test_duplicate_on_another_vm_gets_the_stored_answer():
     platform = FakePlatform()
     claim = acquire(claims(platform))
     assert isinstance(acquire(claims(platform, "vm2")), ClaimBusy)
@@ -49,7 +49,7 @@
     assert isinstance(acquire(claims(platform), caller="c2"), ClaimGranted)
 
 
-def test_large_answer_is_done_but_not_kept():
+def test_large_answer_is_done_but_not_stored():
     platform = FakePlatform()
     store = claims(platform)
     curio.run(store.complete, acquire(store), 200, [], b"x" * (STORED_BODY_LIMIT + 1))
@@ -57,7 +57,7 @@
     assert isinstance(replay, ClaimReplay) and replay.body is None
 
 
-def test_row_of_a_newer_version_is_left_alone():
+def test_row_of_a_newer_version_is_not_changed():
     platform = FakePlatform()
     claim = acquire(claims(platform))
     platform.tables.put(Write("claims", claim.row_key, b"\xc1 newer"))
@@ -68,40 +68,40 @@
     assert "newer version" in str(refused.error)
 
 
-def test_two_claimers_at_once_one_is_granted():
+def test_one_of_concurrent_claims_is_granted():
     platform = FakePlatform()
     deadline = platform.clock.now() + WINDOW
 
     async def race():
         async with curio.TaskGroup() as group:
             for vm in range(5):
-                of = claims(platform, f"vm{vm}")
-                await group.spawn(of.acquire, "s", "c", "k", "d", deadline)
+                claims_of_vm = claims(platform, f"vm{vm}")
+                await group.spawn(claims_of_vm.acquire, "s", "c", "k", "d", deadline)
         return group.results
 
     kinds = sorted(type(result).__name__ for result in curio.run(race))
     assert kinds == ["ClaimBusy"] * 4 + ["ClaimGranted"]
 
 
-@pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
-def test_lost_answer_is_settled_by_the_token(lost):
+@pytest.mark.parametrize("fault", ["lose_answers", "lose_writes", "late"])
+def test_lost_answer_is_resolved_by_the_token(fault):
     platform = FakePlatform()
-    setattr(platform.faults, lost, 1)
+    setattr(platform.faults, fault, 1)
     assert isinstance(acquire(claims(platform)), ClaimGranted)
     platform.tables.land_late()
     assert isinstance(acquire(claims(platform, "vm2")), ClaimBusy)
 
 
-@pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
-def test_another_vms_row_is_never_taken_for_the_own_one(lost):
+@pytest.mark.parametrize("fault", ["lose_answers", "lose_writes", "late"])
+def test_row_of_another_vm_is_not_mistaken_for_own_claim(fault):
     platform = FakePlatform()
     assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
-    setattr(platform.faults, lost, 1)
+    setattr(platform.faults, fault, 1)
     assert isinstance(acquire(claims(platform)), ClaimBusy)
 
 
 @pytest.mark.parametrize("fault", ["down", "reject"])
-def test_refusing_store_is_not_run_without_a_trace(fault):
+def test_failed_write_leaves_no_row_and_no_report(fault):
     platform = FakePlatform()
     setattr(platform.faults, fault, 1)
     store = claims(platform)
@@ -109,7 +109,7 @@
     assert not platform.tables.rows and not store.reports.pending
 
 
-def test_slow_store_is_refused_and_its_effect_is_undone_later():
+def test_unconfirmed_claim_is_unavailable_and_released_later():
     platform = FakePlatform()
     store = claims(platform)
     platform.faults.slow = 60.0
@@ -122,7 +122,7 @@
     assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
-def test_vm_paused_while_it_claims_is_not_granted_after_its_deadline():
+def test_claim_confirmed_after_its_deadline_is_not_granted():
     platform = FakePlatform()
     store = claims(platform)
     platform.faults.slow = 0.1
@@ -137,8 +137,8 @@
     assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
-@pytest.mark.parametrize("order", ["lands-then-settles", "settles-then-lands"])
-def test_insert_that_lands_after_not_run_neither_blocks_nor_doubles(order):
+@pytest.mark.parametrize("order", ["insert-then-retry", "retry-then-insert"])
+def test_late_insert_of_an_abandoned_claim_neither_blocks_nor_duplicates(order):
     platform = FakePlatform()
     first, second = claims(platform), claims(platform, "vm2")
     platform.faults.late = ALWAYS
@@ -146,7 +146,7 @@
     platform.faults.late = 0
     platform.clock.advance(WINDOW)
     steps = [platform.tables.land_late, lambda: curio.run(first.retry_reports)]
-    for step in steps if order == "lands-then-settles" else steps[::-1]:
+    for step in steps if order == "insert-then-retry" else steps[::-1]:
         step()
     granted = acquire(second)
     assert isinstance(granted, ClaimGranted)
@@ -155,7 +155,7 @@
     assert isinstance(acquire(first), ClaimReplay)
 
 
-def test_late_insert_fails_once_another_vm_was_granted_and_had_released():
+def test_late_insert_fails_after_another_vm_claimed_and_released():
     platform = FakePlatform()
     first, second = claims(platform), claims(platform, "vm2")
     platform.faults.late = ALWAYS
@@ -168,7 +168,7 @@
     assert isinstance(acquire(second), ClaimGranted)
 
 
-def test_caller_who_goes_away_meanwhile_leaves_a_claim_that_is_released():
+def test_claim_of_a_cancelled_call_is_released():
     platform = FakePlatform()
     store = claims(platform)
     platform.faults.late = 1
@@ -186,7 +186,7 @@
     assert isinstance(acquire(claims(platform, "vm2")), ClaimGranted)
 
 
-def test_paused_holder_is_never_taken_over_and_reports_late():
+def test_claim_of_a_paused_holder_is_not_taken_over():
     platform = FakePlatform()
     holder, other = claims(platform), claims(platform, "vm2")
     claim = acquire(holder)
@@ -196,20 +196,20 @@
     assert acquire(other).body == b"late"
 
 
-@pytest.mark.parametrize("lost", ["down", "lose_answers", "lose_writes", "late"])
-def test_report_that_gets_no_answer_is_proven_later(lost):
+@pytest.mark.parametrize("fault", ["down", "lose_answers", "lose_writes", "late"])
+def test_unanswered_report_is_retried_until_proven(fault):
     platform = FakePlatform()
     store = claims(platform)
     claim = acquire(store)
-    setattr(platform.faults, lost, 1)
+    setattr(platform.faults, fault, 1)
     assert not curio.run(store.complete, claim, 200, [], b"ok")
-    setattr(platform.faults, lost, 0)
+    setattr(platform.faults, fault, 0)
     assert curio.run(store.retry_reports) == 0
     platform.tables.land_late()
     assert isinstance(acquire(claims(platform, "vm2")), ClaimReplay)
 
 
-def test_operator_frees_a_dead_vms_claim_and_its_late_report_changes_nothing():
+def test_operator_releases_claim_of_a_failed_vm_whose_late_report_has_no_effect():
     platform = FakePlatform()
     dead, other, operator = claims(platform), claims(platform, "vm2"), admin(platform)
     claim = acquire(dead)
@@ -233,7 +233,7 @@
     assert isinstance(acquire(claims(platform, "vm3")), ClaimBusy)
 
 
-def test_sweep_removes_finished_claims_by_age_and_never_open_ones():
+def test_only_finished_claims_expire():
     platform = FakePlatform()
     store, operator = claims(platform), admin(platform, retention=60.0)
     curio.run(store.complete, acquire(store, "done"), 200, [], b"")
--- a/sequoiabridge/tests/store/test_claims_stateful.py
+++ b/sequoiabridge/tests/store/test_claims_stateful.py
@@ -1,4 +1,7 @@
-"""Random sequences of claims, faults, kills and pauses; the oracle counts what was sent per key."""
+"""Stateful test of claims with random faults, killed VMs and pauses.
+
+No request may be sent twice, and no key may stay blocked.
+"""
 
 import random
 from collections import Counter
@@ -17,12 +20,18 @@
 VMS = st.integers(0, 2)
 KEYS = st.sampled_from(["a", "b"])
 FAULTS = st.sampled_from(["lose_answers", "lose_writes", "late", "lose_reads"])
-PICK = st.integers(0, 99)
+INDEX = st.integers(0, 99)
 WINDOW = 2.0
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Three VMs, two keys. A holding is a granted claim, and whether it was sent."""
+    """Three VMs and two keys.
+
+    Attributes:
+        holdings: VM, key and granted claim, and whether its request was sent.
+        sends: Number of times that a request was sent, by key.
+        orphans: Keys of claims that killed VMs had not reported.
+    """
 
     def __init__(self):
         super().__init__()
@@ -45,7 +54,7 @@
         return self.run(self.vms[vm].acquire, "s", "c", key, "d", deadline)
 
     @rule(fault=FAULTS, count=st.integers(1, 8))
-    def fail(self, fault, count):
+    def inject_fault(self, fault, count):
         setattr(self.platform.faults, fault, count)
 
     @rule(vm=VMS, key=KEYS)
@@ -57,17 +66,17 @@
             assert self.sends[key] == 1
 
     @precondition(lambda self: self.holdings)
-    @rule(pick=PICK)
-    def send(self, pick):
-        holding = self.holdings[pick % len(self.holdings)]
+    @rule(index=INDEX)
+    def send(self, index):
+        holding = self.holdings[index % len(self.holdings)]
         if not holding[3] and self.platform.clock.now() < holding[2].deadline:
             holding[3] = True
             self.sends[holding[1]] += 1
 
     @precondition(lambda self: self.holdings)
-    @rule(pick=PICK, known=st.booleans())
-    def report(self, pick, known):
-        vm, _key, claim, sent = self.holdings.pop(pick % len(self.holdings))
+    @rule(index=INDEX, known=st.booleans())
+    def report(self, index, known):
+        vm, _key, claim, sent = self.holdings.pop(index % len(self.holdings))
         if not sent:
             self.run(self.vms[vm].release, claim)
         elif known:
@@ -80,7 +89,7 @@
         self.platform.tables.land_late()
 
     @rule(vm=VMS)
-    def retry_reports(self, vm):
+    def write_pending_reports(self, vm):
         self.run(self.vms[vm].retry_reports)
 
     @rule(seconds=st.sampled_from([0.3, 1.0, 3.0, WINDOW + RELEASE_GRACE]))
@@ -88,7 +97,7 @@
         self.platform.clock.advance(seconds)
 
     @rule(vm=VMS)
-    def kill(self, vm):
+    def kill_vm(self, vm):
         self.orphans |= {report.row.key for report in self.vms[vm].reports.pending.values()}
         self.orphans |= {holding[1] for holding in self.holdings if holding[0] == vm}
         self.holdings = [holding for holding in self.holdings if holding[0] != vm]
@@ -105,11 +114,11 @@
 
     def teardown(self):
         try:
-            self.check_that_nothing_stays_blocked()
+            self.check_no_key_stays_blocked()
         finally:
             self.kernel.run(shutdown=True)
 
-    def check_that_nothing_stays_blocked(self):
+    def check_no_key_stays_blocked(self):
         for fault in ("lose_answers", "lose_writes", "late", "lose_reads"):
             setattr(self.platform.faults, fault, 0)
         self.platform.clock.advance(60.0)
--- a/sequoiabridge/tests/store/test_client.py
+++ b/sequoiabridge/tests/store/test_client.py
@@ -1,4 +1,4 @@
-"""The client groups, keeps to its share, notices an outage and settles lost answers."""
+"""Tests of grouping, rate limits, outages and lost answers in the store's client."""
 
 import curio
 import pytest
@@ -14,18 +14,18 @@
     return [Condition("t", key, 0)], [Write("t", key, value)]
 
 
-async def together(client, transactions, **options):
+async def run_concurrently(client, transactions, **options):
     async with curio.TaskGroup() as group:
         for conditions, writes in transactions:
             await group.spawn(client.transact, conditions, writes, 5.0)
     return group.results
 
 
-def test_waiting_transactions_go_as_one_and_a_failed_member_hurts_no_other():
+def test_failed_transaction_of_a_group_does_not_affect_the_others():
     platform = system_clock_platform()
     client = platform.client(writes=50.0)
     curio.run(client.transact, *insert("k7", b"first"), 5.0)
-    results = curio.run(together, client, [insert(f"k{n}") for n in range(20)])
+    results = curio.run(run_concurrently, client, [insert(f"k{n}") for n in range(20)])
     failed = [n for n, result in enumerate(results) if result.is_error()]
     assert failed == [7]
     assert results[7].error.kind is StoreErrorKind.CONDITION_FAILED
@@ -43,32 +43,34 @@
     assert (client.counts.reads, client.counts.writes) == (2, 1)
 
 
-def test_removals_of_objects_leave_room_in_the_share_for_writes():
+def test_deletes_of_objects_leave_tokens_for_writes():
     platform = FakePlatform()
     client = platform.client(writes=100.0)
     platform.clock.advance(10.0)
 
-    def allowed(call):
-        """Use the share up by one kind of call; the clock stands, so none waits."""
+    def count_allowed(call):
+        """Return how many calls succeed until the tokens are used up, while the clock stands."""
         count = 0
         while call().is_ok():
             count += 1
         return count
 
-    removed = allowed(lambda: curio.run(client.objects.delete, "o", 0.001))
-    stored = allowed(lambda: curio.run(client.objects.put, f"p{client.counts.writes}", b"", 0.001))
-    assert removed > 10 and stored > 10
+    deletes = count_allowed(lambda: curio.run(client.objects.delete, "o", 0.001))
+    puts = count_allowed(
+        lambda: curio.run(client.objects.put, f"p{client.counts.writes}", b"", 0.001)
+    )
+    assert deletes > 10 and puts > 10
 
 
-def test_transactions_on_one_row_never_share_a_group():
+def test_transactions_on_the_same_row_are_not_grouped():
     platform = system_clock_platform()
     client = platform.client(writes=50.0)
-    results = curio.run(together, client, [insert("same")] * 6)
+    results = curio.run(run_concurrently, client, [insert("same")] * 6)
     assert sum(result.is_ok() for result in results) == 1
     assert platform.tables.rows[("t", "same")].version == 1
 
 
-def test_outage_is_refused_at_once_and_ends_with_a_probe():
+def test_calls_fail_fast_during_an_outage_until_a_probe_succeeds():
     platform = FakePlatform()
     client = platform.client()
     platform.faults.lose_writes = platform.faults.lose_reads = ALWAYS
@@ -82,7 +84,7 @@
     assert curio.run(client.transact, *insert("a"), 1.0).is_ok()
 
 
-def test_impatient_callers_do_not_open_the_breaker():
+def test_short_timeouts_do_not_open_the_breaker():
     platform = FakePlatform()
     client = platform.client()
     platform.faults.lose_reads = 10
@@ -91,11 +93,11 @@
     assert not client.is_down
 
 
-@pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
-def test_lost_answer_is_settled_and_written_once(lost):
+@pytest.mark.parametrize("fault", ["lose_answers", "lose_writes", "late"])
+def test_lost_answer_is_resolved_and_written_once(fault):
     platform = FakePlatform()
     client = platform.client()
-    setattr(platform.faults, lost, 1)
+    setattr(platform.faults, fault, 1)
     conditions, writes = insert("a", b"token")
     deadline = platform.clock.now() + 5.0
     result = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
@@ -110,14 +112,14 @@
     platform.faults.late = ALWAYS
     conditions, writes = insert("a", b"token")
     deadline = platform.clock.now() + 5.0
-    lost = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
-    assert lost.error.kind is StoreErrorKind.UNKNOWN
+    unanswered = curio.run(client.transact_verified, conditions, writes, writes[0], deadline)
+    assert unanswered.error.kind is StoreErrorKind.UNKNOWN
     platform.faults.late = 0
     assert curio.run(client.transact, conditions, [Write("t", "a", b"tombstone")], 1.0).is_ok()
     assert platform.tables.land_late() == 0
 
 
-def test_share_keeps_room_for_claims_and_shrinks_when_pressed():
+def test_share_reserves_tokens_for_claims_and_shrinks_after_rejections():
     share = RateShare(fleet_rate=100.0, now=0.0)
     while share.take(10.0, 10, Priority.BACKGROUND) == 0:
         pass
--- a/sequoiabridge/tests/store/test_memory.py
+++ b/sequoiabridge/tests/store/test_memory.py
@@ -1,4 +1,4 @@
-"""The in-memory stand-in produces the faults that the other tests rely on."""
+"""Tests of the in-memory platform's faults, on which other tests rely."""
 
 import curio
 
@@ -7,7 +7,7 @@
 from ..standins.memory import Faults, MemoryObjects, MemoryTables, MemoryVmList
 
 
-def test_late_write_lands_only_if_its_condition_still_holds():
+def test_late_write_takes_effect_only_if_its_condition_still_holds():
     tables = MemoryTables(Faults(late=2))
     absent = [Condition("t", "a", 0)]
     lost = curio.run(tables.transact, absent, [Write("t", "a", b"late")], 1.0)
@@ -18,14 +18,14 @@
     assert [row.value for row in tables.find("t", "", "", 9)] == [b"early", b"late"]
 
 
-def test_object_name_is_written_once_and_lost_answer_has_effect():
+def test_object_name_is_written_once_and_write_with_lost_answer_takes_effect():
     objects = MemoryObjects(Faults(lose_answers=1))
     assert curio.run(objects.put, "n", b"1", 1.0).error.kind is StoreErrorKind.UNKNOWN
     assert curio.run(objects.put, "n", b"2", 1.0).error.kind is StoreErrorKind.CONDITION_FAILED
     assert curio.run(objects.get, "n", 1.0).ok == b"1"
 
 
-def test_list_lags():
+def test_vm_list_lags():
     clock = ManualClock()
     vms = MemoryVmList(clock, [], Faults(list_lag=5.0))
     vms.set([ListedVm("vm1", "127.0.0.1:1", "dc1")])
--- a/sequoiabridge/tests/store/test_upload_deliveries.py
+++ b/sequoiabridge/tests/store/test_upload_deliveries.py
@@ -1,4 +1,4 @@
-"""Deliveries that crash upstreams, or whose chunks cannot be removed afterwards."""
+"""Tests of deliveries that crash upstreams, and of chunks that cannot be removed."""
 
 from expression import Error
 
@@ -11,7 +11,7 @@
 ID = keyed_id("lataus", "uni", "k")
 
 
-def test_a_crash_that_is_told_late_counts_though_another_vm_holds_the_lease():
+def test_late_crash_report_counts_although_another_vm_holds_the_lease():
     world = World()
     vm = world.vm("a")
     finish(vm.receive(incoming(DATA, key="k")))
@@ -36,21 +36,21 @@
     return send
 
 
-def test_chunks_that_cannot_be_removed_hold_up_no_delivery_and_go_later():
+def test_failed_removal_of_chunks_does_not_delay_delivery_and_is_retried():
     world = World()
     vm = world.vm("a")
     finish(vm.receive(incoming(DATA, key="k")))
-    stored, asked = len(world.objects.objects), []
+    stored, timeouts = len(world.objects.objects), []
     delete = world.objects.delete
 
     async def busy(name, timeout):
-        asked.append(timeout)
+        timeouts.append(timeout)
         return Error(StoreError(StoreErrorKind.NOT_SENT, "no room in the share"))
 
     world.objects.delete = busy
     finish(world.deliveries(vm).deliver(ID))
     assert world.manifests()[0].state is UploadState.DELIVERED
-    assert len(asked) == 1 and asked[0] <= 5.0 and len(world.objects.objects) == stored
+    assert len(timeouts) == 1 and timeouts[0] <= 5.0 and len(world.objects.objects) == stored
     world.objects.delete = delete
     finish(world.orphans(vm).step(world.clock.wall()))
     assert world.objects.objects == {}
--- a/sequoiabridge/tests/store/test_versions.py
+++ b/sequoiabridge/tests/store/test_versions.py
@@ -1,4 +1,4 @@
-"""Configuration versions: accepted only when proven, one winner, nothing lands later."""
+"""Tests of configuration versions with races and faults of the store."""
 
 import curio
 import pytest
@@ -13,11 +13,11 @@
     return Versions(platform.client(), platform.clock, **options)
 
 
-def propose(of, expected, change=b"c", author="anna"):
-    return curio.run(of.propose, expected, change, author, 5.0)
+def propose(store, expected, change=b"c", author="anna"):
+    return curio.run(store.propose, expected, change, author, 5.0)
 
 
-def test_two_operators_one_winner_and_the_loser_learns_who():
+def test_one_of_concurrent_proposals_is_accepted_and_named_to_the_other():
     platform = FakePlatform()
     anna, ben = versions(platform), versions(platform)
 
@@ -33,16 +33,16 @@
     assert conflict.author == curio.run(anna.history, 9).ok[0].author
 
 
-@pytest.mark.parametrize("lost", ["lose_answers", "lose_writes", "late"])
-def test_lost_answer_is_accepted_once(lost):
+@pytest.mark.parametrize("fault", ["lose_answers", "lose_writes", "late"])
+def test_lost_answer_is_accepted_once(fault):
     platform = FakePlatform()
-    setattr(platform.faults, lost, 1)
+    setattr(platform.faults, fault, 1)
     assert isinstance(propose(versions(platform), 0), Accepted)
     platform.tables.land_late()
     assert curio.run(versions(platform).latest).ok.version == 1
 
 
-def test_unproven_proposal_is_settled_and_cannot_land_later():
+def test_resolved_proposal_cannot_be_committed_later():
     platform = FakePlatform()
     platform.faults.late = ALWAYS
     unproven = propose(versions(platform), 0)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("first", "outcome"), [("late", Accepted), ("other", Conflict)])
-def test_unproven_proposal_is_told_by_its_token(first, outcome):
+def test_unproven_proposal_is_identified_by_its_token(first, outcome):
     platform = FakePlatform()
     platform.faults.late = ALWAYS
     unproven = propose(versions(platform), 0)
@@ -66,7 +66,7 @@
     assert isinstance(curio.run(versions(platform).resolve, unproven, 5.0), outcome)
 
 
-def test_store_down_is_never_accepted():
+def test_proposal_is_not_accepted_while_the_store_is_down():
     platform = FakePlatform()
     platform.faults.down = True
     assert isinstance(propose(versions(platform), 0), NotAccepted)
