--- a/sequoiabridge/store/claim_admin.py
+++ b/sequoiabridge/store/claim_admin.py
@@ -112,7 +112,7 @@
     async def release_by_operator(
         self, row_key: str, author: str, reason: str, timeout: float
     ) -> Result[ClaimRow, SequoiaError]:
-        """Release an open claim after an operator has checked that its request did not run.
+        """Release an open claim because an operator states that its request did not run.
 
         The release and its audit entry are written in one transaction. A release is refused until
         `RELEASE_GRACE` after the holder's deadline, since the holder may still send.
