--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -157,7 +157,7 @@
         return await self.recorder.record_answer_head(state, attempt, answer)
 
     def _hedge_at(self, exchange: Exchange, state: ServiceState, attempt: Attempt) -> float:
-        if not (exchange.rule.hedge and exchange.rule.idempotent and _replayable(exchange)):
+        if not (exchange.rule.hedge and exchange.rule.idempotent and _is_replayable(exchange)):
             return float("inf")
         return attempt.started + state.hedging.delay
 
@@ -172,7 +172,7 @@
     ) -> bool:
         if server_error is not None and not isinstance(server_error.body, BytesBody | None):
             return False
-        if exchange.body_started and not _replayable(exchange):
+        if exchange.body_started and not _is_replayable(exchange):
             exchange.note(Repeated("retry", False, "its body was streamed and is gone"))
             return False
         now = self.clock.now()
@@ -192,7 +192,7 @@
         return True
 
 
-def _replayable(exchange: Exchange) -> bool:
+def _is_replayable(exchange: Exchange) -> bool:
     body = exchange.request.body
     return body is None or isinstance(body, ReplayableBody)
 
--- a/sequoiabridge/pipeline/drain_checks.py
+++ b/sequoiabridge/pipeline/drain_checks.py
@@ -10,7 +10,7 @@
 from .services import Services, ServiceState
 
 DRAINED_PROBE_INTERVAL = 2.0
-"""Seconds between probes of a drained upstream, by the whole fleet together."""
+"""Mean seconds between probes of a drained upstream, by the whole fleet together."""
 
 PROBE_TIMEOUT = 0.5
 """Maximum duration of a probe, in seconds."""
@@ -18,7 +18,7 @@
 FAILED_PROBE_INTERVAL = 0.5
 """Seconds between checks for upstreams that failed calls."""
 
-UNPAID_PROBE_INTERVAL = 60.0
+NO_BUDGET_PROBE_INTERVAL = 60.0
 """Seconds between probes of a drained upstream of a service without a probe budget."""
 
 MAX_PROBED_AT_ONCE = 16
@@ -30,7 +30,7 @@
 
     Only a healthy answer with a newer incarnation ends a drain; one without may be outdated. Each
     VM probes a random share of the drained upstreams. Probes take tokens of the service's probe
-    budget; without a budget, each upstream is probed once per `UNPAID_PROBE_INTERVAL`.
+    budget; without a budget, each upstream is probed once per `NO_BUDGET_PROBE_INTERVAL`.
 
     An upstream whose answers are lost cannot report a drain with them. It is therefore probed once
     after a failed call of this VM, if the probe budget allows.
@@ -56,13 +56,13 @@
     async def probe_drained(self) -> None:
         """Probe this VM's share of the drained upstreams."""
         share = 1.0 / max(1, self.services.live_count())
-        left = [
+        drained = [
             (state, name)
             for state in self.services.states()
             for name, upstream in state.pool.upstreams.items()
             if upstream.draining is not None and self.services.random.random() < share
         ]
-        for state, name in left[:MAX_PROBED_AT_ONCE]:
+        for state, name in drained[:MAX_PROBED_AT_ONCE]:
             if self._may_probe(state, name):
                 await curio.spawn(self.probe(state, name), daemon=True)
 
@@ -83,10 +83,10 @@
     def _may_probe(self, state: ServiceState, name: str) -> bool:
         now = self.clock.now()
         upstream = state.pool.upstreams[name]
-        unpaid = (
-            not state.probe_budget.per_call and now - upstream.probed_at >= UNPAID_PROBE_INTERVAL
+        due_without_budget = (
+            not state.probe_budget.per_call and now - upstream.probed_at >= NO_BUDGET_PROBE_INTERVAL
         )
-        if unpaid or state.probe_budget.take_token():
+        if due_without_budget or state.probe_budget.take_token():
             upstream.probed_at = now
             return True
         return False
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -18,7 +18,7 @@
 PROBE_TIMEOUT = 0.5
 """Maximum duration of a probe, in seconds."""
 
-SOURCE = "probe"
+METRICS_SOURCE = "probe"
 
 
 class Probing:
@@ -69,7 +69,9 @@
             state.probe_budget.record_answer(probe.latency, probe.size, probe.latency)
         else:
             state.probe_budget.record_cost(probe.size, probe.latency)
-        self.metrics.record_measurement(state.service.name, SOURCE, probe.size, probe.latency)
+        self.metrics.record_measurement(
+            state.service.name, METRICS_SOURCE, probe.size, probe.latency
+        )
         self._record_probe(state, name, probe)
 
     def _record_probe(self, state: ServiceState, name: str, probe: Probe) -> None:
--- a/sequoiabridge/pipeline/record.py
+++ b/sequoiabridge/pipeline/record.py
@@ -8,7 +8,7 @@
 from .base import Filter
 from .exchange import Exchange
 
-NO_SERVICE = ""
+NO_VALUE = ""
 
 
 class Record(Filter):
@@ -29,8 +29,8 @@
 
     async def leave(self, exchange: Exchange, clean: bool) -> None:
         now = self.clock.now()
-        service = exchange.service.name if exchange.service else NO_SERVICE
-        kind = exchange.rule.kind if exchange.rule else NO_SERVICE
+        service = exchange.service.name if exchange.service else NO_VALUE
+        kind = exchange.rule.kind if exchange.rule else NO_VALUE
         status = exchange.answer.status if exchange.answer else 0
         seconds = now - exchange.arrived
         refusal = exchange.refusal
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -29,7 +29,7 @@
 RETRY_COUNT_INTERVAL = 1.0
 """Seconds between reports of retries and successes."""
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class Sharing(Observer, Component):
@@ -132,11 +132,11 @@
             state.ledger.record_crash(item.fingerprint, item.upstream, origin, item.at, now)
 
     def handle_load(self, item: LoadItem, origin: str) -> None:
-        """Record a peer's load report on an upstream."""
+        """Record a peer's load figures of an upstream."""
         pool = self.services.pool_of(item.upstream)
         if pool is None:
             return
-        age, latency = item.age_ms / 1000, item.latency_us / MICROSECONDS
+        age, latency = item.age_ms / 1000, item.latency_us / MICROSECONDS_PER_SECOND
         now = self.clock.now()
         pool.record_peer_load(
             item.upstream, item.in_flight, latency, item.suspect, age, origin, now
@@ -203,6 +203,6 @@
 
 def local_load(upstream: UpstreamState, now: float) -> LocalLoad:
     """Return this daemon's load figures of one upstream, to be published."""
-    latency_us = int(upstream.latency * MICROSECONDS)
+    latency_us = int(upstream.latency * MICROSECONDS_PER_SECOND)
     suspect = is_local_suspect(upstream, now)
     return LocalLoad(upstream.name, upstream.in_flight, latency_us, suspect, now)
--- a/sequoiabridge/tests/pipeline/test_drain_checks.py
+++ b/sequoiabridge/tests/pipeline/test_drain_checks.py
@@ -32,11 +32,11 @@
     pool.drain("u1", 7, scene.clock.now())
     drain_checker = DrainChecker(scene.services, prober, scene.observer, scene.clock)
 
-    async def probe_drained():
+    async def run_round():
         await drain_checker.probe_drained()
         await curio.sleep(0)
 
-    curio.run(probe_drained)
+    curio.run(run_round)
     assert prober.probed == ["127.0.0.1:1"]
     returned = pool.why_unusable(pool.upstreams["u1"], scene.clock.now()) == ""
     assert scene.observer.returned == ([("u1", prober.answer.incarnation)] if returned else [])
@@ -70,11 +70,11 @@
         state.pool.record_failure(state.pool.upstreams["u1"], now, Failure.RESET, 0.1)
     drain_checker = DrainChecker(scene.services, prober, scene.observer, scene.clock)
 
-    async def probe_drained():
+    async def run_round():
         await (drain_checker.probe_drained() if drained else drain_checker.probe_failed())
         await curio.sleep(0)
 
-    curio.run(probe_drained)
+    curio.run(run_round)
     return scene
 
 
