--- a/sequoiabridge/codec.py
+++ b/sequoiabridge/codec.py
@@ -95,8 +95,8 @@
         """Return the next response and the bytes of its head; see `read_request`."""
         return self._read_head(parse_response)
 
-    def _read_head(self, reader) -> tuple[h11.Event | None, bytes]:
-        held = bytes(self.buffer)
+    def _read_head(self, parse) -> tuple[h11.Event | None, bytes]:
+        received = bytes(self.buffer)
         lines = self.buffer.maybe_extract_lines()
         if lines is None:
             if self.buffer.is_next_line_obviously_invalid_request_line():
@@ -104,7 +104,7 @@
             return None, b""
         if not lines:
             raise h11.LocalProtocolError("the first line is missing")
-        return reader(lines), held[: len(held) - len(self.buffer)]
+        return parse(lines), received[: len(received) - len(self.buffer)]
 
     def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage | None:
         """Return the next piece or the end of a body; None if more bytes are needed.
@@ -163,28 +163,28 @@
     Raises:
         h11.LocalProtocolError: The body is longer or shorter than the writer's length.
     """
-    parts: list[bytes] = []
-    writer(event, parts.append)
-    return parts[0] if len(parts) == 1 else b"".join(parts)
+    chunks: list[bytes] = []
+    writer(event, chunks.append)
+    return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
 
 def encode_request_head(event: h11.Request) -> bytes:
     """Return the encoded head of a request; its headers must define the body's framing."""
-    parts: list[bytes] = []
-    write_request(event, parts.append)
-    return _join_head(parts)
+    lines: list[bytes] = []
+    write_request(event, lines.append)
+    return _join_head(lines)
 
 
 def encode_response_head(event: h11.Response | h11.InformationalResponse) -> bytes:
     """Return the encoded head of a response; its headers must define the body's framing."""
-    parts: list[bytes] = []
-    write_any_response(event, parts.append)
-    return _join_head(parts)
+    lines: list[bytes] = []
+    write_any_response(event, lines.append)
+    return _join_head(lines)
 
 
-def _join_head(parts: list[bytes]) -> bytes:
+def _join_head(lines: list[bytes]) -> bytes:
     """Join the lines of a head; raise `UnsafeHeader` if a value contains a line break."""
-    head = b"".join(parts)
-    if head.count(b"\n") != len(parts) or head.count(b"\r") != len(parts):
+    head = b"".join(lines)
+    if head.count(b"\n") != len(lines) or head.count(b"\r") != len(lines):
         raise UnsafeHeader("A header value contains a line break; remove it where it is created.")
     return head
--- a/sequoiabridge/logs.py
+++ b/sequoiabridge/logs.py
@@ -17,9 +17,9 @@
         return f"{self.extra['prefix']}: {msg}", kwargs
 
 
-def get_log(part: str) -> PrefixAdapter:
+def get_log(component: str) -> PrefixAdapter:
     """Return the logger of a component; modules keep it as `log`."""
-    return PrefixAdapter(logging.getLogger(f"{ROOT_LOGGER}.{part}"), {"prefix": part})
+    return PrefixAdapter(logging.getLogger(f"{ROOT_LOGGER}.{component}"), {"prefix": component})
 
 
 def configure_logging(level: str) -> None:
--- a/sequoiabridge/metrics.py
+++ b/sequoiabridge/metrics.py
@@ -38,7 +38,7 @@
 CALL_LABELS = ("service", "kind")
 
 COST_UNIT_CALLS = 1000
-"""Number of calls to which the cost of measuring load is related."""
+"""The costs of measuring load are reported per this number of calls."""
 
 
 class CallSeries:
@@ -274,9 +274,9 @@
 
     def _window_family(self, calls: Calls) -> Iterator[Metric]:
         windows = (
-            ((*key, answer), number)
+            ((*key, in_window_label), number)
             for key, series in calls
-            for answer, number in (("yes", series.in_window), ("no", series.late))
+            for in_window_label, number in (("yes", series.in_window), ("no", series.late))
         )
         yield from split_family(
             CounterMetricFamily,
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -111,7 +111,7 @@
     assert fleet.everywhere(1, 10) is not None
     fleet.bench.faults.down = False
     fleet.accept(upstreams(2000))
-    # Takes several times as long if the first VM that has the document does not take turns.
+    # Takes several times as long if a VM sends the document to all others at the same time.
     assert fleet.everywhere(2, 150) is not None
 
 
--- a/sequoiabridge/tests/test_header_cache.py
+++ b/sequoiabridge/tests/test_header_cache.py
@@ -46,13 +46,13 @@
         buffer += data
         return maybe_read_from_IDLE_client(buffer)
 
-    def found():
+    def parsed():
         received = InputBuffer()
         received.feed(data)
         return received.read_request()[0]
 
-    assert outcome(found) == outcome(expected)
-    assert outcome(found) == outcome(expected)
+    assert outcome(parsed) == outcome(expected)
+    assert outcome(parsed) == outcome(expected)
 
 
 def test_cache_is_bounded_and_holds_no_secrets_and_no_long_lines():
@@ -60,8 +60,8 @@
     for number in range(3 * MAX_LINES):
         cache.parse([b"host: a", b"x-request: %d" % number])
         cache.parse([b"Cookie: %d" % number, b"AUTHORIZATION: b", b"x: " + b"l" * 300])
-    kept = cache.recent | cache.previous
-    assert len(kept) <= 2 * MAX_LINES and b"host: a" in kept
+    cached = cache.recent | cache.previous
+    assert len(cached) <= 2 * MAX_LINES and b"host: a" in cached
     assert not [
-        line for line in kept if line[:6].lower() in (b"cookie", b"author") or len(line) > 256
+        line for line in cached if line[:6].lower() in (b"cookie", b"author") or len(line) > 256
     ]
