--- a/sequoiabridge/tests/platform/soak/__init__.py
+++ b/sequoiabridge/tests/platform/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The fault soak: daemons as processes, faults from outside them, promises checked meanwhile."""
+"""Soak test: daemon processes serve calls under random faults, and an oracle checks guarantees."""
--- a/sequoiabridge/tests/platform/soak/__main__.py
+++ b/sequoiabridge/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`make soak-platform`: seeds after each other; exit status 1 if a promise was broken."""
+"""Command line of the soak; exit status 1 if a guarantee was violated."""
 
 import sys
 
@@ -10,26 +10,26 @@
 
 
 def main(*, seed: int = 1, seeds: int = 1, seconds: float = 20.0, daemons: int = 4) -> int:
-    """Run the soak.
+    """Run the soak with one or more seeds, one after the other.
 
     :param seed: the first seed
-    :param seeds: how many seeds, one after the other
-    :param seconds: length of each, a calm end of 6 s included
-    :param daemons: daemon processes
+    :param seeds: number of seeds
+    :param seconds: seconds for each seed, including 6 s without new faults at the end
+    :param daemons: number of daemon processes
     """
-    bad = 0
+    failed_seeds = 0
     for number in range(seed, seed + seeds):
         soak = Soak(number, seconds, daemons)
         violations = curio.run(soak.run, selector=LazySelector())
-        print(f"seed {number}: {soak.summary()}, broken {len(violations)}", flush=True)
-        for sentence in violations:
-            print(f"  BROKEN {sentence}", flush=True)
+        print(f"seed {number}: {soak.summary()}, violations {len(violations)}", flush=True)
+        for violation in violations:
+            print(f"  VIOLATION {violation}", flush=True)
         if violations:
-            bad += 1
+            failed_seeds += 1
             print(f"  logs: {soak.save_logs()}", flush=True)
         soak.close()
-    print(f"seeds {seeds}, with a broken promise {bad}")
-    return 1 if bad else 0
+    print(f"seeds {seeds}, with violations {failed_seeds}")
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/sequoiabridge/tests/platform/soak/deployment.py
+++ b/sequoiabridge/tests/platform/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The soak's deployment: store and upstreams here, daemons as processes, proxies in between."""
+"""The soak's deployment: daemon processes, and an emulated store and upstreams behind proxies."""
 
 import os
 import signal
@@ -17,11 +17,14 @@
 from .proxy import Proxy
 
 READY_TIMEOUT = 15.0
+"""Seconds within which a started daemon should be ready."""
+
 RESTART_DELAY = 0.1
+"""Seconds between checks whether a daemon has ended and must be restarted."""
 
 
 class Daemon:
-    """One daemon process, its settings, and the proxy on its way to the store."""
+    """A daemon process, its settings, and the proxy for its connections to the store."""
 
     def __init__(self, name: str, data_centre: str, store: Proxy, folder: Path):
         self.name = name
@@ -38,18 +41,18 @@
         self.starts = 1
 
     def start(self) -> None:
-        """Start the process; its log is added to."""
+        """Start the process; its output is appended to the log."""
         command = [sys.executable, "-m", "sequoiabridge.commands.gateway", str(self.settings)]
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(command, stdout=log, stderr=log)
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, by its id."""
+        """Send a signal to the process if it runs."""
         if self.process.poll() is None:
             os.kill(self.process.pid, number)
 
     async def supervise(self) -> None:
-        """Start the process again whenever it has ended, as the platform does."""
+        """Restart the process whenever it ends, as the platform does."""
         while True:
             await curio.sleep(RESTART_DELAY)
             if self.process.poll() is not None:
@@ -57,14 +60,14 @@
                 self.start()
 
     def kill(self) -> None:
-        """End the process for good."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.process.wait()
 
 
 class RecordedUpstream(UpstreamEmulator):
-    """An upstream that enters each run in the record."""
+    """An upstream that records each run."""
 
     def __init__(self, record: Record, clock, **more):
         super().__init__(**more)
@@ -72,7 +75,7 @@
         self.clock = clock
 
     async def run(self, connection, request):
-        """Enter the request, then run it."""
+        """Record the request, then run it."""
         call_id = request.header(b"x-attempt-id")
         size = len(request.body)
         self.record.runs.append(UpstreamRun(call_id, self.id, self.service, self.clock(), size))
@@ -80,7 +83,7 @@
 
 
 class Deployment:
-    """All parts; `close` ends the processes."""
+    """Store, upstreams, daemons and proxies; `close` stops the processes."""
 
     def __init__(self, seed: int, daemons: int, clock):
         self.random = Random(seed)
@@ -96,7 +99,7 @@
         self.upstream_count = 0
 
     async def start(self) -> None:
-        """Start everything and wait until all daemons are ready."""
+        """Start all parts and wait until all daemons are ready."""
         sock = curio.tcp_server_socket("127.0.0.1", 0, backlog=512)
         address = "{}:{}".format(*sock.getsockname()[:2])
         await curio.spawn(curio.network.run_server, sock, self.store.serve, daemon=True)
@@ -116,7 +119,7 @@
             await self.wait_until_ready(daemon)
 
     async def wait_until_ready(self, daemon: Daemon) -> bool:
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon is ready; return False after `READY_TIMEOUT`."""
         async with curio.ignore_after(READY_TIMEOUT):
             while not await self.is_ready(daemon):
                 await curio.sleep(0.05)
@@ -124,7 +127,7 @@
         return False
 
     async def is_ready(self, daemon: Daemon) -> bool:
-        """Ask a daemon as the balancer does."""
+        """Check the readiness of a daemon as the platform's balancer does."""
         try:
             async with curio.timeout_after(1.0):
                 connection = Connection(await curio.open_connection("127.0.0.1", daemon.ready))
@@ -135,7 +138,7 @@
             return False
 
     async def change_configuration(self) -> None:
-        """Write a new configuration, in which one route goes to the other service."""
+        """Write a new configuration that moves the alternating route to the other service."""
         self.version += 1
         service = ("reads", "approvals")[self.version % 2]
         alternating_route = route("/mark/", "idempotent", service)
@@ -143,7 +146,7 @@
         await self.store.put("op", "config", document(self.version, [alternating_route]))
 
     async def add_upstream(self, service: str) -> str:
-        """Start an upstream behind a proxy and list it."""
+        """Start an upstream behind a proxy and add its entry to the store."""
         self.upstream_count += 1
         id = f"{service}-{self.upstream_count}"
         data_centre = self.random.choice(("here", "there"))
@@ -165,7 +168,7 @@
         return id
 
     async def drain_upstream(self, id: str) -> None:
-        """List an upstream as leaving; it serves on for a while and ends."""
+        """List an upstream as draining; remove and stop it 4 s later."""
         upstream = self.upstreams.pop(id)
         upstream.draining = True
         await self.store.put("servers", id, upstream.entry())
@@ -175,7 +178,7 @@
         await upstream.crash()
 
     def close(self) -> None:
-        """End all processes that were started here."""
+        """Kill all daemon processes and delete their folder."""
         for daemon in self.daemons:
             daemon.kill()
         self.folder.cleanup()
--- a/sequoiabridge/tests/platform/soak/oracle.py
+++ b/sequoiabridge/tests/platform/soak/oracle.py
@@ -1,20 +1,27 @@
-"""What callers and upstreams saw, and which promises that breaks."""
+"""Records what callers and upstreams observed, and checks it against the daemon's guarantees."""
 
 READ, APPROVE, UPLOAD, MARK = "read", "approve", "upload", "mark"
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses by which the daemon states that a call did not run."""
+
 MAX_ATTEMPTS = 2
+"""Maximum number of upstreams that may run one call."""
+
 DRAIN_SECONDS = 2.0
-"""Seconds in which a leaving upstream must stop getting calls, once the store has told."""
+"""Seconds after which a draining upstream must get no more calls."""
+
 APPLY_SECONDS = 2.0
-"""Seconds in which a configuration must be in force, once the store has told."""
+"""Seconds after which a new configuration must be in force."""
+
 SETTLE_SECONDS = 3.0
-"""Seconds without any fault before a moment at which the bounds in time hold."""
+"""Seconds after a fault during which time limits are not checked."""
+
 DELIVERY_SECONDS = 0.5
-"""Seconds for the way of a request through busy processes of one machine."""
+"""Seconds that a request may take from a daemon to an upstream on a busy machine."""
 
 
 class CallRecord:
-    """One call: what was sent, when, and what came back."""
+    """One call of a caller and its answer."""
 
     def __init__(self, call_id, kind, daemon, sent_at):
         self.id = call_id
@@ -29,7 +36,7 @@
 
 
 class UpstreamRun:
-    """One call that an upstream began to run."""
+    """One call that an upstream started to run."""
 
     def __init__(self, call_id, upstream, service, started_at, size):
         self.id = call_id
@@ -40,14 +47,14 @@
 
 
 class Record:
-    """All that happened in one soak; times on one clock.
+    """Events of one soak run; times are in seconds on one clock.
 
     Attributes:
-        faults: (start, end, what) of every fault.
-        drains: When each upstream was listed as leaving.
-        marks: (when, service) of each change of the route that moves.
-        stops: (when, daemon) of each planned stop.
-        body_size: Bytes of each call's body.
+        faults: Start, end and description of each fault.
+        drains: Time at which each upstream was listed as draining, by id.
+        route_changes: Time and new service of each change of the alternating route.
+        stops: Time and daemon of each graceful stop.
+        body_sizes: Bytes of the body of each call, by id.
     """
 
     def __init__(self):
@@ -60,7 +67,7 @@
         self.body_sizes: dict[str, int] = {}
 
     def is_fault_free(self, at: float, until: float | None = None) -> bool:
-        """Return whether there was no fault from `CALM` seconds before `at` on."""
+        """Return whether no fault was active from `SETTLE_SECONDS` before `at` to `until`."""
         end = until or at
         return not any(
             start <= end and at - SETTLE_SECONDS <= stop for start, stop, _ in self.faults
@@ -68,7 +75,7 @@
 
 
 def find_violations(record: Record) -> list[str]:
-    """Return one sentence for each broken promise."""
+    """Return a message for each violated guarantee."""
     runs: dict[str, list[UpstreamRun]] = {}
     for run in record.runs:
         runs.setdefault(run.id, []).append(run)
@@ -76,14 +83,14 @@
     for call in record.calls:
         violations += check_call(record, call, runs.get(call.id, []))
     known = {call.id for call in record.calls}
-    violations += [f"{id}: ran, and nobody sent it" for id in runs if id not in known]
+    violations += [f"{id}: ran, but no caller sent it" for id in runs if id not in known]
     violations += check_drains(record)
     violations += check_stops(record)
     return violations
 
 
 def check_call(record: Record, call: CallRecord, runs: list[UpstreamRun]) -> list[str]:
-    """Return what is wrong with one call."""
+    """Return the violations of one call."""
     violations = []
     name = f"{call.id} ({call.kind} at {call.daemon}, {call.sent_at:.2f})"
     if call.kind in (APPROVE, UPLOAD) and len(runs) > 1:
@@ -91,11 +98,11 @@
     if len({run.upstream for run in runs}) > MAX_ATTEMPTS:
         violations.append(f"{name}: ran at {len(runs)} upstreams")
     if call.status in NOT_RUN_STATUSES and call.kind in (APPROVE, UPLOAD) and runs:
-        violations.append(f"{name}: told {call.status}, and ran")
+        violations.append(f"{name}: answered with {call.status}, but ran")
     if call.status == 200 and call.is_complete:
         by = call.body.split(b" ")
         if len(by) != 3 or by[1] != call.id.encode():
-            violations.append(f"{name}: got the answer {call.body[:60]!r}")
+            violations.append(f"{name}: got a wrong answer: {call.body[:60]!r}")
         elif not any(run.upstream.encode() == by[0] for run in runs):
             violations.append(f"{name}: answered by {by[0]!r}, which did not run it")
     size = record.body_sizes.get(call.id, 0)
@@ -108,14 +115,14 @@
 def check_routing(
     record: Record, call: CallRecord, runs: list[UpstreamRun], name: str
 ) -> list[str]:
-    """Return whether a call went by a configuration that was no longer in force."""
+    """Return a message for each run of a call at a service of an outdated configuration."""
     if not record.is_fault_free(call.sent_at, call.ended_at):
         return []
     allowed = [s for at, s in record.route_changes if at <= call.ended_at]
     current = [
         s for at, s in record.route_changes if at <= call.sent_at - APPLY_SECONDS - DELIVERY_SECONDS
     ]
-    # From the last change that had to be in force when it was sent, any later one may count.
+    # Allowed: the last change that had to be in force when the call was sent, and later ones.
     allowed = allowed[max(0, len(current) - 1) :]
     return [
         f"{name}: ran at {r.service}, allowed {allowed}" for r in runs if r.service not in allowed
@@ -123,18 +130,20 @@
 
 
 def check_drains(record: Record) -> list[str]:
-    """Return calls that reached an upstream long after it was leaving."""
+    """Return a message for each call that reached an upstream too long after its drain started."""
     time_limit = DRAIN_SECONDS + DELIVERY_SECONDS
     violations = []
     for run in record.runs:
         since = run.started_at - record.drains.get(run.upstream, run.started_at)
         if since > time_limit and record.is_fault_free(run.started_at):
-            violations.append(f"{run.id}: reached {run.upstream} {since:.2f} s after it left")
+            violations.append(
+                f"{run.id}: reached {run.upstream} {since:.2f} s after its drain started"
+            )
     return violations
 
 
 def check_stops(record: Record) -> list[str]:
-    """Return calls without a whole answer at a daemon that was being stopped as planned."""
+    """Return a message for each call that a graceful stop of its daemon cut off."""
     violations = []
     for at, daemon in record.stops:
         for call in record.calls:
@@ -142,6 +151,6 @@
             lost = call.connected and not call.is_complete and call.sent_at <= at + 2.0
             if near and lost and record.is_fault_free(call.sent_at, call.ended_at):
                 violations.append(
-                    f"{call.id} ({call.kind}): cut off by the stop of {daemon} at {at:.2f}"
+                    f"{call.id} ({call.kind}): cut off by the graceful stop of {daemon} at {at:.2f}"
                 )
     return violations
--- a/sequoiabridge/tests/platform/soak/proxy.py
+++ b/sequoiabridge/tests/platform/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback proxy that injects faults into the connections through it."""
 
 from enum import Enum
 from random import Random
@@ -6,11 +6,21 @@
 import curio
 
 CHUNK_SIZE = 65536
+"""Maximum bytes forwarded at a time."""
+
 HANG_SECONDS = 3600.0
+"""Seconds for which a connection forwards nothing; longer than any run."""
 
 
 class LinkFault(Enum):
-    """What a proxy does to its connections."""
+    """Fault of the connections through a proxy.
+
+    Attributes:
+        DELAY: Delay each chunk.
+        RESET: Close open connections and refuse new ones.
+        ONE_WAY: Forward only the data from the client.
+        BLACKHOLE: Forward nothing.
+    """
 
     NONE = "none"
     DELAY = "delay"
@@ -20,7 +30,7 @@
 
 
 class Proxy:
-    """Forwards connections from an address of its own to `target`."""
+    """Forwards connections to `target` from its own address."""
 
     def __init__(self, target: str, random: Random):
         self.target = target
@@ -30,13 +40,13 @@
         self.pairs: set[tuple] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening on a free port."""
         sock = curio.tcp_server_socket("127.0.0.1", 0, backlog=512)
         self.address = "{}:{}".format(*sock.getsockname()[:2])
         await curio.spawn(curio.network.run_server, sock, self.serve, daemon=True)
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Begin to harm; a reset ends what is open, the others harm that as well."""
+        """Set the fault of open and new connections; `RESET` closes the open ones."""
         self.fault = fault
         if fault is LinkFault.RESET:
             for pair in list(self.pairs):
@@ -64,7 +74,7 @@
             await side.close()
 
     async def forward(self, source, sink, to_client: bool) -> None:
-        """Forward one direction until its end."""
+        """Forward one direction until it ends."""
         try:
             while data := await source.recv(CHUNK_SIZE):
                 if self.fault is LinkFault.BLACKHOLE or (
@@ -75,15 +85,15 @@
                     await curio.sleep(self.random.uniform(0.02, 0.3))
                 await sink.sendall(data)
         except OSError:
-            pass  # One side has gone; the other is ended below.
+            pass  # One side is closed; the other is closed below.
         abort(sink)
 
 
 def abort(sock) -> None:
-    """End a connection at once."""
+    """Shut down a connection in both directions."""
     try:
         with sock.blocking() as raw:
             raw.setblocking(False)
             raw.shutdown(2)
     except OSError:
-        return  # It was ended or closed already.
+        return  # It was closed already.
--- a/sequoiabridge/tests/platform/soak/soak.py
+++ b/sequoiabridge/tests/platform/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: callers press on while faults come in series and overlap, then a calm end."""
+"""One soak run: callers send calls under overlapping random faults, then without faults."""
 
 import shutil
 import signal
@@ -14,33 +14,36 @@
 from .proxy import LinkFault
 
 RECOVERY_SECONDS = 6.0
-"""Seconds without new faults at the end of a soak, in which all must be well again."""
+"""Seconds without new faults at the end of a run."""
 
 RECOVERED_SECONDS = 4.0
-"""Last seconds of them, in which nearly all calls must be answered."""
+"""Last seconds of a run, in which nearly all calls must be answered."""
 
 MIN_ANSWERED_SHARE = 0.95
-"""Share of those that must be: some upstreams answer slowly by chance."""
+"""Minimum share of answered calls in these seconds; upstreams may still be slow by chance."""
 
 CALLERS_PER_DAEMON = 6
-"""Callers of each daemon; they keep their connections until these end."""
+"""Number of callers of each daemon; each keeps its connection until that ends."""
 
 READY_POLL_INTERVAL = 0.3
-"""Seconds before a caller looks again for a daemon that is ready."""
+"""Seconds between a caller's readiness checks of its daemon."""
 
 MEAN_CALL_INTERVAL = 0.06
-"""Mean seconds between two calls of a caller."""
+"""Mean seconds between an answer and the caller's next call."""
 
 CALL_KINDS = ((READ, 0.5), (APPROVE, 0.3), (UPLOAD, 0.1), (MARK, 0.1))
+"""Kinds of calls and their shares."""
+
 MEAN_FAULT_INTERVAL = 0.4
-"""Mean seconds between the beginnings of two faults; they last 0.5 to 3 s, so several overlap."""
+"""Mean seconds between the starts of two faults; shorter than most faults, so that they overlap."""
 
 CALL_TIMEOUT_MS = 2000
 UPLOAD_SIZE = 70_000
+"""Bytes of the body of an upload."""
 
 
 class Soak:
-    """One seed."""
+    """One run with a fixed seed."""
 
     def __init__(self, seed: int, seconds: float, daemons: int):
         self.seed = seed
@@ -52,11 +55,11 @@
         self.call_count = 0
 
     def now(self) -> float:
-        """Return the seconds since the soak was made."""
+        """Return the seconds since this object was created."""
         return time.monotonic() - self.started_at
 
     async def run(self) -> list[str]:
-        """Run the soak and return what was broken."""
+        """Run the soak; return a message for each violation."""
         deployment = self.deployment
         await deployment.start()
         callers = [
@@ -74,7 +77,7 @@
         return find_violations(deployment.record) + self.check_recovery(end)
 
     def check_recovery(self, end: float) -> list[str]:
-        """Return a sentence if calls still fail long after the last fault."""
+        """Return a message if too many calls fail long after the last fault."""
         recent_calls = [
             call
             for call in self.deployment.record.calls
@@ -83,26 +86,26 @@
         good = sum(call.status == 200 and call.is_complete for call in recent_calls)
         if good >= MIN_ANSWERED_SHARE * len(recent_calls):
             return []
-        return [f"only {good} of {len(recent_calls)} calls answered in the calm end"]
+        return [f"only {good} of {len(recent_calls)} calls answered after the last fault"]
 
     def summary(self) -> str:
-        """Say what was done."""
+        """Return the numbers of faults, calls and answered calls as text."""
         record = self.deployment.record
         good = sum(call.status == 200 and call.is_complete for call in record.calls)
         return f"{len(record.faults)} faults, {len(record.calls)} calls, {good} answered"
 
     def save_logs(self) -> str:
-        """Copy the daemons' logs to a folder that stays; return its name."""
-        kept = tempfile.mkdtemp(prefix=f"soak-seed-{self.seed}-")
-        shutil.copytree(self.deployment.folder.name, kept, dirs_exist_ok=True)
-        return kept
+        """Copy the daemons' logs to a new folder that is not deleted; return its path."""
+        folder = tempfile.mkdtemp(prefix=f"soak-seed-{self.seed}-")
+        shutil.copytree(self.deployment.folder.name, folder, dirs_exist_ok=True)
+        return folder
 
     def close(self) -> None:
-        """End what was started."""
+        """Stop all processes."""
         self.deployment.close()
 
     async def run_caller(self, daemon: Daemon, random: Random) -> None:
-        """Call one daemon, on one connection for as long as that lasts."""
+        """Send calls to one daemon until the run ends, reusing the connection while possible."""
         connection = None
         while not self.stopping:
             await curio.sleep(random.expovariate(1 / MEAN_CALL_INTERVAL))
@@ -115,9 +118,9 @@
             await connection.sock.close()
 
     async def connect(self, daemon: Daemon) -> Connection | None:
-        """Return a new connection, None if there is none to be had.
+        """Return a new connection, or None if the daemon is not ready or cannot be reached.
 
-        As behind the platform's balancer, a daemon that does not say that it is ready gets none.
+        The platform's balancer also sends no connections to a daemon that is not ready.
         """
         if not await self.deployment.is_ready(daemon):
             await curio.sleep(READY_POLL_INTERVAL)
@@ -129,7 +132,7 @@
             return None
 
     async def call(self, connection: Connection, daemon: Daemon, random: Random) -> bool:
-        """Make one call; return whether the connection can be used again."""
+        """Make one call; return whether the connection can be reused."""
         self.call_count += 1
         kind = random.choices([k for k, _ in CALL_KINDS], [share for _, share in CALL_KINDS])[0]
         call = CallRecord(f"s{self.seed}-{self.call_count}", kind, daemon.name, self.now())
@@ -154,7 +157,7 @@
         return reply.is_complete and reply.headers.get(b"connection") != b"close"
 
     async def inject_faults(self, until: float) -> None:
-        """Let faults come, several at a time, until a moment."""
+        """Inject random faults, several at a time, until the time `until`."""
         running = []
         await curio.sleep(2.0)
         while self.now() < until:
@@ -165,7 +168,7 @@
             await task.join()
 
     def fault_kinds(self) -> list:
-        """Return the faults and the planned work that may come."""
+        """Return the faults and planned operations to choose from; some stand twice."""
         planned = [
             self.stop_daemon,
             self.stop_daemon,
@@ -188,11 +191,11 @@
         )
 
     def record_fault(self, seconds: float, what: str) -> None:
-        """Enter a fault that lasts some seconds from now on."""
+        """Record a fault whose effects last `seconds` from now on."""
         self.deployment.record.faults.append((self.now(), self.now() + seconds, what))
 
     async def stop_daemon(self, seconds: float) -> None:
-        """Stop a daemon as planned."""
+        """Stop a daemon gracefully."""
         daemon = self.random.choice(self.deployment.daemons)
         if await self.deployment.is_ready(daemon):
             self.deployment.record.stops.append((self.now(), daemon.name))
@@ -205,7 +208,7 @@
         daemon.signal(signal.SIGKILL)
 
     async def pause_daemon(self, seconds: float) -> None:
-        """Let a daemon stand still."""
+        """Suspend a daemon's process."""
         daemon = self.random.choice(self.deployment.daemons)
         self.record_fault(seconds + 1.0, f"pause {daemon.name}")
         daemon.signal(signal.SIGSTOP)
@@ -213,49 +216,49 @@
         daemon.signal(signal.SIGCONT)
 
     async def reload_settings(self, seconds: float) -> None:
-        """Tell a daemon that its settings have changed."""
+        """Signal a daemon to reload its settings."""
         self.random.choice(self.deployment.daemons).signal(signal.SIGHUP)
 
     async def change_configuration(self, seconds: float) -> None:
-        """Change the configuration, sometimes several times in a row."""
+        """Change the configuration once or several times in a row."""
         for _ in range(self.random.choice((1, 1, 4))):
             await self.deployment.change_configuration()
             await curio.sleep(0.15)
 
     async def replace_upstream(self, seconds: float) -> None:
-        """Let an upstream leave, and another come."""
+        """Drain an upstream and add another."""
         ids = [id for id in self.deployment.upstreams if id.startswith("reads")]
         if len(ids) > 3:
             await self.deployment.add_upstream("reads")
             await self.deployment.drain_upstream(self.random.choice(ids))
 
     async def add_upstream(self, seconds: float) -> None:
-        """Let an upstream come."""
+        """Add an upstream."""
         if len(self.deployment.upstreams) < 14:
             await self.deployment.add_upstream(self.random.choice(("reads", "approvals")))
 
     async def disturb_store_link(self, seconds: float) -> None:
-        """Harm the way of one daemon to the store."""
+        """Disturb the connections of one daemon to the store."""
         daemon = self.random.choice(self.deployment.daemons)
         await self.disturb_link(daemon.store, seconds, f"store of {daemon.name}")
 
     async def disturb_upstream_link(self, seconds: float) -> None:
-        """Harm the way of all daemons to one upstream."""
+        """Disturb the connections of all daemons to one upstream."""
         id = self.random.choice(list(self.deployment.upstreams))
         await self.disturb_link(self.deployment.proxies[id], seconds, id)
 
     async def disturb_link(self, proxy, seconds: float, what: str) -> None:
-        """Harm the connections through a proxy for some seconds."""
+        """Disturb the connections through a proxy."""
         fault = self.random.choice([f for f in LinkFault if f is not LinkFault.NONE])
         self.record_fault(seconds + 3.0, f"{fault.value} {what}")
         proxy.set_fault(fault)
         await curio.sleep(seconds)
-        # What was forwarded to nowhere meanwhile is lost; such connections end.
+        # Data was dropped meanwhile, so the open connections cannot be used any more.
         proxy.set_fault(LinkFault.RESET)
         proxy.set_fault(LinkFault.NONE)
 
     async def inject_store_fault(self, seconds: float) -> None:
-        """Let the store refuse, lose answers, be slow, or forget its history."""
+        """Make the store refuse calls, lose answers, answer slowly, or drop its history."""
         faults = self.deployment.store.faults
         self.record_fault(seconds + 3.0, "store")
         kind = self.random.choice(("refuse", "lose", "slow", "forget"))
@@ -272,7 +275,7 @@
         faults.refuse, faults.delay, faults.lose_answers = 0, 0.0, 0
 
     async def inject_upstream_fault(self, seconds: float) -> None:
-        """Let an upstream misbehave."""
+        """Set a random fault of one upstream."""
         upstream = self.random.choice(list(self.deployment.upstreams.values()))
         kind = self.random.choice(("reset", "lose", "cut", "fail", "slow", "shed", "late_extra"))
         value = {"slow": 10.0, "shed": True, "late_extra": True}.get(kind, 0.4)
