--- a/sequoiabridge/tests/pipeline/test_dispatch.py
+++ b/sequoiabridge/tests/pipeline/test_dispatch.py
@@ -10,7 +10,7 @@
 from ...policy.base import Failure
 from .fakes import Behaviour, DispatchScene, LedgerObserver
 
-NON_IDEMPOTENT = {"idempotent": "no"}
+NOT_IDEMPOTENT = {"idempotent": "no"}
 IDEMPOTENT = {"idempotent": "yes"}
 HEDGED = {"idempotent": "yes", "hedge": "yes"}
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("behaviour", [Behaviour.RESET, Behaviour.TRUNCATE])
 def test_non_idempotent_call_is_sent_once_and_its_outcome_is_unknown(behaviour):
-    scene = DispatchScene(behaviour, behaviour, behaviour, **NON_IDEMPOTENT)
+    scene = DispatchScene(behaviour, behaviour, behaviour, **NOT_IDEMPOTENT)
     refusal = get_refusal(scene, scene.exchange())
     assert refusal.outcome is Outcome.UNKNOWN
     assert len(scene.connector.received) == 1
@@ -39,14 +39,14 @@
 
 
 def test_non_idempotent_call_that_reached_no_upstream_is_retried():
-    scene = DispatchScene(Behaviour.REFUSE_CONNECTION, Behaviour.ANSWER, **NON_IDEMPOTENT)
+    scene = DispatchScene(Behaviour.REFUSE_CONNECTION, Behaviour.ANSWER, **NOT_IDEMPOTENT)
     assert scene.run(scene.exchange()).status == 200
     assert len(scene.connector.received) == 1
     assert scene.in_flight == 0
 
 
 def test_call_that_every_upstream_shed_is_refused_as_not_run_with_retry_after():
-    scene = DispatchScene(Behaviour.SHED, Behaviour.SHED, **NON_IDEMPOTENT)
+    scene = DispatchScene(Behaviour.SHED, Behaviour.SHED, **NOT_IDEMPOTENT)
     refusal = get_refusal(scene, scene.exchange())
     assert refusal.outcome is Outcome.NOT_RUN
     assert refusal.reason is Reason.UPSTREAM_SHED
@@ -94,7 +94,7 @@
 
 
 def test_server_error_of_a_non_idempotent_call_is_not_retried():
-    scene = DispatchScene(Behaviour.FAIL, Behaviour.ANSWER, Behaviour.ANSWER, **NON_IDEMPOTENT)
+    scene = DispatchScene(Behaviour.FAIL, Behaviour.ANSWER, Behaviour.ANSWER, **NOT_IDEMPOTENT)
     for _ in range(8):
         scene.connector.received.clear()
         scene.run(scene.exchange())
@@ -120,7 +120,7 @@
 
 def test_non_idempotent_call_without_an_answer_times_out_at_its_deadline():
     scene = DispatchScene(
-        Behaviour.NEVER_ANSWER, Behaviour.ANSWER, Behaviour.NEVER_ANSWER, **NON_IDEMPOTENT
+        Behaviour.NEVER_ANSWER, Behaviour.ANSWER, Behaviour.NEVER_ANSWER, **NOT_IDEMPOTENT
     )
     pool = scene.services.by_name["s"].pool
     pool.upstreams["u2"].drained = True
@@ -132,7 +132,7 @@
 
 
 def test_nothing_is_sent_after_the_deadline():
-    scene = DispatchScene(Behaviour.ANSWER, **NON_IDEMPOTENT)
+    scene = DispatchScene(Behaviour.ANSWER, **NOT_IDEMPOTENT)
     exchange = scene.exchange()
     exchange.deadline = scene.clock.now() - 1.0
     assert get_refusal(scene, exchange).outcome is Outcome.NOT_RUN
@@ -140,7 +140,7 @@
 
 
 def test_call_is_cancelled_at_its_upstream_when_the_caller_disconnects():
-    scene = DispatchScene(Behaviour.NEVER_ANSWER, **NON_IDEMPOTENT)
+    scene = DispatchScene(Behaviour.NEVER_ANSWER, **NOT_IDEMPOTENT)
 
     async def leave():
         task = await curio.spawn(scene.dispatch.run, scene.exchange())
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("behaviour", [Behaviour.SHED, Behaviour.BREAK_BEFORE_SEND])
 def test_call_is_not_retried_after_its_streamed_body_was_started(behaviour):
     for seed in range(4):
-        scene = DispatchScene(behaviour, Behaviour.ANSWER, behaviour, seed=seed, **NON_IDEMPOTENT)
+        scene = DispatchScene(behaviour, Behaviour.ANSWER, behaviour, seed=seed, **NOT_IDEMPOTENT)
         exchange = scene.exchange()
         exchange.request.body, exchange.request.length = OneTimeBody(), None
         try:
