--- a/sequoiabridge/platform/entries.py
+++ b/sequoiabridge/platform/entries.py
@@ -43,7 +43,7 @@
         slots=as_integer(info.get("slots"), "slots", 1, MAX_SLOTS),
         draining=_decode_state(status) == DRAINING,
         cold_seconds=as_number(
-            status.get("cold_remaining_s"), "its cold time", 0.0, MAX_COLD_SECONDS
+            status.get("cold_remaining_s"), "cold_remaining_s", 0.0, MAX_COLD_SECONDS
         ),
         version=as_text(info.get("version"), "version"),
         born=_decode_born(entry),
--- a/sequoiabridge/platform/services.py
+++ b/sequoiabridge/platform/services.py
@@ -32,7 +32,7 @@
 VM_TABLE = "vms"
 """The table that lists VMs, by name."""
 
-NO_PART = ""
+PART = ""
 """Part of a table that holds all rows, so that one transaction may cover any of them."""
 
 ONLY_IF_ABSENT = (b"if-none-match", b"*")
@@ -82,33 +82,31 @@
     async def transact(
         self, conditions: list[Condition], writes: list[Write], timeout: float
     ) -> Result[None, StoreError]:
-        store_conditions = [
-            stored.Condition(c.table, NO_PART, c.key, c.version) for c in conditions
-        ]
-        store_writes = [stored.Write(w.table, NO_PART, w.key, w.value) for w in writes]
+        store_conditions = [stored.Condition(c.table, PART, c.key, c.version) for c in conditions]
+        store_writes = [stored.Write(w.table, PART, w.key, w.value) for w in writes]
         return await call_store(
             lambda: self.client.transact(store_conditions, store_writes), discard, timeout
         )
 
     async def read(self, table: str, key: str, timeout: float) -> Result[Row | None, StoreError]:
-        def first_row(rows: stored.Rows) -> Row | None:
-            return to_row(rows.rows[0]) if rows.rows else None
+        def first_row(result: stored.Rows) -> Row | None:
+            return to_row(result.rows[0]) if result.rows else None
 
         end = key + "\0"
         return await call_store(
-            lambda: self.client.rows(table, NO_PART, key, end, limit=1), first_row, timeout
+            lambda: self.client.rows(table, PART, key, end, limit=1), first_row, timeout
         )
 
     async def scan(
         self, table: str, prefix: str, after: str, limit: int, timeout: float
     ) -> Result[list[Row], StoreError]:
-        def to_rows(rows: stored.Rows) -> list[Row]:
-            return [to_row(row) for row in rows.rows]
+        def to_rows(result: stored.Rows) -> list[Row]:
+            return [to_row(row) for row in result.rows]
 
         start = max(prefix, after + "\0") if after else prefix
         end = prefix + MAX_KEY if prefix else ""
         return await call_store(
-            lambda: self.client.rows(table, NO_PART, start, end, limit=limit), to_rows, timeout
+            lambda: self.client.rows(table, PART, start, end, limit=limit), to_rows, timeout
         )
 
 
@@ -163,8 +161,8 @@
         self.client = PlatformClient(address, clock, call_timeout=CLIENT_TIMEOUT)
 
     async def vms(self, timeout: float) -> Result[list[ListedVm], StoreError]:
-        def to_vms(rows: stored.Rows) -> list[ListedVm]:
-            return [VM_DECODER.decode(row.value) for row in rows.rows]
+        def to_vms(result: stored.Rows) -> list[ListedVm]:
+            return [VM_DECODER.decode(row.value) for row in result.rows]
 
         return await call_store(lambda: self.client.rows(VM_TABLE), to_vms, timeout)
 
--- a/sequoiabridge/tests/platform/environment.py
+++ b/sequoiabridge/tests/platform/environment.py
@@ -42,13 +42,13 @@
     }
 
 
-def document(version=1, paths=(), **limits):
+def document(version=1, extra_routes=(), **limits):
     """Return a configuration document with routes for reads, approvals and uploads."""
     routes = [
         route("/read/", "idempotent", "reads"),
         route("/approve/", "non_idempotent", "approvals"),
         route("/upload/", "upload", "approvals"),
-        *paths,
+        *extra_routes,
     ]
     services = [
         {"name": name, "health_check_path": "/health", "max_connections": 220}
--- a/sequoiabridge/tests/platform/service.py
+++ b/sequoiabridge/tests/platform/service.py
@@ -70,14 +70,14 @@
         self.updated_at = time.monotonic()
         self.passed = self.refused = 0
 
-    def try_acquire(self, cost: float = 1.0) -> bool:
+    def try_acquire(self, tokens: float = 1.0) -> bool:
         now = time.monotonic()
         gain = (now - self.updated_at) * self.per_second
         self.tokens, self.updated_at = min(self.per_second * BURST_SECONDS, self.tokens + gain), now
         if self.per_second and self.tokens <= 0:
             self.refused += 1
             return False
-        self.tokens -= cost
+        self.tokens -= tokens
         self.passed += 1
         return True
 
@@ -110,17 +110,17 @@
         if endpoint == "rows-get" and query["table"] == VM_TABLE:
             return await self.list_vms()
         writes = method != "GET"
-        cost = self.cost(body) if endpoint == "rows-tx" else 1
-        if not (self.writes.try_acquire(cost) if writes else self.reads.try_acquire()):
+        write_count = self.write_count(body) if endpoint == "rows-tx" else 1
+        if not (self.writes.try_acquire(write_count) if writes else self.reads.try_acquire()):
             return HTTPStatus.TOO_MANY_REQUESTS, b""
         if endpoint == "rows-tx":
-            call = msgspec.json.decode(body, type=Transaction)
-            return await self.write(self.tables, call.conditions(), call.writes())
+            transaction = msgspec.json.decode(body, type=Transaction)
+            return await self.write(self.tables, transaction.conditions(), transaction.writes())
         if endpoint == "rows-get":
-            return await self.get_rows(query)
-        return await self.use_objects(method, unquote(name), query, body)
+            return await self.handle_get_rows(query)
+        return await self.handle_objects(method, unquote(name), query, body)
 
-    def cost(self, body: bytes) -> int:
+    def write_count(self, body: bytes) -> int:
         if not self.count_rows:
             return 1
         return len(msgspec.json.decode(body, type=Transaction).writes())
@@ -142,18 +142,18 @@
         if result.is_error():
             raise ConnectionDropped
         rows = [Row(VM_TABLE, vm.name, ENCODER.encode(vm), 1) for vm in result.ok]
-        return self.page(rows)
+        return self.encode_page(rows)
 
-    async def get_rows(self, query: dict) -> tuple[int, bytes]:
+    async def handle_get_rows(self, query: dict) -> tuple[int, bytes]:
         table, limit = query["table"], int(query["limit"])
         result = await self.tables.scan(table, "", "", 1 << 30, 60.0)
         if result.is_error():
-            return self.reply(result)
+            return self.encode_result(result)
         start, end = query.get("from", ""), query.get("target", "\U0010ffff" * 2)
         rows = [row for row in result.ok if start <= row.key < end]
-        return self.page(rows[:limit], len(rows) > limit)
+        return self.encode_page(rows[:limit], len(rows) > limit)
 
-    def page(self, rows: list[Row], more: bool = False) -> tuple[int, bytes]:
+    def encode_page(self, rows: list[Row], more: bool = False) -> tuple[int, bytes]:
         encoded_rows = [
             {"table": r.table, "part": "", "key": r.key, "value": r.value, "ver": r.version}
             for r in rows
@@ -165,28 +165,28 @@
         result = await tables.transact(conditions, writes, 60.0)
         if len(tables.waiting) > waiting_before:
             await curio.spawn(self.apply_late_writes, tables, daemon=True)
-        return self.reply(result)
+        return self.encode_result(result)
 
     async def apply_late_writes(self, tables: MemoryTables) -> None:
         await curio.sleep(self.faults.late_after)
         tables.land_late()
 
-    async def use_objects(self, method, name, query, body) -> tuple[int, bytes]:
+    async def handle_objects(self, method, name, query, body) -> tuple[int, bytes]:
         if method == "PUT":
-            return self.reply(await self.objects.put(name, body, 60.0))
+            return self.encode_result(await self.objects.put(name, body, 60.0))
         if method == "DELETE":
-            return self.reply(await self.objects.delete(name, 60.0))
+            return self.encode_result(await self.objects.delete(name, 60.0))
         if not name:
             result = await self.objects.names(
                 query["prefix"], query["after"], MAX_LISTED_NAMES, 60.0
             )
-            return self.reply(result.map(lambda names: {"names": names, "has_more": False}))
+            return self.encode_result(result.map(lambda names: {"names": names, "has_more": False}))
         result = await self.objects.get(name, 60.0)
         if result.is_ok():
             return (HTTPStatus.OK, result.ok) if result.ok is not None else (404, b"")
-        return self.reply(result)
+        return self.encode_result(result)
 
-    def reply(self, result) -> tuple[int, bytes]:
+    def encode_result(self, result) -> tuple[int, bytes]:
         if result.is_ok():
             return HTTPStatus.OK, ENCODER.encode(result.ok if result.ok is not None else {"ver": 1})
         if result.error.kind not in STATUS_BY_ERROR:
--- a/sequoiabridge/tests/platform/soak/oracle.py
+++ b/sequoiabridge/tests/platform/soak/oracle.py
@@ -1,6 +1,8 @@
 """Records what callers and upstreams observed, and checks it against the daemon's guarantees."""
 
 READ, APPROVE, UPLOAD, MARK = "read", "approve", "upload", "mark"
+"""Kinds of calls, each with a route of its own; the route of `MARK` alternates between services."""
+
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses by which the daemon states that a call did not run."""
 
@@ -82,8 +84,8 @@
     violations = []
     for call in record.calls:
         violations += check_call(record, call, runs.get(call.id, []))
-    known = {call.id for call in record.calls}
-    violations += [f"{id}: ran, but no caller sent it" for id in runs if id not in known]
+    sent_ids = {call.id for call in record.calls}
+    violations += [f"{id}: ran, but no caller sent it" for id in runs if id not in sent_ids]
     violations += check_drains(record)
     violations += check_stops(record)
     return violations
@@ -92,40 +94,40 @@
 def check_call(record: Record, call: CallRecord, runs: list[UpstreamRun]) -> list[str]:
     """Return the violations of one call."""
     violations = []
-    name = f"{call.id} ({call.kind} at {call.daemon}, {call.sent_at:.2f})"
+    label = f"{call.id} ({call.kind} at {call.daemon}, {call.sent_at:.2f})"
     if call.kind in (APPROVE, UPLOAD) and len(runs) > 1:
-        violations.append(f"{name}: ran {len(runs)} times")
+        violations.append(f"{label}: ran {len(runs)} times")
     if len({run.upstream for run in runs}) > MAX_ATTEMPTS:
-        violations.append(f"{name}: ran at {len(runs)} upstreams")
+        violations.append(f"{label}: ran at {len(runs)} upstreams")
     if call.status in NOT_RUN_STATUSES and call.kind in (APPROVE, UPLOAD) and runs:
-        violations.append(f"{name}: answered with {call.status}, but ran")
+        violations.append(f"{label}: answered with {call.status}, but ran")
     if call.status == 200 and call.is_complete:
-        by = call.body.split(b" ")
-        if len(by) != 3 or by[1] != call.id.encode():
-            violations.append(f"{name}: got a wrong answer: {call.body[:60]!r}")
-        elif not any(run.upstream.encode() == by[0] for run in runs):
-            violations.append(f"{name}: answered by {by[0]!r}, which did not run it")
+        fields = call.body.split(b" ")
+        if len(fields) != 3 or fields[1] != call.id.encode():
+            violations.append(f"{label}: got a wrong answer: {call.body[:60]!r}")
+        elif not any(run.upstream.encode() == fields[0] for run in runs):
+            violations.append(f"{label}: answered by {fields[0]!r}, which did not run it")
     size = record.body_sizes.get(call.id, 0)
-    violations += [f"{name}: ran with {r.size} of {size} bytes" for r in runs if r.size != size]
+    violations += [f"{label}: ran with {r.size} of {size} bytes" for r in runs if r.size != size]
     if call.kind == MARK:
-        violations += check_routing(record, call, runs, name)
+        violations += check_routing(record, call, runs, label)
     return violations
 
 
 def check_routing(
-    record: Record, call: CallRecord, runs: list[UpstreamRun], name: str
+    record: Record, call: CallRecord, runs: list[UpstreamRun], label: str
 ) -> list[str]:
     """Return a message for each run of a call at a service of an outdated configuration."""
     if not record.is_fault_free(call.sent_at, call.ended_at):
         return []
     allowed = [s for at, s in record.route_changes if at <= call.ended_at]
-    current = [
+    in_force = [
         s for at, s in record.route_changes if at <= call.sent_at - APPLY_SECONDS - DELIVERY_SECONDS
     ]
     # Allowed: the last change that had to be in force when the call was sent, and later ones.
-    allowed = allowed[max(0, len(current) - 1) :]
+    allowed = allowed[max(0, len(in_force) - 1) :]
     return [
-        f"{name}: ran at {r.service}, allowed {allowed}" for r in runs if r.service not in allowed
+        f"{label}: ran at {r.service}, allowed {allowed}" for r in runs if r.service not in allowed
     ]
 
 
@@ -134,10 +136,10 @@
     time_limit = DRAIN_SECONDS + DELIVERY_SECONDS
     violations = []
     for run in record.runs:
-        since = run.started_at - record.drains.get(run.upstream, run.started_at)
-        if since > time_limit and record.is_fault_free(run.started_at):
+        elapsed = run.started_at - record.drains.get(run.upstream, run.started_at)
+        if elapsed > time_limit and record.is_fault_free(run.started_at):
             violations.append(
-                f"{run.id}: reached {run.upstream} {since:.2f} s after its drain started"
+                f"{run.id}: reached {run.upstream} {elapsed:.2f} s after its drain started"
             )
     return violations
 
@@ -147,9 +149,9 @@
     violations = []
     for at, daemon in record.stops:
         for call in record.calls:
-            near = call.daemon == daemon and at - 1.0 <= call.sent_at <= at + 6.0
-            lost = call.connected and not call.is_complete and call.sent_at <= at + 2.0
-            if near and lost and record.is_fault_free(call.sent_at, call.ended_at):
+            is_affected = call.daemon == daemon and at - 1.0 <= call.sent_at <= at + 6.0
+            is_cut_off = call.connected and not call.is_complete and call.sent_at <= at + 2.0
+            if is_affected and is_cut_off and record.is_fault_free(call.sent_at, call.ended_at):
                 violations.append(
                     f"{call.id} ({call.kind}): cut off by the graceful stop of {daemon} at {at:.2f}"
                 )
--- a/sequoiabridge/tests/platform/soak/proxy.py
+++ b/sequoiabridge/tests/platform/soak/proxy.py
@@ -17,7 +17,7 @@
 
     Attributes:
         DELAY: Delay each chunk.
-        RESET: Close open connections and refuse new ones.
+        RESET: Close open and new connections.
         ONE_WAY: Forward only the data from the client.
         BLACKHOLE: Forward nothing.
     """
--- a/sequoiabridge/tests/platform/soak/soak.py
+++ b/sequoiabridge/tests/platform/soak/soak.py
@@ -13,10 +13,10 @@
 from .oracle import APPROVE, MARK, READ, UPLOAD, CallRecord, find_violations
 from .proxy import LinkFault
 
-RECOVERY_SECONDS = 6.0
+FAULT_FREE_SECONDS = 6.0
 """Seconds without new faults at the end of a run."""
 
-RECOVERED_SECONDS = 4.0
+CHECKED_SECONDS = 4.0
 """Last seconds of a run, in which nearly all calls must be answered."""
 
 MIN_ANSWERED_SHARE = 0.95
@@ -68,7 +68,7 @@
             for _ in range(CALLERS_PER_DAEMON)
         ]
         end = self.now() + self.seconds
-        faults = await curio.spawn(self.inject_faults(end - RECOVERY_SECONDS))
+        faults = await curio.spawn(self.inject_faults(end - FAULT_FREE_SECONDS))
         await faults.join()
         await curio.sleep(max(0.0, end - self.now()))
         self.stopping = True
@@ -81,18 +81,18 @@
         recent_calls = [
             call
             for call in self.deployment.record.calls
-            if end - RECOVERED_SECONDS < call.sent_at < end - 1.0
+            if end - CHECKED_SECONDS < call.sent_at < end - 1.0
         ]
-        good = sum(call.status == 200 and call.is_complete for call in recent_calls)
-        if good >= MIN_ANSWERED_SHARE * len(recent_calls):
+        answered = sum(call.status == 200 and call.is_complete for call in recent_calls)
+        if answered >= MIN_ANSWERED_SHARE * len(recent_calls):
             return []
-        return [f"only {good} of {len(recent_calls)} calls answered after the last fault"]
+        return [f"only {answered} of {len(recent_calls)} calls answered after the last fault"]
 
     def summary(self) -> str:
         """Return the numbers of faults, calls and answered calls as text."""
         record = self.deployment.record
-        good = sum(call.status == 200 and call.is_complete for call in record.calls)
-        return f"{len(record.faults)} faults, {len(record.calls)} calls, {good} answered"
+        answered = sum(call.status == 200 and call.is_complete for call in record.calls)
+        return f"{len(record.faults)} faults, {len(record.calls)} calls, {answered} answered"
 
     def save_logs(self) -> str:
         """Copy the daemons' logs to a new folder that is not deleted; return its path."""
