--- a/sequoiabridge/assembly/operators.py
+++ b/sequoiabridge/assembly/operators.py
@@ -11,12 +11,12 @@
     declare_upload_metrics,
 )
 from ..operators.admin import AdminServer
-from ..operators.dump import Dump
+from ..operators.dump import StateDump
 from ..operators.executor import Executor
 from ..operators.gather import Gatherer, Peer
-from ..operators.releases import DaemonReleases
-from ..operators.routes import Routes
-from ..operators.state import DaemonState
+from ..operators.releases import DaemonReleaser
+from ..operators.routes import AdminRoutes
+from ..operators.state import DaemonRowSource
 
 if TYPE_CHECKING:
     from ..daemon import Daemon
@@ -25,15 +25,15 @@
 def build_admin(daemon: Daemon) -> AdminServer:
     """Return the admin port of a daemon; its other components must have been built."""
     token = daemon.settings.admin.token
-    dump = Dump(daemon.vm, daemon.components, [token, *daemon.settings.fleet.key.split()])
-    routes = Routes(token, daemon.readiness, daemon.metrics, dump, build_executor(daemon))
+    dump = StateDump(daemon.vm, daemon.components, [token, *daemon.settings.fleet.key.split()])
+    routes = AdminRoutes(token, daemon.readiness, daemon.metrics, dump, build_executor(daemon))
     return AdminServer(daemon.settings.admin.address, routes)
 
 
 def build_executor(daemon: Daemon) -> Executor:
     """Return the executor of the operators' commands."""
     clock, services, fleet = daemon.clock, daemon.services, daemon.fleet
-    state = DaemonState(
+    state = DaemonRowSource(
         daemon.vm,
         clock,
         daemon.configuration.document,
@@ -45,7 +45,7 @@
         daemon.uploads,
         daemon.journal,
     )
-    releases = DaemonReleases(services, daemon.claim_admin, fleet, clock, daemon.uploads)
+    releases = DaemonReleaser(services, daemon.claim_admin, fleet, clock, daemon.uploads)
     gatherer = Gatherer(lambda: list_admin_peers(daemon), daemon.settings.admin.token)
     return Executor(
         daemon.vm, clock, state, daemon.configuration, releases, daemon.journal, gatherer
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -20,7 +20,7 @@
 from .fleet.fleet import FleetNode
 from .fleet.packing import change_of
 from .logs import get_log
-from .operators.bases import ConfigurationGate
+from .operators.bases import ConfigurationRepository
 from .operators.errors import NotFound
 from .store.version_rows import (
     CHANGE_DECODER,
@@ -50,7 +50,7 @@
 """Seconds between two checks of the confirmations."""
 
 
-class ConfigurationInForce(ConfigurationGate, Component):
+class ConfigurationInForce(ConfigurationRepository, Component):
     """Keeps the configuration document that is in force on this VM.
 
     Args:
@@ -134,7 +134,7 @@
         await curio.spawn(self.save_snapshot(outcome.version), daemon=True)
         return Ok(outcome.version)
 
-    def spread(self, version: int) -> tuple[int, int]:
+    def count_in_force(self, version: int) -> tuple[int, int]:
         return self.fleet.spread(version)
 
     def apply_received_changes(self) -> None:
@@ -236,7 +236,7 @@
         self.fleet.track(version)
         end = self.clock.now() + CONFIRMATION_TIMEOUT
         while self.clock.now() < end:
-            confirmed, live = self.spread(version)
+            confirmed, live = self.count_in_force(version)
             if confirmed >= live:
                 return
             await curio.sleep(CONFIRMATION_POLL_INTERVAL)
--- a/sequoiabridge/operators/bases.py
+++ b/sequoiabridge/operators/bases.py
@@ -9,7 +9,7 @@
 from ..config.change import Change
 from ..config.document import Document
 from ..exceptions import SequoiaError
-from .commands import Held, Subject
+from .commands import HeldKind, Subject
 from .rows import ShowRow
 
 
@@ -21,7 +21,7 @@
         """Return whether this VM is ready, and one sentence why or why not."""
 
 
-class StateSource(ABC):
+class RowSource(ABC):
     """The rows that this VM can show; each subject's row type is in `rows.ROWS`."""
 
     @abstractmethod
@@ -32,7 +32,7 @@
         """
 
 
-class ConfigurationGate(ABC):
+class ConfigurationRepository(ABC):
     """The way to the fleet's configuration."""
 
     @abstractmethod
@@ -52,17 +52,17 @@
         """
 
     @abstractmethod
-    def spread(self, version: int) -> tuple[int, int]:
+    def count_in_force(self, version: int) -> tuple[int, int]:
         """Return (n, m): a version, or a newer one, is known to be in force on n of m live VMs."""
 
 
-class Releases(ABC):
+class Releaser(ABC):
     """What an operator's word can free."""
 
     @abstractmethod
-    async def held(self, held: Held, name: str) -> Result[str, SequoiaError]:
+    async def held(self, held: HeldKind, name: str) -> Result[str, SequoiaError]:
         """Return a sentence that says what is held under this name, or `NotFound`."""
 
     @abstractmethod
-    async def release(self, held: Held, name: str, author: str) -> Result[str, SequoiaError]:
+    async def release(self, held: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
         """Release it and return a sentence that says what was done, or `NotFound`."""
--- a/sequoiabridge/operators/changes.py
+++ b/sequoiabridge/operators/changes.py
@@ -13,7 +13,7 @@
 from ..config.problem import Problem
 from ..exceptions import ConflictError, SequoiaError
 from .commands import ChangeCommand, Drain, Remove, SetOptions
-from .errors import Behind, InvalidChange, NotFound
+from .errors import ConfigurationBehind, InvalidChange, NotFound
 
 COLUMNS = ["kind", "name", "option", "old", "new"]
 """Columns of a difference between two documents."""
@@ -65,7 +65,7 @@
         return Ok(None)
     if expect > document.version:
         message = f"This VM has version {document.version} and not heard of {expect} yet; "
-        return Error(Behind(message + "ask again in some seconds, or ask another VM."))
+        return Error(ConfigurationBehind(message + "ask again in some seconds, or ask another VM."))
     when = datetime.fromtimestamp(document.at, UTC).isoformat(timespec="seconds")
     message = f"Version {expect} is not the newest: {document.author} set version "
     message += f"{document.version} at {when}. Look at it with "
--- a/sequoiabridge/operators/commands.py
+++ b/sequoiabridge/operators/commands.py
@@ -30,7 +30,7 @@
     RULE = "rule"
 
 
-class Held(Enum):
+class HeldKind(Enum):
     """What an operator can release."""
 
     CRASH = "crash"
@@ -154,7 +154,7 @@
 
     __slots__ = ("held", "name")
 
-    def __init__(self, held: Held, name: str):
+    def __init__(self, held: HeldKind, name: str):
         super().__init__()
         self.held = held
         self.name = name
--- a/sequoiabridge/operators/dump.py
+++ b/sequoiabridge/operators/dump.py
@@ -24,7 +24,7 @@
 """Levels of maps and lists; what lies deeper is not shown."""
 
 
-class Dump:
+class StateDump:
     """Collects the dump of all parts.
 
     Args:
--- a/sequoiabridge/operators/errors.py
+++ b/sequoiabridge/operators/errors.py
@@ -49,7 +49,7 @@
         self.kind = kind
 
 
-class Behind(SequoiaError):
+class ConfigurationBehind(SequoiaError):
     """This VM has not caught up with the version that the operator expects."""
 
     exit_code = 4
--- a/sequoiabridge/operators/executor.py
+++ b/sequoiabridge/operators/executor.py
@@ -10,7 +10,7 @@
 from ..exceptions import SequoiaError
 from ..formatting import format_count
 from ..timers import Clock
-from .bases import ConfigurationGate, Releases, StateSource
+from .bases import ConfigurationRepository, Releaser, RowSource
 from .changes import Proposal, check_expected, propose_command, propose_document, row_table
 from .commands import ChangeCommand, Command, Diff, Explain, Release, Show, Subject
 from .errors import LanguageError, NotFound
@@ -19,7 +19,7 @@
 from .journal import Journal
 from .parser import parse
 from .reply import Reply
-from .rows import GATHERED, ROWS, ShowRow, fields_of
+from .rows import FLEET_SUBJECTS, ROWS, ShowRow, fields_of
 
 DEFAULT_LIMIT = 1000
 """Rows of an answer when the command names no limit: a long one holds up calls on this VM."""
@@ -34,9 +34,9 @@
         self,
         vm: str,
         clock: Clock,
-        source: StateSource,
-        gate: ConfigurationGate,
-        releases: Releases,
+        source: RowSource,
+        gate: ConfigurationRepository,
+        releases: Releaser,
         journal: Journal,
         gatherer: Gatherer,
     ):
@@ -104,7 +104,7 @@
         if own.is_error():
             return Error(own.error)
         rows, heard, not_heard = own.ok, [self.vm], {}
-        if show.subject in GATHERED:
+        if show.subject in FLEET_SUBJECTS:
             more, heard, not_heard = await self._others_rows(show, text)
             rows = ordered(rows + more, show)
         limit = limit_of(show)
@@ -163,7 +163,7 @@
         accepted = await self.gate.propose(change, author, old.version)
         if accepted.is_error():
             return Error(accepted.error)
-        message = accepted_as(accepted.ok, *self.gate.spread(accepted.ok))
+        message = accepted_as(accepted.ok, *self.gate.count_in_force(accepted.ok))
         reply = self._reply(columns, rows, message=message)
         reply.version = accepted.ok
         return Ok(reply)
@@ -199,7 +199,7 @@
 
 def ordered(rows: list[ShowRow], show: Show) -> list[ShowRow]:
     """Put rows of several VMs in order: by their first two columns, refusals newest first."""
-    if show.subject not in GATHERED:
+    if show.subject not in FLEET_SUBJECTS:
         return rows
     return sorted(rows, key=sort_key, reverse=show.subject is Subject.REFUSALS)
 
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -107,7 +107,7 @@
         self.started = 0
         self.recorded = 0
 
-    def sampled(self) -> bool:
+    def should_sample(self) -> bool:
         """Say whether the call that starts now is to note its evidence; one in `sample_every`."""
         self.started += 1
         return self.started % self.sample_every == 0
--- a/sequoiabridge/operators/parser.py
+++ b/sequoiabridge/operators/parser.py
@@ -18,7 +18,7 @@
     Drain,
     EntryKind,
     Explain,
-    Held,
+    HeldKind,
     Release,
     Remove,
     SetOptions,
@@ -36,7 +36,7 @@
 CHOICES = {
     "SUBJECT": [subject.value for subject in Subject],
     "KIND": [kind.value for kind in EntryKind],
-    "HELD": [held.value for held in Held],
+    "HELD": [held.value for held in HeldKind],
 }
 """Terminals that stand for one of several words."""
 
@@ -207,7 +207,7 @@
         return Drain(text_of(name), back=True)
 
     def release(self, held, name):
-        return Release(Held(held.lower()), text_of(name))
+        return Release(HeldKind(held.lower()), text_of(name))
 
     def modifier(self, modifier):
         return modifier
--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -12,8 +12,8 @@
 from ..store.upload_manifest import UploadConflict, UploadState, UploadUnknown
 from ..store.uploads import Uploads
 from ..timers import Clock
-from .bases import Releases
-from .commands import Held
+from .bases import Releaser
+from .commands import HeldKind
 from .errors import NotFound
 
 log = get_log("releases")
@@ -26,7 +26,7 @@
 BY_OPERATOR = "released by the operator"
 
 
-class DaemonReleases(Releases):
+class DaemonReleaser(Releaser):
     """Releases crash stops in the whole fleet, and claims and uploads in the table."""
 
     def __init__(
@@ -43,17 +43,17 @@
         self.clock = clock
         self.uploads = uploads
 
-    async def held(self, held: Held, name: str) -> Result[str, SequoiaError]:
-        if held is Held.CRASH:
+    async def held(self, held: HeldKind, name: str) -> Result[str, SequoiaError]:
+        if held is HeldKind.CRASH:
             return self._held_crash(name)
-        if held is Held.UPLOAD:
+        if held is HeldKind.UPLOAD:
             return await self._held_upload(name)
         return await self._held_claim(name)
 
-    async def release(self, held: Held, name: str, author: str) -> Result[str, SequoiaError]:
-        if held is Held.CRASH:
+    async def release(self, held: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
+        if held is HeldKind.CRASH:
             return self._release_crash(name)
-        if held is Held.UPLOAD:
+        if held is HeldKind.UPLOAD:
             return await self._release_upload(name, author)
         released = await self.claims.release_by_operator(name, author, BY_OPERATOR, RELEASE_TIMEOUT)
         if released.is_error():
--- a/sequoiabridge/operators/reply.py
+++ b/sequoiabridge/operators/reply.py
@@ -9,7 +9,7 @@
 from ..exceptions import ConflictError, SequoiaError, StoreUnavailable
 from ..logs import get_log
 from ..store.claim_admin import ClaimNotReleased
-from .errors import Behind, InvalidChange, LanguageError, NotFound, RequestRejected
+from .errors import ConfigurationBehind, InvalidChange, LanguageError, NotFound, RequestRejected
 from .messages import AdminAnswer
 
 log = get_log("admin")
@@ -23,7 +23,7 @@
     NotFound: (404, "not-found"),
     ClaimNotReleased: (404, "not-released"),
     ConflictError: (409, "conflict"),
-    Behind: (503, "behind"),
+    ConfigurationBehind: (503, "behind"),
     StoreUnavailable: (503, "store-unavailable"),
 }
 """HTTP status and fixed word of each error kind; any other error is 500, `internal`."""
--- a/sequoiabridge/operators/routes.py
+++ b/sequoiabridge/operators/routes.py
@@ -7,7 +7,7 @@
 
 from ..metrics import Metrics
 from .bases import Readiness
-from .dump import Dump
+from .dump import StateDump
 from .errors import LanguageError, NotFound, RequestRejected
 from .executor import Executor, Replied
 from .messages import AdminAnswer, AdminHandler, AdminRequest
@@ -27,14 +27,19 @@
 Route = Callable[[AdminRequest], Awaitable[AdminAnswer]]
 
 
-class Routes(AdminHandler):
+class AdminRoutes(AdminHandler):
     """Answers the admin port.
 
     `/metrics`, `/ready` and `/live` are open; all else needs `Authorization: Bearer TOKEN`.
     """
 
     def __init__(
-        self, token: str, readiness: Readiness, metrics: Metrics, dump: Dump, executor: Executor
+        self,
+        token: str,
+        readiness: Readiness,
+        metrics: Metrics,
+        dump: StateDump,
+        executor: Executor,
     ):
         if not token:
             raise ValueError("The operators' token is empty; set [admin] token.")
--- a/sequoiabridge/operators/rows.py
+++ b/sequoiabridge/operators/rows.py
@@ -219,7 +219,7 @@
 }
 """The row type of each subject."""
 
-GATHERED = frozenset({Subject.UPSTREAMS, Subject.VMS, Subject.REFUSALS})
+FLEET_SUBJECTS = frozenset({Subject.UPSTREAMS, Subject.VMS, Subject.REFUSALS})
 """Subjects of which each VM knows its own part, so that all are asked."""
 
 
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -19,7 +19,7 @@
 from ..store.uploads import Uploads
 from ..store.versions import Versions
 from ..timers import Clock
-from .bases import Readiness, StateSource
+from .bases import Readiness, RowSource
 from .commands import Subject
 from .journal import Journal
 from .rows import (
@@ -45,7 +45,7 @@
 Rows = Result[list[ShowRow], SequoiaError]
 
 
-class DaemonState(StateSource):
+class DaemonRowSource(RowSource):
     """Rows of every subject, from the parts of this daemon."""
 
     def __init__(
--- a/sequoiabridge/operators/steps.py
+++ b/sequoiabridge/operators/steps.py
@@ -37,7 +37,7 @@
         return STEP_BYTES
 
 
-class Chosen(Step):
+class UpstreamChosen(Step):
     """An upstream was chosen (or none could be, `upstream` None); `weighed` is the best first."""
 
     __slots__ = ("upstream", "weighed", "left_out")
@@ -59,7 +59,7 @@
         return STEP_BYTES + sum(WEIGHED_BYTES + len(w.detail) for w in self.weighed)
 
 
-class AttemptEnded(Step):
+class AttemptFailed(Step):
     """An attempt gave no usable answer; `sent` says that a byte may have reached the upstream."""
 
     __slots__ = ("upstream", "failure", "sent", "seconds")
@@ -76,7 +76,7 @@
         return f"{self.upstream} failed {took}: {self.failure.value}, {reached}"
 
 
-class Repeated(Step):
+class RetryDecision(Step):
     """A retry or hedge was made (`made`) or not; `why` is a short sentence."""
 
     __slots__ = ("what", "made", "why")
--- a/sequoiabridge/pipeline/attempt_recorder.py
+++ b/sequoiabridge/pipeline/attempt_recorder.py
@@ -7,7 +7,7 @@
 import curio
 
 from ..exceptions import UpstreamFailed
-from ..operators.steps import AttemptEnded
+from ..operators.steps import AttemptFailed
 from ..policy.base import Failure
 from ..timers import Clock
 from ..upstreams.base import Connector
@@ -200,7 +200,7 @@
         seconds = now - attempt.started
         state.pool.record_failure(attempt.upstream, now, kind, seconds)
         if kind is not Failure.CANCELLED:
-            step = AttemptEnded(attempt.upstream.name, kind, attempt.sent, seconds)
+            step = AttemptFailed(attempt.upstream.name, kind, attempt.sent, seconds)
             attempt.exchange.note(step)
         self.observer.record_failure(attempt.exchange, attempt.upstream.name, kind)
 
--- a/sequoiabridge/pipeline/dispatch.py
+++ b/sequoiabridge/pipeline/dispatch.py
@@ -7,7 +7,7 @@
 import curio
 
 from ..exceptions import Refusal, UpstreamFailed
-from ..operators.steps import Chosen, Repeated
+from ..operators.steps import RetryDecision, UpstreamChosen
 from ..outcome import Reason
 from ..policy.retries import may_retry
 from ..policy.upstream_state import UpstreamState
@@ -91,7 +91,7 @@
         # The explanation costs as much as the choice: add it only to calls worth explaining.
         if tried or upstream is None or exchange.notes is not None:
             name = upstream.name if upstream is not None else None
-            exchange.note(Chosen(name, state.pool.explain(now)))
+            exchange.note(UpstreamChosen(name, state.pool.explain(now)))
         if tried and upstream is not None:
             self.observer.record_retry(exchange.service.name, False)
         return upstream
@@ -138,7 +138,7 @@
             attempts.append(self._start_attempt(exchange, state, upstream, fresh=True))
             tried.append(upstream.name)
             self.observer.record_retry(exchange.service.name, True)
-            exchange.note(Repeated("hedge", True, f"silent, so also sent to {upstream.name}"))
+            exchange.note(RetryDecision("hedge", True, f"silent, so also sent to {upstream.name}"))
         race = Race(self.recorder, state, attempts)
         try:
             async with curio.timeout_after(max(0.0, remaining)):
@@ -173,21 +173,21 @@
         if server_error is not None and not isinstance(server_error.body, BytesBody | None):
             return False
         if exchange.body_started and not _is_replayable(exchange):
-            exchange.note(Repeated("retry", False, "its body was streamed and is gone"))
+            exchange.note(RetryDecision("retry", False, "its body was streamed and is gone"))
             return False
         now = self.clock.now()
         if is_request_blocked(state.ledger, exchange, now):
-            exchange.note(Repeated("retry", False, "upstreams crashed on this request"))
+            exchange.note(RetryDecision("retry", False, "upstreams crashed on this request"))
             return False
         remaining = exchange.deadline - now
         possibly_run = exchange.unproven_attempts > 0
         if not may_retry(
             exchange.rule, possibly_run, not possibly_run, exchange.attempts, remaining
         ):
-            exchange.note(Repeated("retry", False, "not allowed, or no attempt or time left"))
+            exchange.note(RetryDecision("retry", False, "not allowed, or no attempt or time left"))
             return False
         if not self._take_retry_token(state):
-            exchange.note(Repeated("retry", False, "the retry budget is spent"))
+            exchange.note(RetryDecision("retry", False, "the retry budget is spent"))
             return False
         return True
 
--- a/sequoiabridge/pipeline/record.py
+++ b/sequoiabridge/pipeline/record.py
@@ -24,7 +24,7 @@
         self.clock = clock
 
     async def enter(self, exchange: Exchange) -> None:
-        if self.journal.sampled():
+        if self.journal.should_sample():
             exchange.notes = []
 
     async def leave(self, exchange: Exchange, clean: bool) -> None:
--- a/sequoiabridge/tests/operators/fakes.py
+++ b/sequoiabridge/tests/operators/fakes.py
@@ -7,14 +7,14 @@
 from ...exceptions import ConflictError
 from ...metrics import Metrics
 from ...operators.admin import AdminLimits, AdminServer
-from ...operators.bases import ConfigurationGate, Readiness, Releases, StateSource
-from ...operators.dump import Dump
+from ...operators.bases import ConfigurationRepository, Readiness, Releaser, RowSource
+from ...operators.dump import StateDump
 from ...operators.errors import NotFound
 from ...operators.executor import Executor
 from ...operators.fetch import fetch
 from ...operators.gather import Gatherer
 from ...operators.journal import Journal
-from ...operators.routes import Routes
+from ...operators.routes import AdminRoutes
 from ...operators.rows import UpstreamRow
 from ...store.claim_admin import ClaimNotReleased
 from ...timers import ManualClock
@@ -39,7 +39,7 @@
 """
 
 
-class FakeSource(StateSource):
+class FakeSource(RowSource):
     """Gives the same rows for each subject."""
 
     def __init__(self, rows):
@@ -49,7 +49,7 @@
         return Ok(self.found)
 
 
-class FakeGate(ConfigurationGate):
+class FakeGate(ConfigurationRepository):
     """Keeps all versions in memory; `lag` versions are not known to this VM."""
 
     def __init__(self):
@@ -72,7 +72,7 @@
         made = newest.changed(change, newest.version + 1, author, 1_700_000_000.0)
         return made.map(self._keep)
 
-    def spread(self, version):
+    def count_in_force(self, version):
         return self.in_force
 
     def _keep(self, document):
@@ -80,7 +80,7 @@
         return document.version
 
 
-class FakeReleases(Releases):
+class FakeReleases(Releaser):
     """Knows one claim that can be released, and one that cannot yet."""
 
     def __init__(self):
@@ -125,8 +125,8 @@
             self.journal,
             Gatherer(lambda: list(peers), TOKEN, get=get),
         )
-        dump = Dump(vm, lambda: list(parts), [TOKEN])
-        routes = Routes(TOKEN, self.readiness, Metrics(), dump, self.executor)
+        dump = StateDump(vm, lambda: list(parts), [TOKEN])
+        routes = AdminRoutes(TOKEN, self.readiness, Metrics(), dump, self.executor)
         self.server = AdminServer("127.0.0.1:0", routes, AdminLimits(**limits))
 
     def ask(self, text):
--- a/sequoiabridge/tests/operators/test_dump.py
+++ b/sequoiabridge/tests/operators/test_dump.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ...component import Component
-from ...operators.dump import HIDDEN, Dump
+from ...operators.dump import HIDDEN, StateDump
 from ...operators.errors import NotFound
 
 SECRET = "the-fleet's-long-key"
@@ -29,14 +29,14 @@
         FakeComponent("queue", {"length": 3}),
         FakeComponent("fleet", ValueError(f"no {SECRET}")),
     ]
-    dump = Dump("vm1", lambda: components, [SECRET])
+    dump = StateDump("vm1", lambda: components, [SECRET])
     shown = curio.run(dump.collect)["parts"]
     assert shown == {"queue": {"length": 3}, "fleet": {"error": f"ValueError: no {HIDDEN}"}}
 
 
 def test_no_secret_is_shown_by_name_or_by_value():
     deep = {"url": f"x?{SECRET}=1", SECRET: [SECRET], "Token": "short", "at": ({1}, object())}
-    dump = Dump("vm1", lambda: [FakeComponent("settings", deep)], [SECRET, ""])
+    dump = StateDump("vm1", lambda: [FakeComponent("settings", deep)], [SECRET, ""])
     text = msgspec.json.encode(curio.run(dump.collect, "settings")).decode()
     assert SECRET not in text and "short" not in text and "x?(hidden)=1" in text
     with pytest.raises(NotFound, match="parts are settings"):
@@ -46,6 +46,6 @@
 def test_a_part_that_shows_itself_ends():
     endless = {}
     endless["self"] = endless
-    dump = Dump("vm1", lambda: [FakeComponent("loop", endless)])
+    dump = StateDump("vm1", lambda: [FakeComponent("loop", endless)])
     shown = curio.run(dump.collect)
     assert "too deep" in msgspec.json.encode(shown).decode()
--- a/sequoiabridge/tests/operators/test_executor.py
+++ b/sequoiabridge/tests/operators/test_executor.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ...exceptions import ConflictError
-from ...operators.errors import Behind, InvalidChange, LanguageError, NotFound
+from ...operators.errors import ConfigurationBehind, InvalidChange, LanguageError, NotFound
 from ...operators.executor import DEFAULT_LIMIT
 from ...operators.fetch import fetch
 from ...operators.gather import Peer
@@ -148,7 +148,7 @@
     newest = daemon.gate.document()
     daemon.gate.lag = 1
     assert isinstance(daemon.ask("drain upstream a1"), ConflictError)
-    assert isinstance(daemon.ask("drain upstream a1 expect version 2"), Behind)
+    assert isinstance(daemon.ask("drain upstream a1 expect version 2"), ConfigurationBehind)
     daemon.gate.lag = 0
     assert isinstance(daemon.ask("release claim claim-1 expect version 1"), ConflictError)
     assert daemon.gate.document() is newest
--- a/sequoiabridge/tests/operators/test_journal.py
+++ b/sequoiabridge/tests/operators/test_journal.py
@@ -2,7 +2,7 @@
 
 from ...exceptions import Refusal
 from ...operators.journal import MAX_NOTES, Journal
-from ...operators.steps import AttemptEnded, Chosen, Repeated
+from ...operators.steps import AttemptFailed, RetryDecision, UpstreamChosen
 from ...outcome import Outcome, Reason
 from ...policy.base import Failure, ScoredUpstream
 from ...timers import ManualClock
@@ -47,10 +47,10 @@
         ScoredUpstream("a2", 2.0, "3 in flight"),
     ]
     notes = [
-        Chosen("a1", weighed),
-        AttemptEnded("a1", Failure.SHED, sent=True, seconds=0.004),
-        Repeated("retry", True, "the upstream said that it did not run"),
-        Repeated("hedge", False, "the budget is spent"),
+        UpstreamChosen("a1", weighed),
+        AttemptFailed("a1", Failure.SHED, sent=True, seconds=0.004),
+        RetryDecision("retry", True, "the upstream said that it did not run"),
+        RetryDecision("hedge", False, "the budget is spent"),
     ]
     record(journal, "r1", attempts=2, notes=notes)
     assert journal.explain("r1")[1:] == [
@@ -61,4 +61,4 @@
         "answered 200 by a1 after 20.0 ms and 2 attempts",
     ]
     assert journal.explain("r2") is None
-    assert [journal.sampled() for _ in range(4)] == [False, True, False, True]
+    assert [journal.should_sample() for _ in range(4)] == [False, True, False, True]
--- a/sequoiabridge/tests/operators/test_releases.py
+++ b/sequoiabridge/tests/operators/test_releases.py
@@ -3,10 +3,10 @@
 import pytest
 
 from ...exceptions import ConflictError, StoreUnavailable
-from ...operators.commands import Held, Release
+from ...operators.commands import HeldKind, Release
 from ...operators.errors import NotFound
 from ...operators.parser import parse
-from ...operators.releases import DaemonReleases
+from ...operators.releases import DaemonReleaser
 from ...store.upload_manifest import UploadState
 from ..standins.uploads import World, finish, incoming
 
@@ -20,7 +20,7 @@
     upload = finish(vm.receive(incoming(DATA))).id
     world.upstream.refuses = True
     finish(world.deliveries(vm).deliver(upload))
-    return world, upload, DaemonReleases(None, None, None, None, world.vm("b"))
+    return world, upload, DaemonReleaser(None, None, None, None, world.vm("b"))
 
 
 def run(releases, text, dry=False):
@@ -56,7 +56,7 @@
 
 def test_a_release_that_another_operator_overtook_is_a_conflict():
     world, upload, releases = held_upload()
-    late = releases.release(Held.UPLOAD, upload, "anna")
+    late = releases.release(HeldKind.UPLOAD, upload, "anna")
     for _ in range(2):
         late.send(None)
     run(releases, f"release upload {upload}")
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -119,11 +119,11 @@
     fleet = VirtualFleet(3)
     fleet.pump.cut(fleet.pump.all()[:1], fleet.pump.all()[1:])
     fleet.accept(SERVICE)
-    assert fleet.configurations[0].spread(1) == (1, 3)
+    assert fleet.configurations[0].count_in_force(1) == (1, 3)
     fleet.pump.cuts.clear()
     assert fleet.everywhere(1, 20) is not None
     fleet.pump.run(5)
-    assert fleet.configurations[0].spread(1) == (3, 3)
+    assert fleet.configurations[0].count_in_force(1) == (3, 3)
 
 
 def test_older_or_invalid_document_is_ignored():
