--- a/sequoiabridge/benchmarks/fleet.py
+++ b/sequoiabridge/benchmarks/fleet.py
@@ -116,7 +116,7 @@
 
 def apply_all(node):
     """Put every change in force whose turn has come."""
-    while item := node.currency.take():
+    while item := node.version_tracker.next_change():
         node.applied(item.version)
 
 
@@ -126,7 +126,7 @@
     author.publish(ConfigurationItem(version, b"x" * CHANGE_SIZE), Urgency.CONFIGURATION)
     nodes = pump.all()
     start = pump.clock.now()
-    there = pump.run_until(lambda: all(n.currency.in_force >= version for n in nodes), LIMIT)
+    there = pump.run_until(lambda: all(n.version_tracker.in_force >= version for n in nodes), LIMIT)
     pump.run_until(lambda: author.spread(version)[0] == len(nodes), LIMIT)
     return there, pump.clock.now() - start
 
@@ -225,7 +225,9 @@
     few = pump.all()[: FLEET // 2 - 1]
     pump.cut(few, pump.all()[FLEET // 2 - 1 :])
     now = pump.clock.now
-    return pump.run_until(lambda: not any(n.currency.ready(now()) for n in few), 120) or 120.0
+    return (
+        pump.run_until(lambda: not any(n.version_tracker.ready(now()) for n in few), 120) or 120.0
+    )
 
 
 def quantiles(values):
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -2,7 +2,8 @@
 
 Changes are committed to the platform's table, sent to the other VMs and applied there one by one,
 in the order of their versions. Each VM also polls the table, and while the table is unavailable it
-can get the whole document from another VM. `fleet.currency` prevents a return to an older version.
+can get the whole document from another VM. `fleet.version_tracker` prevents a return to an older
+version.
 """
 
 from __future__ import annotations
@@ -139,7 +140,7 @@
 
     def apply_received_changes(self) -> None:
         """Apply the changes received from other VMs that follow the version in force."""
-        while (item := self.fleet.currency.take()) is not None:
+        while (item := self.fleet.version_tracker.next_change()) is not None:
             encoded = change_of(item)
             if not encoded:
                 self._poll_now()
@@ -177,19 +178,19 @@
             "pools": len(self.in_force.pools),
             "upstreams": len(self.in_force.upstreams),
             "rules": len(self.in_force.rules),
-            "not_current_because": self.fleet.currency.why(self.clock.now()),
+            "not_current_because": self.fleet.version_tracker.why_not_ready(self.clock.now()),
         }
 
     async def _poll(self) -> None:
         began = self.clock.now()
         head = await self.versions.latest()
         if head.is_error():
-            self.fleet.currency.table_failed()
+            self.fleet.version_tracker.record_table_failure()
             return
         version = head.ok.version
         if version > self.in_force.version:
             await self._catch_up(version)
-        self.fleet.currency.table(version, began)
+        self.fleet.version_tracker.record_table_version(version, began)
 
     async def _catch_up(self, version: int) -> None:
         """Read the whole configuration on a new VM, otherwise the changes that are missing."""
@@ -204,7 +205,7 @@
         while self.in_force.version < version:
             rows = await self.versions.changes_since(self.in_force.version)
             if rows.is_error() or not rows.ok:
-                self.fleet.currency.table_failed()
+                self.fleet.version_tracker.record_table_failure()
                 log.warning("cannot read the changes up to version %d", version)
                 return
             for row in rows.ok:
--- a/sequoiabridge/daemon.py
+++ b/sequoiabridge/daemon.py
@@ -126,7 +126,9 @@
         self.configuration = ConfigurationInForce(
             self.versions, self.fleet, self.clock, self._apply
         )
-        self.readiness = DaemonReadiness(lambda: self.fleet.currency.why(self.clock.now()))
+        self.readiness = DaemonReadiness(
+            lambda: self.fleet.version_tracker.why_not_ready(self.clock.now())
+        )
 
     def _apply(self, document: Document) -> None:
         """Apply a document that has come into force."""
--- a/sequoiabridge/fleet/fleet.py
+++ b/sequoiabridge/fleet/fleet.py
@@ -16,7 +16,6 @@
 from .bucket import DEFAULT_RATE, TRANSPORT_OVERHEAD, ByteBucket
 from .channel import Channel, NngChannel
 from .counters import Counters
-from .currency import Currency, SpreadAck
 from .members import Event, EventKind, MembershipOptions
 from .membership import Membership
 from .prober import to
@@ -25,6 +24,7 @@
 from .sender import BASE_SIZE, Sender
 from .snapshot import Consumer, Provider, SnapshotExchange
 from .spreader import Spreader
+from .version_tracker import SpreadTracker, VersionTracker
 from .wire import PACKET_SIZE, Bad, Codec, Kind, Message
 
 log = get_log("fleet")
@@ -76,21 +76,23 @@
         self.guard = ReplayGuard()
         self.bucket = ByteBucket(bytes_per_second, now)
         self.counters = Counters()
-        self.currency = Currency(now)
+        self.version_tracker = VersionTracker(now)
         self.spreader = Spreader(self.membership, self.codec, random)
         self.sender = Sender(
             me,
             self.spreader,
-            self.currency,
+            self.version_tracker,
             self.codec,
             self.channel,
             self.bucket,
             self.counters,
         )
         self.repair = Repair(
-            self.membership, self.spreader, self.currency, self.sender, random, now
+            self.membership, self.spreader, self.version_tracker, self.sender, random, now
+        )
+        self.snapshots = SnapshotExchange(
+            self.membership, self.version_tracker, self.sender, random
         )
-        self.snapshots = SnapshotExchange(self.membership, self.currency, self.sender, random)
         self.item_listeners: list[tuple[type[Item], ItemListener]] = []
         self.event_listeners: list[EventListener] = []
         self.next_rest = now
@@ -123,7 +125,7 @@
 
     def applied(self, version: int) -> bool:
         """Note that a version is in force here; False if it is older than the one in force."""
-        if not self.currency.applied(version, self.clock.now()):
+        if not self.version_tracker.record_applied(version, self.clock.now()):
             return False
         self.me.version = version
         return True
@@ -138,7 +140,7 @@
         """
         self.snapshots.provider, self.snapshots.consumer = provider, consumer
 
-    def track(self, version: int) -> SpreadAck:
+    def track(self, version: int) -> SpreadTracker:
         """Count from now on which VMs confirm that a version is in force there."""
         return self.repair.track(version, self.clock.now())
 
@@ -180,7 +182,9 @@
         self._settle(now)
         roster = self.membership.roster
         # A suspect may be on the other side of a cut, so it does not count towards a majority.
-        self.currency.fleet(self.live_count() - len(roster.suspects), len(roster.expected) + 1)
+        self.version_tracker.set_fleet_size(
+            self.live_count() - len(roster.suspects), len(roster.expected) + 1
+        )
         self._spread_urgent(now)
         self.repair.tick(now)
         self.snapshots.tick(now)
@@ -217,9 +221,9 @@
             "expected": len(self.membership.roster.expected) + 1,
             "paused_s": round(self.membership.paused_for, 1),
             "members": [describe(member, now) for member in self.members()],
-            "version": self.currency.in_force,
-            "newest_version": self.currency.newest,
-            "not_current_because": self.currency.why(now),
+            "version": self.version_tracker.in_force,
+            "newest_version": self.version_tracker.newest,
+            "not_current_because": self.version_tracker.why_not_ready(now),
             "bucket_bytes": round(self.bucket.tokens),
             "waiting": self.spreader.queue.sizes(),
             "dropped": self.spreader.queue.dropped,
@@ -243,7 +247,7 @@
 
     def _take_in(self, message: Message, learned: bool, now: float) -> None:
         """Take in the version and the items of a message that is no replay."""
-        self.currency.seen(message.version, now)
+        self.version_tracker.record_peer_version(message.version, now)
         items = self.spreader.received(message, now)
         for item, origin in items:
             self._deliver(item, origin, now)
@@ -256,7 +260,7 @@
             self.counters.bad[Bad.UNKNOWN_ITEM] += 1
             return
         if isinstance(item, ConfigurationItem):
-            self.currency.offer(item, now)
+            self.version_tracker.add_change(item, now)
         for kind, listener in self.item_listeners:
             if isinstance(item, kind):
                 listener(item, origin)
@@ -268,7 +272,7 @@
         self.spreader.queue_updates(changed, now)
         trips, self.membership.round_trips = self.membership.round_trips, []
         for name, at in trips:
-            self.currency.heard(name, at)
+            self.version_tracker.record_confirmation(name, at)
         events, ledger.events = ledger.events, []
         for event in events:
             self._tell(event, now)
@@ -276,7 +280,7 @@
     def _tell(self, event: Event, now: float) -> None:
         log.info("VM %s: %s %s", event.name, event.kind.value, event.detail)
         if event.kind is EventKind.PAUSED:
-            self.currency.resumed()
+            self.version_tracker.discard_confirmations()
         if event.kind is EventKind.JOINED and self.live_count() == 2:
             self.repair.next_compare = now
         for listener in self.event_listeners:
--- a/sequoiabridge/fleet/repair.py
+++ b/sequoiabridge/fleet/repair.py
@@ -3,11 +3,11 @@
 from random import Random
 
 from .base import Urgency
-from .currency import Currency, SpreadAck
 from .membership import Membership
 from .prober import to
 from .sender import Sender
 from .spreader import Spreader
+from .version_tracker import SpreadTracker, VersionTracker
 from .wire import PACKET_SIZE, Kind, Message
 
 COMPARE_EVERY = 10.0
@@ -34,17 +34,17 @@
         self,
         membership: Membership,
         spreader: Spreader,
-        currency: Currency,
+        version_tracker: VersionTracker,
         sender: Sender,
         random: Random,
         now: float,
     ):
         self.membership = membership
         self.spreader = spreader
-        self.currency = currency
+        self.version_tracker = version_tracker
         self.sender = sender
         self.random = random
-        self.acks: dict[int, SpreadAck] = {}
+        self.acks: dict[int, SpreadTracker] = {}
         self.noticed = 0
         self.started = now
         self.next_compare = self.next_chase = now
@@ -59,23 +59,23 @@
     def received(self, message: Message, learned: bool, now: float) -> None:
         """Answer requests for changes and comparisons; `learned` if the message brought news."""
         for ack in self.acks.values():
-            ack.heard(message.sender, message.version)
+            ack.record_version(message.sender, message.version)
         if message.kind == Kind.FETCH:
             self._give(message, now)
         elif message.kind in (Kind.DIGEST, Kind.STATE):
             self._answer_digest(message, learned, now)
 
-    def track(self, version: int, now: float) -> SpreadAck:
+    def track(self, version: int, now: float) -> SpreadTracker:
         """Count from now on which VMs confirm that a version is in force there."""
-        ack = SpreadAck(version, now)
+        ack = SpreadTracker(version, now)
         for member in self.membership.live():
-            ack.heard(member.name, member.version)
+            ack.record_version(member.name, member.version)
         self.acks[version] = ack
         return ack
 
     def _notice(self, now: float) -> None:
         """Tell the publisher of the version in force that it is in force here."""
-        version = self.currency.in_force
+        version = self.version_tracker.in_force
         if version <= self.noticed:
             return
         self.noticed = version
@@ -96,7 +96,7 @@
                     self.sender.send(to(live[name], Kind.PING), now)
 
     def _fetch(self, now: float) -> None:
-        wanted = self.currency.missing(now)
+        wanted = self.version_tracker.next_fetch(now)
         if wanted is None:
             return
         holders = [m for m in self.membership.live() if m.version >= wanted.start]
--- a/sequoiabridge/fleet/sender.py
+++ b/sequoiabridge/fleet/sender.py
@@ -4,9 +4,9 @@
 from .bucket import HEARTBEAT, TRANSPORT_OVERHEAD, ByteBucket
 from .channel import Channel
 from .counters import Counters
-from .currency import Currency
 from .members import Outgoing
 from .spreader import Spreader
+from .version_tracker import VersionTracker
 from .wire import HEADER_SIZE, PACKET_SIZE, Codec, Message
 
 BASE_SIZE = 130
@@ -20,7 +20,7 @@
         self,
         me: MemberView,
         spreader: Spreader,
-        currency: Currency,
+        version_tracker: VersionTracker,
         codec: Codec,
         channel: Channel,
         bucket: ByteBucket,
@@ -28,7 +28,7 @@
     ):
         self.me = me
         self.spreader = spreader
-        self.currency = currency
+        self.version_tracker = version_tracker
         self.codec = codec
         self.channel = channel
         self.bucket = bucket
@@ -47,7 +47,7 @@
             me.incarnation,
             self.sequence,
             outgoing.to_incarnation,
-            self.currency.in_force,
+            self.version_tracker.in_force,
             outgoing.number,
             outgoing.target,
             retry=outgoing.redial,
--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -13,10 +13,10 @@
 from ..logs import get_log
 from .base import Urgency
 from .bucket import TRANSPORT_OVERHEAD
-from .currency import Currency
 from .membership import Membership
 from .prober import reply, to
 from .sender import BASE_SIZE, Sender
+from .version_tracker import VersionTracker
 from .wire import Kind, Message, Piece
 
 log = get_log("fleet")
@@ -46,9 +46,15 @@
         consumer: Called with the version and the encoding that a peer sent.
     """
 
-    def __init__(self, membership: Membership, currency: Currency, sender: Sender, random: Random):
+    def __init__(
+        self,
+        membership: Membership,
+        version_tracker: VersionTracker,
+        sender: Sender,
+        random: Random,
+    ):
         self.membership = membership
-        self.currency = currency
+        self.version_tracker = version_tracker
         self.sender = sender
         self.random = random
         self.provider: Provider | None = None
@@ -61,7 +67,7 @@
 
     def tick(self, now: float) -> None:
         """Ask for the document, or for the piece that did not come."""
-        if self.consumer is None or not self.currency.wants_snapshot(now):
+        if self.consumer is None or not self.version_tracker.wants_snapshot(now):
             self._start_over()
             return
         if now - self.asked_at < ASK_AGAIN:
@@ -70,7 +76,7 @@
             self._ask(now)
             return
         self._start_over()
-        first = self.currency.in_force + 1
+        first = self.version_tracker.in_force + 1
         holders = [m for m in self.membership.live() if m.version >= first]
         if holders:
             self.holder, self.heard_at = self.random.choice(holders).name, now
@@ -97,7 +103,7 @@
         room = self.sender.bucket.room(Urgency.CONFIGURATION)
         if room < PIECE_SIZE + BASE_SIZE + TRANSPORT_OVERHEAD:
             return  # It asks again.
-        if request.number == 0 and self.given[0] != self.currency.in_force:
+        if request.number == 0 and self.given[0] != self.version_tracker.in_force:
             version, document = self.provider()
             self.given = (version, compress(document))
         version, data = self.given
@@ -132,7 +138,7 @@
         self._finish(name, piece, data)
 
     def _finish(self, name: str, piece: Piece, data: bytes) -> None:
-        if crc32(data) != piece.checksum or piece.version <= self.currency.in_force:
+        if crc32(data) != piece.checksum or piece.version <= self.version_tracker.in_force:
             return
         try:
             document = decompress(data)
--- a/sequoiabridge/fleet/currency.py
+++ b/sequoiabridge/fleet/version_tracker.py
@@ -9,7 +9,7 @@
 from .base import ConfigurationItem
 from .packing import has_change
 
-CONFIRM_WITHIN = 6.0
+CONFIRMATION_TTL = 6.0
 """Seconds after which a confirmation no longer counts."""
 VOICES = 3
 """Different VMs that must have been heard lately, so that a cut-off VM notices."""
@@ -23,7 +23,7 @@
 """Seconds between two requests for the same changes."""
 
 
-class Currency:
+class VersionTracker:
     """Decides if the configuration in force is known to be the newest.
 
     Attributes:
@@ -38,29 +38,29 @@
         self.behind_since = now
         self.held: dict[int, ConfigurationItem] = {}
         self.heard_at: dict[str, float] = {}
-        self.table_at: float | None = None
-        self.table_lost = False
+        self.table_read_at: float | None = None
+        self.table_unavailable = False
         self.live = 1
         self.expected = 1
         self.asked_at = float("-inf")
 
     # Events.
 
-    def table(self, version: int, now: float) -> None:
+    def record_table_version(self, version: int, now: float) -> None:
         """The table was read and names `version` as the newest; `now` is when the read began."""
-        self.table_at = now
-        self.table_lost = False
+        self.table_read_at = now
+        self.table_unavailable = False
         self._know(version, now)
 
-    def table_failed(self) -> None:
+    def record_table_failure(self) -> None:
         """The table could not be read: large changes have to come from other VMs."""
-        self.table_lost = True
+        self.table_unavailable = True
 
-    def seen(self, version: int, now: float) -> None:
+    def record_peer_version(self, version: int, now: float) -> None:
         """Another VM says, in a message that is no replay, that `version` is in force there."""
         self._know(version, now)
 
-    def heard(self, name: str, at: float) -> None:
+    def record_confirmation(self, name: str, at: float) -> None:
         """The VM `name` answered a ping that was sent at `at`, with its version.
 
         Only such a round trip proves anything about the present: after a pause of this process,
@@ -68,16 +68,16 @@
         """
         self.heard_at[name] = max(at, self.heard_at.get(name, at))
 
-    def fleet(self, live: int, expected: int) -> None:
+    def set_fleet_size(self, live: int, expected: int) -> None:
         """Set how many VMs are alive and how many there should be, this one included in both."""
         self.live, self.expected = live, expected
 
-    def resumed(self) -> None:
+    def discard_confirmations(self) -> None:
         """This process was paused: what it knew before proves nothing now."""
-        self.table_at = None
+        self.table_read_at = None
         self.heard_at.clear()
 
-    def offer(self, item: ConfigurationItem, now: float) -> bool:
+    def add_change(self, item: ConfigurationItem, now: float) -> bool:
         """Hold a change until its turn; return False if it is old or held already."""
         self._know(item.version, now)
         held = self.held.get(item.version)
@@ -87,14 +87,14 @@
         self.held[item.version] = item
         return True
 
-    def take(self) -> ConfigurationItem | None:
+    def next_change(self) -> ConfigurationItem | None:
         """Return the change that follows the version in force, if it is held.
 
         One with its version only is too large to be spread: read it from the table.
         """
         return self.held.get(self.in_force + 1)
 
-    def applied(self, version: int, now: float) -> bool:
+    def record_applied(self, version: int, now: float) -> bool:
         """Note that `version` is in force; return False, changing nothing, if it is older."""
         if version < self.in_force:
             return False
@@ -105,7 +105,7 @@
 
     # Answers.
 
-    def missing(self, now: float) -> range | None:
+    def next_fetch(self, now: float) -> range | None:
         """Return the versions to ask another VM for now, or None; at most one answer in a while."""
         first = self.in_force + 1
         while self._has(first):
@@ -127,9 +127,9 @@
 
     def ready(self, now: float) -> bool:
         """Return True if the configuration in force is known to be the newest."""
-        return self.why(now) == ""
+        return self.why_not_ready(now) == ""
 
-    def why(self, now: float) -> str:
+    def why_not_ready(self, now: float) -> str:
         """Return in one sentence why the VM may not serve, or "" if it may."""
         if self.newest == 0:
             return "No configuration is known yet; apply one, or wait for the table service."
@@ -142,12 +142,12 @@
     def voices(self, now: float) -> int:
         """Return how many VMs were heard lately."""
         for name, at in list(self.heard_at.items()):
-            if now - at > CONFIRM_WITHIN:
+            if now - at > CONFIRMATION_TTL:
                 del self.heard_at[name]
         return len(self.heard_at)
 
     def _confirmed_by_table(self, now: float) -> bool:
-        return self.table_at is not None and now - self.table_at <= CONFIRM_WITHIN
+        return self.table_read_at is not None and now - self.table_read_at <= CONFIRMATION_TTL
 
     def _doubt_about_fleet(self, now: float) -> str:
         if self.live * 2 <= self.expected:
@@ -160,14 +160,14 @@
         if heard < wanted:
             return (
                 f"The table service is silent and {heard} VMs of {wanted} wanted were heard in "
-                f"{CONFIRM_WITHIN:.0f} s; check this VM's network."
+                f"{CONFIRMATION_TTL:.0f} s; check this VM's network."
             )
         return ""
 
     def _has(self, version: int) -> bool:
         """Return True if a change is held, or is to be read from the table."""
         item = self.held.get(version)
-        return item is not None and (has_change(item) or not self.table_lost)
+        return item is not None and (has_change(item) or not self.table_unavailable)
 
     def _know(self, version: int, now: float) -> None:
         if version <= self.newest:
@@ -177,7 +177,7 @@
         self.newest, self.newest_at = version, now
 
 
-class SpreadAck:
+class SpreadTracker:
     """Counts the VMs that have said that a version, or a newer one, is in force there."""
 
     __slots__ = ("version", "since", "confirmed")
@@ -187,7 +187,7 @@
         self.since = now
         self.confirmed: set[str] = set()
 
-    def heard(self, name: str, version: int) -> None:
+    def record_version(self, name: str, version: int) -> None:
         """Note the version that is in force at a VM."""
         if version >= self.version:
             self.confirmed.add(name)
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -66,7 +66,7 @@
             first.publish(DrainItem(f"up{i}-{second}", second), Urgency.DRAIN)
         pump.run(1)
     first.publish(ConfigurationItem(1, b"x" * 300), Urgency.CONFIGURATION)
-    assert pump.run_until(lambda: all(n.currency.newest == 1 for n in others), 4)
+    assert pump.run_until(lambda: all(n.version_tracker.newest == 1 for n in others), 4)
     spent = first.counters.bytes_sent - start[1]
     assert spent <= 3000 * (pump.clock.now() - start[0]) + 2 * 3000
     assert all(state(a, f"vm{i}") not in GONE for a in pump.all() for i in range(1, 7))
--- a/sequoiabridge/tests/fleet/test_spreading.py
+++ b/sequoiabridge/tests/fleet/test_spreading.py
@@ -13,7 +13,7 @@
     RetryItem,
     Urgency,
 )
-from ...fleet.currency import CONFIRM_WITHIN
+from ...fleet.version_tracker import CONFIRMATION_TTL
 from .pump import Pump, live_names
 
 IN_FORCE = 4.0
@@ -30,7 +30,7 @@
 
 
 def apply_all(node):
-    while item := node.currency.take():
+    while item := node.version_tracker.next_change():
         node.applied(item.version)
 
 
@@ -40,7 +40,7 @@
 
 
 def in_force(pump, version):
-    return lambda: all(n.currency.in_force == version for n in pump.all())
+    return lambda: all(n.version_tracker.in_force == version for n in pump.all())
 
 
 @pytest.mark.parametrize(("size", "loss"), [(300, 0.0), (300, 0.2), (3000, 0.0)])
@@ -60,7 +60,9 @@
     pump = running(6)
     nodes, late = pump.all()[:5], pump.all()[5]
     order = []
-    late.subscribe(ConfigurationItem, lambda item, sender: order.append(late.currency.in_force))
+    late.subscribe(
+        ConfigurationItem, lambda item, sender: order.append(late.version_tracker.in_force)
+    )
     pump.pause(late)
     for version in range(1, 6):
         accept(nodes[version - 1], version)
@@ -74,15 +76,15 @@
 def test_after_a_short_pause_a_vm_is_ready_only_once_it_has_heard_others_again():
     pump = running(6)
     accept(pump.all()[0], 1)
-    pump.run(CONFIRM_WITHIN)
+    pump.run(CONFIRMATION_TTL)
     node = pump.all()[3]
-    assert node.currency.ready(pump.clock.now())
+    assert node.version_tracker.ready(pump.clock.now())
     pump.pause(node)
     pump.run(3)
     pump.resume(node)
     node.tick()
-    assert not node.currency.ready(pump.clock.now())
-    assert pump.run_until(lambda: node.currency.ready(pump.clock.now()), 4) is not None
+    assert not node.version_tracker.ready(pump.clock.now())
+    assert pump.run_until(lambda: node.version_tracker.ready(pump.clock.now()), 4) is not None
 
 
 def test_a_joiner_gets_marks_and_configuration_from_its_peers_while_the_store_is_down():
@@ -94,9 +96,9 @@
     new, heard = pump.add(7), []
     new.subscribe(ConfigurationItem, lambda item, sender: apply_all(new))
     new.subscribe(DrainItem, lambda item, sender: heard.append((item, sender)))
-    assert not new.currency.ready(pump.clock.now())
-    assert pump.run_until(lambda: new.currency.ready(pump.clock.now()), 15) is not None
-    assert new.currency.in_force == 1
+    assert not new.version_tracker.ready(pump.clock.now())
+    assert pump.run_until(lambda: new.version_tracker.ready(pump.clock.now()), 15) is not None
+    assert new.version_tracker.in_force == 1
     assert pump.run_until(lambda: heard == [(DrainItem("up1", 3), "vm2")], 15) is not None
 
 
@@ -147,18 +149,18 @@
     pump = running(7)
     nodes = pump.all()
     accept(nodes[0], 1)
-    pump.run(CONFIRM_WITHIN)
-    assert all(n.currency.ready(pump.clock.now()) for n in nodes)
+    pump.run(CONFIRMATION_TTL)
+    assert all(n.version_tracker.ready(pump.clock.now()) for n in nodes)
     pump.cut(nodes[:3], nodes[3:])
     pump.run(20)
-    ready = [n.currency.ready(pump.clock.now()) for n in nodes]
+    ready = [n.version_tracker.ready(pump.clock.now()) for n in nodes]
     assert ready == [False] * 3 + [True] * 4
     accept(nodes[6], 2)
     pump.run(5)
     pump.cuts.clear()
     assert pump.run_until(in_force(pump, 2), 20) is not None
     pump.run(10)
-    assert all(n.currency.ready(pump.clock.now()) for n in nodes)
+    assert all(n.version_tracker.ready(pump.clock.now()) for n in nodes)
 
 
 def test_a_new_vm_gets_the_whole_document_from_a_peer_when_the_changes_are_gone():
@@ -176,7 +178,7 @@
     assert pump.run_until(lambda: got, 60) is not None
     assert got == [(40, document)]
     pump.loss = 0.0
-    assert pump.run_until(lambda: new.currency.ready(pump.clock.now()), 10) is not None
+    assert pump.run_until(lambda: new.version_tracker.ready(pump.clock.now()), 10) is not None
     pump.run(10)
     assert len(got) == 1
 
@@ -186,17 +188,17 @@
     holder, late = pump.all()
     documents = {40: Random(1).randbytes(5000), 41: Random(2).randbytes(5000)}
     got = []
-    holder.exchange_documents(lambda: (holder.currency.in_force, documents[newest()]), print)
+    holder.exchange_documents(lambda: (holder.version_tracker.in_force, documents[newest()]), print)
     late.exchange_documents(lambda: (0, b""), lambda v, data: (got.append(v), late.applied(v)))
 
     def newest():
-        return holder.currency.in_force
+        return holder.version_tracker.in_force
 
     holder.applied(40)
     assert pump.run_until(lambda: late.snapshots.parts, 10) is not None
     holder.applied(41)
     holder.snapshots.given = (41, compress(documents[41]))
-    assert pump.run_until(lambda: late.currency.in_force == 41, 30) is not None
+    assert pump.run_until(lambda: late.version_tracker.in_force == 41, 30) is not None
     assert got == [41]
 
 
--- a/sequoiabridge/tests/matrix/world.py
+++ b/sequoiabridge/tests/matrix/world.py
@@ -46,7 +46,7 @@
 IN_FORCE_LIMIT = 4.0
 """Seconds after which an accepted version must be in force on every VM that says it is ready."""
 CUT_OFF_LIMIT = 6.5
-"""The same where a VM is cut off from store and fleet: it goes on for 6 s (`CONFIRM_WITHIN`)."""
+"""The same where a VM is cut off from store and fleet: it goes on for 6 s (`CONFIRMATION_TTL`)."""
 UPLOAD_SIZE = 90_000
 """Bytes of an upload: more than the daemon takes into memory before it looks at the call."""
 
--- a/sequoiabridge/tests/test_configuration.py
+++ b/sequoiabridge/tests/test_configuration.py
@@ -41,7 +41,7 @@
     assert curio.run(single_vm(bench)[0].propose, CHANGE, "anna", 0).ok == 1
     configuration, timers = single_vm(bench)
     timers.run_due()[0].close()  # Skip the poll at the start of the daemon.
-    configuration.fleet.currency.offer(ConfigurationItem(1, b""), 0.0)
+    configuration.fleet.version_tracker.add_change(ConfigurationItem(1, b""), 0.0)
     configuration.apply_received_changes()
     for poll in timers.run_due():
         curio.run(poll)
--- a/sequoiabridge/tests/test_configuration_poll.py
+++ b/sequoiabridge/tests/test_configuration_poll.py
@@ -16,7 +16,7 @@
     )
     bench.faults.down = True
     curio.run(configuration.poll)
-    assert node.currency.table_at is None
+    assert node.version_tracker.table_read_at is None
     bench.faults.down = False
     curio.run(configuration.poll)
-    assert node.currency.table_at is not None
+    assert node.version_tracker.table_read_at is not None
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -81,7 +81,10 @@
         node.spreader.queue.queues[Urgency.CONFIGURATION].clear()
     node = fleet.pump.add(5)
     configuration, seen = fleet.join(node)
-    assert fleet.pump.run_until(lambda: node.currency.ready(fleet.pump.clock.now()), 30) is not None
+    assert (
+        fleet.pump.run_until(lambda: node.version_tracker.ready(fleet.pump.clock.now()), 30)
+        is not None
+    )
     assert seen == [1]
     assert configuration.in_force.encode() == fleet.configurations[0].in_force.encode()
 
