--- a/sequoiabridge/benchmarks/fleet.py
+++ b/sequoiabridge/benchmarks/fleet.py
@@ -19,9 +19,9 @@
 
 from ..fleet.base import ConfigurationItem, Urgency
 from ..fleet.fleet import FleetNode
-from ..fleet.loads import LocalLoad, worth_sending
+from ..fleet.loads import LocalLoad, select_load_items
 from ..fleet.members import update_of
-from ..fleet.repair import YOUNG
+from ..fleet.repair import STARTUP_SECONDS
 from ..tests.fleet.pump import KEY, Pump, PumpChannel
 from ..timers import ManualClock, SystemClock, Timers
 
@@ -104,7 +104,7 @@
             node.membership.ledger.learn(view, pump.clock.now())
         node.membership.ledger.changed.clear()
         node.membership.ledger.events.clear()
-    pump.run(YOUNG + 5)
+    pump.run(STARTUP_SECONDS + 5)
     return pump
 
 
@@ -151,7 +151,7 @@
         for node in pump.all():
             loads = [evidence(pump.random, i, now) for i in range(UPSTREAMS)]
             room = node.bucket.room(Urgency.LOAD)
-            for item in worth_sending(loads, told[node.me.name], room, now):
+            for item in select_load_items(loads, told[node.me.name], room, now):
                 node.publish(item, Urgency.LOAD)
         pump.run(0.5)
     return (load_bytes(pump) - before) / seconds / len(pump.nodes)
@@ -171,7 +171,7 @@
 def fleet_of_today():
     """Measure the fleet of 18 in virtual time; return its figures."""
     pump, took = cold_start(FLEET)
-    pump.run(YOUNG)
+    pump.run(STARTUP_SECONDS)
     follow_changes(pump)
     cost = Cost(pump)
     pump.run(IDLE)
--- a/sequoiabridge/fleet/bucket.py
+++ b/sequoiabridge/fleet/bucket.py
@@ -105,7 +105,7 @@
         self.limit = limit
 
 
-class OutQueue:
+class SendQueue:
     """What waits to be spread, by urgency and subject."""
 
     __slots__ = ("queues", "count", "dropped")
--- a/sequoiabridge/fleet/fleet.py
+++ b/sequoiabridge/fleet/fleet.py
@@ -248,11 +248,11 @@
     def _take_in(self, message: Message, learned: bool, now: float) -> None:
         """Take in the version and the items of a message that is no replay."""
         self.version_tracker.record_peer_version(message.version, now)
-        items = self.spreader.received(message, now)
+        items = self.spreader.handle_message(message, now)
         for item, origin in items:
             self._deliver(item, origin, now)
-        self.repair.received(message, learned or bool(items), now)
-        self.snapshots.received(message, now)
+        self.repair.handle_message(message, learned or bool(items), now)
+        self.snapshots.handle_message(message, now)
         self._spread_urgent(now)
 
     def _deliver(self, item: AnyItem | None, origin: str, now: float) -> None:
--- a/sequoiabridge/fleet/loads.py
+++ b/sequoiabridge/fleet/loads.py
@@ -15,9 +15,9 @@
 """Share by which a value must have moved to be worth telling."""
 FEW = 2
 """A change of work in flight by less than this is noise: an instance has two slots."""
-SUSPECT_AGAIN = 5.0
+SUSPECT_REPEAT_INTERVAL = 5.0
 """Seconds after which a suspect is named again."""
-EXPIRED = 10.0
+LOAD_TTL = 10.0
 """Seconds after which a word no longer counts as told, and evidence is too old to tell."""
 
 
@@ -36,42 +36,42 @@
         self.measured = measured
 
 
-class Told:
+class PublishedLoad:
     """The last word on one upstream."""
 
-    __slots__ = ("load", "at")
+    __slots__ = ("load", "published_at")
 
-    def __init__(self, load: LocalLoad, at: float):
+    def __init__(self, load: LocalLoad, published_at: float):
         self.load = load
-        self.at = at
+        self.published_at = published_at
 
 
-def worth_sending(
-    loads: Iterable[LocalLoad], told: dict[str, Told], room: float, now: float
+def select_load_items(
+    loads: Iterable[LocalLoad], told: dict[str, PublishedLoad], room: float, now: float
 ) -> list[LoadItem]:
     """Return the items to publish now, most useful first, and note them in `told`.
 
     Args:
-        loads: Evidence on upstreams; what is older than `EXPIRED` is passed over.
+        loads: Evidence on upstreams; what is older than `LOAD_TTL` is passed over.
         told: What was told before, by upstream; the caller keeps it between calls.
         room: Bytes that the byte bucket leaves for load.
     """
-    fresh = [load for load in loads if now - load.measured < EXPIRED]
+    fresh = [load for load in loads if now - load.measured < LOAD_TTL]
     scored = [(score(load, told.get(load.upstream), now), load) for load in fresh]
     wanted = sorted((s for s in scored if s[0] > 0), key=lambda s: (-s[0], s[1].upstream))
     chosen = [load for _, load in wanted[: max(0, int(room // ITEM_SIZE))]]
     for load in chosen:
-        told[load.upstream] = Told(load, now)
+        told[load.upstream] = PublishedLoad(load, now)
     return [as_item(load, now) for load in chosen]
 
 
-def score(load: LocalLoad, told: Told | None, now: float) -> float:
+def score(load: LocalLoad, told: PublishedLoad | None, now: float) -> float:
     """Return how much the others gain from a piece of evidence; 0 means not worth its bytes."""
-    last = told.load if told is not None and now - told.at < EXPIRED else None
+    last = told.load if told is not None and now - told.published_at < LOAD_TTL else None
     was_suspect = last is not None and last.suspect
     if load.suspect != was_suspect:
         return 1_000.0
-    if load.suspect and now - told.at >= SUSPECT_AGAIN:
+    if load.suspect and now - told.published_at >= SUSPECT_REPEAT_INTERVAL:
         return 500.0
     if last is None:
         return 1.0 if load.in_flight >= FEW else 0.0
--- a/sequoiabridge/fleet/repair.py
+++ b/sequoiabridge/fleet/repair.py
@@ -13,7 +13,7 @@
 COMPARE_EVERY = 10.0
 """Seconds between two comparisons of state, while nothing differs."""
 COMPARE_YOUNG = 2.0
-YOUNG = 20.0
+STARTUP_SECONDS = 20.0
 """For so many seconds a new VM compares every `COMPARE_YOUNG` seconds."""
 COMPARE_AGAIN = 1.0
 """Seconds to the next comparison after one that brought something new."""
@@ -56,7 +56,7 @@
         self._compare(now)
         self._chase(now)
 
-    def received(self, message: Message, learned: bool, now: float) -> None:
+    def handle_message(self, message: Message, learned: bool, now: float) -> None:
         """Answer requests for changes and comparisons; `learned` if the message brought news."""
         for ack in self.acks.values():
             ack.record_version(message.sender, message.version)
@@ -117,14 +117,14 @@
         outgoing = to(member, Kind.GOSSIP)
         message = self.sender.message(outgoing)
         message.parcels = parcels
-        self.spreader.push(request.number, request.sender, now)
+        self.spreader.spread_compressed(request.number, request.sender, now)
         self.sender.send(outgoing, now, message)
 
     def _compare(self, now: float) -> None:
         if now < self.next_compare or not self.membership.roster.live_names:
             return
         live = self.membership.live()
-        interval = COMPARE_YOUNG if now - self.started < YOUNG else COMPARE_EVERY
+        interval = COMPARE_YOUNG if now - self.started < STARTUP_SECONDS else COMPARE_EVERY
         self.next_compare = now + interval * self.random.uniform(0.8, 1.2)
         self.spreader.marks.forget(now)
         outgoing = to(self.random.choice(live), Kind.DIGEST)
--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -82,7 +82,7 @@
             self.holder, self.heard_at = self.random.choice(holders).name, now
             self._ask(now)
 
-    def received(self, message: Message, now: float) -> None:
+    def handle_message(self, message: Message, now: float) -> None:
         """Answer a request, or take in a piece."""
         if message.kind == Kind.SNAPSHOT_REQUEST:
             self._give(message, now)
--- a/sequoiabridge/fleet/spreader.py
+++ b/sequoiabridge/fleet/spreader.py
@@ -21,7 +21,7 @@
     RetryItem,
     Urgency,
 )
-from .bucket import ByteBucket, Entry, OutQueue
+from .bucket import ByteBucket, Entry, SendQueue
 from .marks import (
     ChangeLog,
     Mark,
@@ -55,11 +55,11 @@
         self.membership = membership
         self.codec = codec
         self.random = random
-        self.queue = OutQueue()
+        self.queue = SendQueue()
         self.marks = Marks()
         self.changes = ChangeLog()
         self.periods: dict[tuple, int] = {}
-        self.pushed = 0
+        self.spread_version = 0
 
     # Own items.
 
@@ -81,15 +81,15 @@
             told = announced(item)
             self._queue(told, Parcel(self.codec.pack(told), me), urgency, now)
 
-    def push(self, version: int, asker: str, now: float) -> None:
+    def spread_compressed(self, version: int, asker: str, now: float) -> None:
         """Spread a compressed change: a VM had to ask for it, so others can't read it either."""
         parcel = self.changes.parcels.get(version)
-        if parcel is None or version <= self.pushed:
+        if parcel is None or version <= self.spread_version:
             return
         item = self.codec.unpack(parcel.item).ok
         if not item.packed:
             return
-        self.pushed = version
+        self.spread_version = version
         entry = self._queue(item, parcel, Urgency.CONFIGURATION, now)
         entry.known.add(asker)
         entry.known.update(m.name for m in self.membership.live() if m.version >= version)
@@ -104,7 +104,7 @@
 
     # Items of others.
 
-    def received(self, message: Message, now: float) -> list[tuple[AnyItem | None, str]]:
+    def handle_message(self, message: Message, now: float) -> list[tuple[AnyItem | None, str]]:
         """Take in a message's parcels; return the new items, None if unknown, with their origin."""
         new: list[tuple[AnyItem | None, str]] = []
         self._note_version(message)
--- a/sequoiabridge/pipeline/sharing.py
+++ b/sequoiabridge/pipeline/sharing.py
@@ -5,7 +5,7 @@
 from ..component import Component
 from ..fleet.base import CrashItem, DrainItem, LoadItem, RetryItem, Urgency
 from ..fleet.fleet import FleetNode
-from ..fleet.loads import EXPIRED, LocalLoad, Told, worth_sending
+from ..fleet.loads import LOAD_TTL, LocalLoad, PublishedLoad, select_load_items
 from ..logs import get_log
 from ..metrics import Metrics
 from ..policy.base import Failure
@@ -50,7 +50,7 @@
         self.fleet = fleet
         self.metrics = metrics
         self.clock = clock
-        self.published: dict[str, Told] = {}
+        self.published: dict[str, PublishedLoad] = {}
         self.rounds = 0
         self.published_drains = 0
         self.published_crashes = 0
@@ -164,7 +164,7 @@
             shared |= self._published_upstreams(state)
             loads += [local_load(upstream, now) for upstream in shared.values()]
         room = self.fleet.bucket.room(Urgency.LOAD)
-        for item in worth_sending(loads, self.published, room, now):
+        for item in select_load_items(loads, self.published, room, now):
             self.fleet.publish(item, Urgency.LOAD)
 
     def publish_retries(self) -> None:
@@ -190,7 +190,9 @@
         return {name: upstreams[name] for name in self.published if name in upstreams}
 
     def _drop_expired(self, now: float) -> None:
-        for name in [n for n, published in self.published.items() if now - published.at >= EXPIRED]:
+        for name in [
+            n for n, published in self.published.items() if now - published.published_at >= LOAD_TTL
+        ]:
             del self.published[name]
 
     def dump(self) -> dict:
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ...fleet.base import ConfigurationItem, DrainItem, LoadItem, Urgency
-from ...fleet.bucket import HEARTBEAT, QUEUE_LIMIT, ByteBucket, Entry, OutQueue
+from ...fleet.bucket import HEARTBEAT, QUEUE_LIMIT, ByteBucket, Entry, SendQueue
 from ...fleet.wire import Parcel
 from .pump import GONE, Pump, state
 
@@ -14,7 +14,7 @@
 
 
 def test_a_newer_item_takes_the_place_of_one_that_waits():
-    queue = OutQueue()
+    queue = SendQueue()
     old, new = entry("a", Urgency.LOAD), entry("a", Urgency.LOAD)
     queue.put(old)
     queue.put(new)
@@ -33,7 +33,7 @@
 
 
 def test_the_most_urgent_go_first_and_a_full_queue_drops_the_lowest():
-    queue, bucket = OutQueue(), ByteBucket(3000, 0.0)
+    queue, bucket = SendQueue(), ByteBucket(3000, 0.0)
     for i in range(QUEUE_LIMIT + 5):
         queue.put(entry(i, Urgency.LOAD))
     queue.put(entry("c", Urgency.CONFIGURATION))
@@ -48,7 +48,7 @@
 
 
 def test_each_item_goes_to_each_vm_once_and_only_so_often():
-    queue, bucket = OutQueue(), ByteBucket(3000, 0.0)
+    queue, bucket = SendQueue(), ByteBucket(3000, 0.0)
     queue.put(entry("c", Urgency.DRAIN))
     counts = [len(queue.take(f"vm{i // 2}", 1000, bucket, 18)) for i in range(40)]
     assert counts[:4] == [1, 0, 1, 0]
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -105,7 +105,7 @@
     fleet.bench.faults.down = False
     fleet.accept(upstreams(300), lost=False)
     assert fleet.everywhere(2, 10) is not None
-    assert [node.spreader.pushed for node in fleet.pump.all()] == [0] * 4
+    assert [node.spreader.spread_version for node in fleet.pump.all()] == [0] * 4
 
 
 def test_change_too_large_for_a_message_is_received_as_a_document_from_peers():
