--- a/sequoiabridge/store/upload_manifest.py
+++ b/sequoiabridge/store/upload_manifest.py
@@ -146,13 +146,18 @@
 
 
 def accept(
-    manifest: Manifest, chunks: list[Chunk], digest: str, vm: str, head_start: float, stamp: Stamp
+    manifest: Manifest,
+    chunks: list[Chunk],
+    digest: str,
+    vm: str,
+    exclusive_seconds: float,
+    stamp: Stamp,
 ) -> Manifest:
     """Add the last chunks and accept; `vm` may deliver at once, others after `head_start`."""
     whole = append_chunks(manifest, chunks, stamp)
     if manifest.length is not None and whole.size != manifest.length:
         raise UploadConflict(f"{whole.size} of {manifest.length} bytes came; resume the upload")
-    due = stamp.now + head_start
+    due = stamp.now + exclusive_seconds
     return replace(whole, state=UploadState.ACCEPTED, digest=digest, holder=vm, due=due)
 
 
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -91,7 +91,7 @@
         self.deadline = deadline
 
     @property
-    def total(self) -> int | None:
+    def total_length(self) -> int | None:
         """Size of the whole upload as far as this request tells it."""
         return None if self.length is None else (self.offset or 0) + self.length
 
@@ -212,7 +212,7 @@
             self.pending,
             digest,
             self.uploads.vm_name,
-            self.uploads.head_start,
+            self.uploads.exclusive_seconds,
             self.uploads.new_stamp(),
         )
         try:
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -47,7 +47,7 @@
 Its caller's deadline ends the wait before that.
 """
 
-HEAD_START = 5.0
+EXCLUSIVE_SECONDS = 5.0
 """Seconds during which only the accepting VM delivers."""
 
 
@@ -80,7 +80,7 @@
         chunks_per_commit: int = CHUNKS_PER_COMMIT,
         commit_interval: float = COMMIT_INTERVAL,
         retry_timeout: float = RETRY_TIMEOUT,
-        head_start: float = HEAD_START,
+        exclusive_seconds: float = EXCLUSIVE_SECONDS,
         new_token: Callable[[], str] = _random_token,
         sleep=curio.sleep,
     ):
@@ -90,18 +90,18 @@
         self.chunks_per_commit = chunks_per_commit
         self.commit_interval = commit_interval
         self.retry_timeout = retry_timeout
-        self.head_start = head_start
+        self.exclusive_seconds = exclusive_seconds
         self.new_token = new_token
         self.table = ManifestTable(tables, clock, sleep)
         self.chunks = ChunkStore(objects, self._new_backoff, sleep)
-        self.receiving = 0
+        self.receiving_count = 0
         self.progress: dict[str, int] = {}
         self.counts: Counter[str] = Counter()
 
     @property
     def idle(self) -> bool:
         """Whether no upload is being received: a planned stop waits for it."""
-        return self.receiving == 0
+        return self.receiving_count == 0
 
     def new_stamp(self) -> Stamp:
         """Return the time and a fresh token for one change."""
@@ -121,11 +121,11 @@
             UploadUnknown: No such upload of this caller.
             CallerGone: The body was cut short; what came is kept for a resume.
         """
-        self.receiving += 1
+        self.receiving_count += 1
         try:
             received = await self._receive(incoming)
         finally:
-            self.receiving -= 1
+            self.receiving_count -= 1
         self.counts["replayed" if received.replayed else received.state.value] += 1
         return received
 
@@ -155,24 +155,24 @@
     def dump(self) -> dict:
         """Describe what is being received here, and counts since the start."""
         progress = dict(list(self.progress.items())[:20])
-        return {"receiving": self.receiving, "stored": progress, "counts": dict(self.counts)}
+        return {"receiving": self.receiving_count, "stored": progress, "counts": dict(self.counts)}
 
     async def _receive(self, incoming: IncomingUpload) -> UploadResult:
         if incoming.upload_id is None:
-            current = await self._started(incoming)
+            current = await self._start_new(incoming)
         else:
-            current = await self._named(incoming)
+            current = await self._read_existing(incoming)
             if incoming.offset is None:
                 return UploadResult(current.manifest)
-            current = await self._own(current, incoming)
+            current = await self._take_over(current, incoming)
         if current.manifest.state is not UploadState.OPEN:
-            return await self._replayed(current.manifest, incoming)
+            return await self._answer_replay(current.manifest, incoming)
         try:
             return await UploadWriter(self, current, incoming).run()
         finally:
             self.progress.pop(current.manifest.id, None)
 
-    async def _started(self, incoming: IncomingUpload) -> VersionedManifest:
+    async def _start_new(self, incoming: IncomingUpload) -> VersionedManifest:
         manifest = self._new_manifest(incoming)
         try:
             return await self.table.insert(manifest, START_RETRY_TIMEOUT, incoming.deadline)
@@ -180,7 +180,7 @@
             current = await self.table.read(manifest.id, START_RETRY_TIMEOUT, incoming.deadline)
         if current is None:
             raise UploadConflict("an upload of this key has just ended; send it again")
-        return await self._own(current, incoming)
+        return await self._take_over(current, incoming)
 
     def _new_manifest(self, incoming: IncomingUpload) -> Manifest:
         stamp = self.new_stamp()
@@ -199,40 +199,44 @@
             token=stamp.token,
         )
 
-    async def _named(self, incoming: IncomingUpload) -> VersionedManifest:
+    async def _read_existing(self, incoming: IncomingUpload) -> VersionedManifest:
         current = await self.table.read(incoming.upload_id, START_RETRY_TIMEOUT, incoming.deadline)
         scope = (incoming.service, incoming.caller)
         if current is None or (current.manifest.service, current.manifest.caller) != scope:
             raise UploadUnknown(f"no upload {incoming.upload_id} of this caller; start a new one")
         return current
 
-    async def _own(self, current: VersionedManifest, incoming: IncomingUpload) -> VersionedManifest:
+    async def _take_over(
+        self, current: VersionedManifest, incoming: IncomingUpload
+    ) -> VersionedManifest:
         """Fence the older writers of an upload that is not accepted yet."""
         manifest = current.manifest
         check_offset(manifest, incoming.offset or 0)
-        check_same(manifest, incoming)
+        check_same_request(manifest, incoming)
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
             return current
-        own = take_over(manifest, self.new_stamp())
-        return await self.table.advance(current, own, START_RETRY_TIMEOUT, incoming.deadline)
+        next_manifest = take_over(manifest, self.new_stamp())
+        return await self.table.advance(
+            current, next_manifest, START_RETRY_TIMEOUT, incoming.deadline
+        )
 
-    async def _replayed(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
+    async def _answer_replay(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
         """Answer for an upload that is accepted already, after comparing the content."""
         if not incoming.digest or incoming.digest != manifest.digest:
             chunker = BodyChunker(incoming.body, self.chunks.sleep)
             await compare_body(chunker, manifest, incoming.offset or 0)
-            more = await chunker.next_piece(1)
+            surplus = await chunker.next_piece(1)
             if chunker.read_error is not None:
                 raise chunker.read_error
-            if more.data:
+            if surplus.data:
                 raise UploadKeyReused(f"the body is longer than upload {manifest.id}; new key")
         return UploadResult(manifest, replayed=True)
 
 
-def check_same(manifest: Manifest, incoming: IncomingUpload) -> None:
+def check_same_request(manifest: Manifest, incoming: IncomingUpload) -> None:
     """Raise `UploadKeyReused` if a request cannot mean this upload."""
     same = (manifest.method, manifest.target) == (incoming.method, incoming.target)
-    total = incoming.total
+    total = incoming.total_length
     if not same or (None not in (total, manifest.length) and total != manifest.length):
         raise UploadKeyReused(
             f"upload {manifest.id} has another method, target or length; use another key"
