--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -207,7 +207,7 @@
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
             return current
         sent = self.progress.get(manifest.id, 0)
-        return await self._advance(current, renew_lease(manifest, self.lease, sent, digest, stamp))
+        return await self._update(current, renew_lease(manifest, self.lease, sent, digest, stamp))
 
     def dump(self) -> dict:
         """Describe deliveries that are running here, and counts since the start."""
@@ -219,7 +219,7 @@
         }
 
     async def _due(self, now: float) -> list[str]:
-        rows = await self.uploads.table.entries(WORK_PREFIX, self.after, PAGE)
+        rows = await self.uploads.table.list_entries(WORK_PREFIX, self.after, PAGE)
         self.after = rows[-1][0] if len(rows) == PAGE else ""
         due = [e.id for _, e in rows if self._wanted(e, now) and e.id not in self.progress]
         self.random.shuffle(due)
@@ -234,7 +234,7 @@
         stamp = self.uploads.new_stamp()
         if current is None or not is_claimable(current.manifest, self.uploads.vm_name, stamp.now):
             return None
-        return await self._advance(
+        return await self._update(
             current, claim(current.manifest, self.uploads.vm_name, self.lease, stamp)
         )
 
@@ -268,7 +268,7 @@
                 return
             change = mark_delivered(current.manifest, self.retention, self.uploads.new_stamp())
             try:
-                await self._advance(current, change)
+                await self._update(current, change)
                 break
             except UploadConflict:
                 continue
@@ -290,7 +290,7 @@
         else:
             delay = retry_delay(manifest.attempts, self.random)
             change = postpone(manifest, sent.error, delay, stamp)
-        await self._advance(current, change)
+        await self._update(current, change)
 
     async def _record_crash(self, current: VersionedManifest, sent: DeliveryResult) -> None:
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
@@ -299,10 +299,10 @@
             stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
             args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
             try:
-                await self._advance(current, record_crash(current.manifest, *args))
+                await self._update(current, record_crash(current.manifest, *args))
                 return
             except UploadConflict:
                 current = await uploads.table.read(upload, uploads.retry_timeout)
 
-    async def _advance(self, current: VersionedManifest, manifest: Manifest) -> VersionedManifest:
-        return await self.uploads.table.advance(current, manifest, self.uploads.retry_timeout)
+    async def _update(self, current: VersionedManifest, manifest: Manifest) -> VersionedManifest:
+        return await self.uploads.table.update(current, manifest, self.uploads.retry_timeout)
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -65,7 +65,7 @@
                 continue
             change = abandon(current.manifest, self.retention, self.uploads.new_stamp())
             try:
-                await self.uploads.table.advance(current, change)
+                await self.uploads.table.update(current, change)
             except UploadConflict:
                 continue
             self.abandoned += 1
@@ -102,7 +102,7 @@
         return names
 
     async def _entries(self, prefix: str) -> list[UploadEntry]:
-        rows = await self.uploads.table.entries(prefix, self.cursors[prefix], self.batch)
+        rows = await self.uploads.table.list_entries(prefix, self.cursors[prefix], self.batch)
         self.cursors[prefix] = rows[-1][0] if len(rows) == self.batch else ""
         return [entry for _, entry in rows]
 
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -62,9 +62,9 @@
         self.retry_until = min(clock.now() + seconds, deadline)
         self.delay = MIN_RETRY_DELAY
 
-    def timeout(self, most: float) -> float:
+    def timeout(self, limit: float) -> float:
         """Return the seconds that the next call may take, at most `most`."""
-        return min(most, max(LATE_CALL_TIMEOUT, self.deadline - self.clock.now()))
+        return min(limit, max(LATE_CALL_TIMEOUT, self.deadline - self.clock.now()))
 
     async def wait(self) -> bool:
         """Pause; return False, without a pause, if the time is up."""
@@ -100,7 +100,7 @@
                     return _decode_row(row)
                 case Result(error=error):
                     if not await backoff.wait():
-                        raise _unavailable(error)
+                        raise _unavailable_error(error)
 
     async def insert(
         self, manifest: Manifest, retry_timeout: float = 0.0, deadline: float = inf
@@ -109,7 +109,7 @@
         backoff = RetryBackoff(self.clock, self.sleep, retry_timeout, deadline)
         return await self._commit(None, 0, manifest, backoff)
 
-    async def advance(
+    async def update(
         self,
         current: VersionedManifest,
         manifest: Manifest,
@@ -126,53 +126,55 @@
         result = await self.tables.transact(conditions, removal(current.manifest), CALL_TIMEOUT)
         return result.is_ok()
 
-    async def entries(self, prefix: str, after: str, limit: int) -> list[tuple[str, UploadEntry]]:
+    async def list_entries(
+        self, prefix: str, after: str, limit: int
+    ) -> list[tuple[str, UploadEntry]]:
         """Return up to `limit` index entries in order with their keys, which are over `after`."""
         match await self.tables.scan(INDEX_TABLE, prefix, after, limit, CALL_TIMEOUT):
             case Result(tag="ok", ok=rows):
                 return [(r.key, msgspec.msgpack.decode(r.value, type=UploadEntry)) for r in rows]
             case Result(error=error):
-                raise _unavailable(error)
+                raise _unavailable_error(error)
 
     async def _commit(
         self, before: Manifest | None, version: int, after: Manifest, backoff: RetryBackoff
     ) -> VersionedManifest:
         rows = writes(before, after)
-        lost = False
+        may_have_committed = False
         while True:
-            error = await self._try(version, after, rows, backoff)
+            error = await self._transact(version, after, rows, backoff)
             if error is None:
                 return VersionedManifest(after, version + 1)
             if error.kind is StoreErrorKind.CONDITION_FAILED:
-                row = await self._settled(after, backoff, lost)
-                if _wrote(row, after):
+                row = await self._read_back(after, backoff, may_have_committed)
+                if _is_written(row, after):
                     return row
-                if not _unchanged(row, before):
-                    raise _conflict(after)
+                if not _is_unchanged(row, before):
+                    raise _conflict_error(after)
                 version = row.version if row else 0
                 continue
-            lost = lost or error.kind is StoreErrorKind.UNKNOWN
+            may_have_committed = may_have_committed or error.kind is StoreErrorKind.UNKNOWN
             if await backoff.wait():
                 continue
-            if not lost:
-                raise _unavailable(error)
-            return await self._last_word(before, after, backoff.deadline)
+            if not may_have_committed:
+                raise _unavailable_error(error)
+            return await self._read_back_once(before, after, backoff.deadline)
 
-    async def _last_word(
+    async def _read_back_once(
         self, before: Manifest | None, after: Manifest, deadline: float
     ) -> VersionedManifest:
         """Settle by one more read when the time is up; it may be up after a pause of this VM."""
-        once = RetryBackoff(self.clock, self.sleep, 0.0, deadline)
-        row = await self._settled(after, once, lost=True)
-        if _wrote(row, after):
+        no_retries = RetryBackoff(self.clock, self.sleep, 0.0, deadline)
+        row = await self._read_back(after, no_retries, may_have_committed=True)
+        if _is_written(row, after):
             return row
-        if _unchanged(row, before):
+        if _is_unchanged(row, before):
             raise CommitUnknown(
                 f"upload {after.id}: a commit got no answer; look the upload up later"
             )
-        raise _conflict(after)
+        raise _conflict_error(after)
 
-    async def _try(
+    async def _transact(
         self, version: int, after: Manifest, rows: list[Write], backoff: RetryBackoff
     ) -> StoreError | None:
         conditions = [Condition(MANIFEST_TABLE, after.id, version)]
@@ -182,8 +184,8 @@
             case Result(error=error):
                 return error
 
-    async def _settled(
-        self, after: Manifest, backoff: RetryBackoff, lost: bool
+    async def _read_back(
+        self, after: Manifest, backoff: RetryBackoff, may_have_committed: bool
     ) -> VersionedManifest | None:
         while True:
             match await self.tables.read(MANIFEST_TABLE, after.id, backoff.timeout(CALL_TIMEOUT)):
@@ -191,20 +193,24 @@
                     return _decode_row(row)
                 case Result(error=error):
                     if not await backoff.wait():
-                        raise CommitUnknown(error.message) if lost else _unavailable(error)
+                        raise (
+                            CommitUnknown(error.message)
+                            if may_have_committed
+                            else _unavailable_error(error)
+                        )
 
 
-def _wrote(row: VersionedManifest | None, after: Manifest) -> bool:
+def _is_written(row: VersionedManifest | None, after: Manifest) -> bool:
     return row is not None and row.manifest.token == after.token
 
 
-def _unchanged(row: VersionedManifest | None, before: Manifest | None) -> bool:
+def _is_unchanged(row: VersionedManifest | None, before: Manifest | None) -> bool:
     if row is None or before is None:
         return row is before
     return row.manifest.token == before.token
 
 
-def _conflict(after: Manifest) -> UploadConflict:
+def _conflict_error(after: Manifest) -> UploadConflict:
     return UploadConflict(f"upload {after.id} was changed elsewhere; ask for its offset")
 
 
@@ -214,5 +220,5 @@
     return VersionedManifest(msgspec.msgpack.decode(row.value, type=Manifest), row.version)
 
 
-def _unavailable(error: StoreError) -> StoreUnavailable:
+def _unavailable_error(error: StoreError) -> StoreUnavailable:
     return StoreUnavailable(f"{error.message}; try again when the platform answers")
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -190,7 +190,7 @@
     async def _commit(self, retry_timeout: float) -> None:
         stamp = self.uploads.new_stamp()
         manifest = append_chunks(self.current.manifest, self.pending, stamp)
-        self.current = await self.uploads.table.advance(
+        self.current = await self.uploads.table.update(
             self.current, manifest, retry_timeout, self.incoming.deadline
         )
         self.pending = []
@@ -216,7 +216,7 @@
             self.uploads.new_stamp(),
         )
         try:
-            self.current = await self.uploads.table.advance(
+            self.current = await self.uploads.table.update(
                 self.current, manifest, self.uploads.retry_timeout, self.incoming.deadline
             )
         except UploadConflict:
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -133,7 +133,7 @@
         """Return up to `limit` uploads that are not delivered: held, waiting, then open."""
         found: list[UploadEntry] = []
         for prefix in (HELD_PREFIX, WORK_PREFIX, OPEN_PREFIX):
-            rows = await self.table.entries(prefix, "", limit - len(found))
+            rows = await self.table.list_entries(prefix, "", limit - len(found))
             found += [entry for _, entry in rows]
             if len(found) >= limit:
                 break
@@ -150,7 +150,7 @@
         if current is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
         manifest = release_failed(current.manifest, self.new_stamp())
-        return (await self.table.advance(current, manifest, START_RETRY_TIMEOUT)).manifest
+        return (await self.table.update(current, manifest, START_RETRY_TIMEOUT)).manifest
 
     def dump(self) -> dict:
         """Describe what is being received here, and counts since the start."""
@@ -216,7 +216,7 @@
         if manifest.state not in (UploadState.OPEN, UploadState.ABANDONED):
             return current
         next_manifest = take_over(manifest, self.new_stamp())
-        return await self.table.advance(
+        return await self.table.update(
             current, next_manifest, START_RETRY_TIMEOUT, incoming.deadline
         )
 
