--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -37,19 +37,19 @@
 
 log = get_log("uploads")
 
-LEASE = 30.0
+LEASE_SECONDS = 30.0
 """Seconds for which a VM has a delivery to itself; renewed by thirds while bytes move."""
 
-RETENTION = 7 * 86400.0
+RETENTION_SECONDS = 7 * 86400.0
 """Seconds for which a delivered or abandoned upload is remembered for duplicates."""
 
-PARALLEL = 2
+MAX_PARALLEL_DELIVERIES = 2
 """Deliveries at a time on one VM, by default."""
 
-PAGE = 100
+INDEX_PAGE_SIZE = 100
 """Index entries looked at in one step."""
 
-PIECE = 256 * 1024
+READ_SIZE = 256 * 1024
 """Bytes of a chunk that are handed on at a time."""
 
 
@@ -103,9 +103,9 @@
         await self.renew()
         if self.position == len(self.chunk) and not await self._load_next_chunk():
             return b""
-        piece = self.chunk[self.position : self.position + PIECE]
-        self.position += len(piece)
-        return piece
+        data = self.chunk[self.position : self.position + READ_SIZE]
+        self.position += len(data)
+        return data
 
     async def _load_next_chunk(self) -> bool:
         manifest = self.current.manifest
@@ -145,20 +145,20 @@
         clock: Clock,
         *,
         random: Random | None = None,
-        parallel: int = PARALLEL,
-        lease: float = LEASE,
-        retention: float = RETENTION,
+        max_parallel: int = MAX_PARALLEL_DELIVERIES,
+        lease: float = LEASE_SECONDS,
+        retention: float = RETENTION_SECONDS,
     ):
         self.uploads = uploads
         self.send = send
         self.clock = clock
         self.random = random or Random()
-        self.parallel = parallel
+        self.max_parallel = max_parallel
         self.lease = lease
         self.retention = retention
         self.progress: dict[str, int] = {}
         self.stopping = False
-        self.after = ""
+        self.page_cursor = ""
         self.confirmed = 0
         self.postponed = 0
 
@@ -172,15 +172,15 @@
 
         Called each second or so, also while an earlier step still delivers.
         """
-        free = self.parallel - len(self.progress)
+        free = self.max_parallel - len(self.progress)
         if self.stopping or free <= 0:
             return
         try:
-            due = await self._due(now)
+            due = await self._list_due(now)
         except StoreUnavailable as error:
             log.debug("Cannot list uploads: %s.", error)
             return
-        chosen = due[: self.parallel - len(self.progress)]
+        chosen = due[: self.max_parallel - len(self.progress)]
         for upload in chosen:
             self.progress[upload] = 0
         # No task group: a fault in one delivery must not cancel the others.
@@ -206,8 +206,10 @@
         stamp = self.uploads.new_stamp()
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
             return current
-        sent = self.progress.get(manifest.id, 0)
-        return await self._update(current, renew_lease(manifest, self.lease, sent, digest, stamp))
+        sent_bytes = self.progress.get(manifest.id, 0)
+        return await self._update(
+            current, renew_lease(manifest, self.lease, sent_bytes, digest, stamp)
+        )
 
     def dump(self) -> dict:
         """Describe deliveries that are running here, and counts since the start."""
@@ -218,16 +220,16 @@
             "stopping": self.stopping,
         }
 
-    async def _due(self, now: float) -> list[str]:
-        rows = await self.uploads.table.list_entries(WORK_PREFIX, self.after, PAGE)
-        self.after = rows[-1][0] if len(rows) == PAGE else ""
-        due = [e.id for _, e in rows if self._wanted(e, now) and e.id not in self.progress]
+    async def _list_due(self, now: float) -> list[str]:
+        rows = await self.uploads.table.list_entries(WORK_PREFIX, self.page_cursor, INDEX_PAGE_SIZE)
+        self.page_cursor = rows[-1][0] if len(rows) == INDEX_PAGE_SIZE else ""
+        due = [e.id for _, e in rows if self._is_due(e, now) and e.id not in self.progress]
         self.random.shuffle(due)
         return due
 
-    def _wanted(self, entry: UploadEntry, now: float) -> bool:
-        fresh = entry.state is UploadState.ACCEPTED and entry.attempts == 0
-        return entry.due <= now or (fresh and entry.holder == self.uploads.vm_name)
+    def _is_due(self, entry: UploadEntry, now: float) -> bool:
+        is_new = entry.state is UploadState.ACCEPTED and entry.attempts == 0
+        return entry.due <= now or (is_new and entry.holder == self.uploads.vm_name)
 
     async def _claim(self, upload: str) -> VersionedManifest | None:
         current = await self.uploads.table.read(upload)
@@ -245,17 +247,17 @@
             if not manifest.digest:
                 digest = await self.uploads.chunks.compute_digest(manifest, body.renew)
                 body.current = await self.renew(body.current, digest)
-            sent = await self.send(body.current.manifest, body)
+            result = await self.send(body.current.manifest, body)
         except SequoiaError as error:
-            sent = DeliveryResult(DeliveryOutcome.RETRY, str(error))
-        if sent.outcome is DeliveryOutcome.CONFIRMED and not body.complete:
-            sent = DeliveryResult(
+            result = DeliveryResult(DeliveryOutcome.RETRY, str(error))
+        if result.outcome is DeliveryOutcome.CONFIRMED and not body.complete:
+            result = DeliveryResult(
                 DeliveryOutcome.RETRY, "the upstream answered before it had the whole body"
             )
-        if sent.outcome in (DeliveryOutcome.CONFIRMED, DeliveryOutcome.ALREADY_STORED):
+        if result.outcome in (DeliveryOutcome.CONFIRMED, DeliveryOutcome.ALREADY_STORED):
             await self._confirm(manifest.id)
             return
-        await self._give_back(body.current, sent)
+        await self._record_failure(body.current, result)
 
     async def _confirm(self, upload: str) -> None:
         """Commit that it is delivered, whoever holds the lease by now, and drop the chunks.
@@ -278,26 +280,26 @@
             if not await self.uploads.chunks.discard(chunk_name(upload, chunk)):
                 return
 
-    async def _give_back(self, current: VersionedManifest, sent: DeliveryResult) -> None:
+    async def _record_failure(self, current: VersionedManifest, result: DeliveryResult) -> None:
         self.postponed += 1
         manifest, stamp = current.manifest, self.uploads.new_stamp()
-        log.warning("Upload %s is not delivered: %s.", manifest.id, sent.error)
-        if sent.outcome is DeliveryOutcome.CRASHED:
-            await self._record_crash(current, sent)
+        log.warning("Upload %s is not delivered: %s.", manifest.id, result.error)
+        if result.outcome is DeliveryOutcome.CRASHED:
+            await self._record_crash(current, result)
             return
-        if sent.outcome is DeliveryOutcome.REFUSED:
-            change = mark_failed(manifest, sent.error, stamp)
+        if result.outcome is DeliveryOutcome.REFUSED:
+            change = mark_failed(manifest, result.error, stamp)
         else:
             delay = retry_delay(manifest.attempts, self.random)
-            change = postpone(manifest, sent.error, delay, stamp)
+            change = postpone(manifest, result.error, delay, stamp)
         await self._update(current, change)
 
-    async def _record_crash(self, current: VersionedManifest, sent: DeliveryResult) -> None:
+    async def _record_crash(self, current: VersionedManifest, result: DeliveryResult) -> None:
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
         uploads, upload = self.uploads, current.manifest.id
         while current is not None and current.manifest.state in WAITING:
             stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
-            args = uploads.vm_name, sent.upstream, sent.error, delay, stamp
+            args = uploads.vm_name, result.upstream, result.error, delay, stamp
             try:
                 await self._update(current, record_crash(current.manifest, *args))
                 return
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -8,7 +8,7 @@
 from ..component import Component
 from ..exceptions import StoreUnavailable
 from ..logs import get_log
-from .upload_delivery import RETENTION
+from .upload_delivery import RETENTION_SECONDS
 from .upload_index import CHUNK_PREFIX, DONE_PREFIX, OPEN_PREFIX, UploadEntry, is_dead, owner_of
 from .upload_manifest import Manifest, UploadConflict, UploadState, abandon
 from .uploads import Uploads
@@ -33,7 +33,7 @@
         *,
         batch: int = BATCH,
         abandon_after: float = ABANDON_AFTER,
-        retention: float = RETENTION,
+        retention: float = RETENTION_SECONDS,
     ):
         self.uploads = uploads
         self.batch = batch
