--- a/sequoiabridge/store/upload_index.py
+++ b/sequoiabridge/store/upload_index.py
@@ -20,7 +20,7 @@
 HELD_PREFIX = "held/"
 DONE_PREFIX = "done/"
 
-PREFIXES = {
+STATE_PREFIXES = {
     UploadState.OPEN: OPEN_PREFIX,
     UploadState.ACCEPTED: WORK_PREFIX,
     UploadState.DELIVERING: WORK_PREFIX,
@@ -32,7 +32,7 @@
 CHUNK_PREFIX = "uploads/"
 """Prefix of the names of all chunks."""
 
-IN_NAME = 20
+DIGITS = 20
 """Digits of the numbers in a chunk's name, so that names sort as numbers do."""
 
 
@@ -54,7 +54,7 @@
     crashed: tuple[str, ...] = ()
 
 
-def entry_of(manifest: Manifest) -> UploadEntry:
+def index_entry(manifest: Manifest) -> UploadEntry:
     """Return the index entry for a manifest."""
     return UploadEntry(
         id=manifest.id,
@@ -75,10 +75,10 @@
 
 def index_key(manifest: Manifest) -> str:
     """Return the key of a manifest's index entry."""
-    return PREFIXES[manifest.state] + manifest.id
+    return STATE_PREFIXES[manifest.state] + manifest.id
 
 
-def writes(before: Manifest | None, after: Manifest) -> list[Write]:
+def manifest_writes(before: Manifest | None, after: Manifest) -> list[Write]:
     """Return the writes that take the store from one manifest to the next.
 
     The index entry of an open upload is not rewritten for each commit of chunks.
@@ -88,23 +88,21 @@
     if before is not None and index_key(before) != key:
         rows.append(Write(INDEX_TABLE, index_key(before), None))
     if before is None or index_key(before) != key or after.state is not UploadState.OPEN:
-        rows.append(Write(INDEX_TABLE, key, msgspec.msgpack.encode(entry_of(after))))
+        rows.append(Write(INDEX_TABLE, key, msgspec.msgpack.encode(index_entry(after))))
     return rows
 
 
-def removal(manifest: Manifest) -> list[Write]:
+def removal_writes(manifest: Manifest) -> list[Write]:
     """Return the writes that remove a manifest and its index entry."""
     return [Write(MANIFEST_TABLE, manifest.id, None), Write(INDEX_TABLE, index_key(manifest), None)]
 
 
 def chunk_name(upload: str, chunk: Chunk) -> str:
     """Return the object's name of a chunk: unique to one writer and its epoch."""
-    return (
-        f"{CHUNK_PREFIX}{upload}/{chunk.epoch:0{IN_NAME}}/{chunk.offset:0{IN_NAME}}-{chunk.nonce}"
-    )
+    return f"{CHUNK_PREFIX}{upload}/{chunk.epoch:0{DIGITS}}/{chunk.offset:0{DIGITS}}-{chunk.nonce}"
 
 
-def owner_of(name: str) -> tuple[str, int] | None:
+def parse_chunk_name(name: str) -> tuple[str, int] | None:
     """Return upload id and epoch of a chunk by its name, or None if it is no such name."""
     parts = name.removeprefix(CHUNK_PREFIX).split("/")
     if not name.startswith(CHUNK_PREFIX) or len(parts) != 3 or not parts[1].isdecimal():
@@ -112,7 +110,7 @@
     return parts[0], int(parts[1])
 
 
-def is_dead(name: str, epoch: int, manifest: Manifest | None) -> bool:
+def is_orphan(name: str, epoch: int, manifest: Manifest | None) -> bool:
     """Return whether a chunk can never become part of an upload, by fencing and not by age.
 
     `manifest` must have been read after the name was listed. A writer inserts its manifest before
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -9,7 +9,14 @@
 from ..exceptions import StoreUnavailable
 from ..logs import get_log
 from .upload_delivery import RETENTION_SECONDS
-from .upload_index import CHUNK_PREFIX, DONE_PREFIX, OPEN_PREFIX, UploadEntry, is_dead, owner_of
+from .upload_index import (
+    CHUNK_PREFIX,
+    DONE_PREFIX,
+    OPEN_PREFIX,
+    UploadEntry,
+    is_orphan,
+    parse_chunk_name,
+)
 from .upload_manifest import Manifest, UploadConflict, UploadState, abandon
 from .uploads import Uploads
 
@@ -87,13 +94,15 @@
         # The manifests are read after the names were listed: `is_dead` depends on it.
         manifests: dict[str, Manifest | None] = {}
         for name in names:
-            owner = owner_of(name)
+            owner = parse_chunk_name(name)
             if owner is None:
                 continue
             upload, epoch = owner
             if upload not in manifests:
                 manifests[upload] = await self.uploads.get_manifest(upload)
-            if is_dead(name, epoch, manifests[upload]) and await self.uploads.chunks.discard(name):
+            if is_orphan(name, epoch, manifests[upload]) and await self.uploads.chunks.discard(
+                name
+            ):
                 self.removed += 1
 
     async def _names(self) -> list[str]:
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -10,7 +10,7 @@
 from ..exceptions import StoreUnavailable
 from ..timers import Clock
 from .base import Condition, Row, StoreError, StoreErrorKind, TableService, Write
-from .upload_index import INDEX_TABLE, MANIFEST_TABLE, UploadEntry, removal, writes
+from .upload_index import INDEX_TABLE, MANIFEST_TABLE, UploadEntry, manifest_writes, removal_writes
 from .upload_manifest import Manifest, UploadConflict
 
 CALL_TIMEOUT = 5.0
@@ -123,7 +123,9 @@
     async def remove(self, current: VersionedManifest) -> bool:
         """Remove a manifest if it is still as held; return whether it is known to be gone."""
         conditions = [Condition(MANIFEST_TABLE, current.manifest.id, current.version)]
-        result = await self.tables.transact(conditions, removal(current.manifest), CALL_TIMEOUT)
+        result = await self.tables.transact(
+            conditions, removal_writes(current.manifest), CALL_TIMEOUT
+        )
         return result.is_ok()
 
     async def list_entries(
@@ -139,7 +141,7 @@
     async def _commit(
         self, before: Manifest | None, version: int, after: Manifest, backoff: RetryBackoff
     ) -> VersionedManifest:
-        rows = writes(before, after)
+        rows = manifest_writes(before, after)
         may_have_committed = False
         while True:
             error = await self._transact(version, after, rows, backoff)
