--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -19,7 +19,7 @@
 from .upload_chunks import DeliveryAborted
 from .upload_index import WORK_PREFIX, UploadEntry, chunk_name
 from .upload_manifest import (
-    WAITING,
+    DELIVERABLE_STATES,
     Manifest,
     UploadConflict,
     UploadState,
@@ -297,7 +297,7 @@
     async def _record_crash(self, current: VersionedManifest, result: DeliveryResult) -> None:
         """Commit that an upstream died of it, also if another VM holds the lease by now."""
         uploads, upload = self.uploads, current.manifest.id
-        while current is not None and current.manifest.state in WAITING:
+        while current is not None and current.manifest.state in DELIVERABLE_STATES:
             stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
             args = uploads.vm_name, result.upstream, result.error, delay, stamp
             try:
--- a/sequoiabridge/store/upload_manifest.py
+++ b/sequoiabridge/store/upload_manifest.py
@@ -17,7 +17,7 @@
 
 from ..exceptions import SequoiaError
 
-MOST_CRASHED = 2
+MAX_CRASHED_UPSTREAMS = 2
 """Upstreams that may die while they have an upload; then it is held for the operator."""
 
 BACKOFF_BASE = 1.0
@@ -54,7 +54,7 @@
     ABANDONED = "abandoned"
 
 
-WAITING = (UploadState.ACCEPTED, UploadState.DELIVERING)
+DELIVERABLE_STATES = (UploadState.ACCEPTED, UploadState.DELIVERING)
 """States of an upload that is to be delivered."""
 
 
@@ -129,14 +129,14 @@
 
 def take_over(manifest: Manifest, stamp: Stamp) -> Manifest:
     """Begin a new epoch for a new writer; commits of the older writers fail from then on."""
-    _expect(manifest, UploadState.OPEN, UploadState.ABANDONED)
+    _require_state(manifest, UploadState.OPEN, UploadState.ABANDONED)
     epoch = manifest.epoch + 1
     return _change(manifest, stamp, epoch=epoch, state=UploadState.OPEN, due=0.0)
 
 
 def append_chunks(manifest: Manifest, chunks: list[Chunk], stamp: Stamp) -> Manifest:
     """Add chunks of the present epoch that are in the object store and follow on."""
-    _expect(manifest, UploadState.OPEN)
+    _require_state(manifest, UploadState.OPEN)
     offset = manifest.size
     for chunk in chunks:
         if chunk.offset != offset or chunk.epoch != manifest.epoch:
@@ -154,11 +154,11 @@
     stamp: Stamp,
 ) -> Manifest:
     """Add the last chunks and accept; `vm` may deliver at once, others after `head_start`."""
-    whole = append_chunks(manifest, chunks, stamp)
-    if manifest.length is not None and whole.size != manifest.length:
-        raise UploadConflict(f"{whole.size} of {manifest.length} bytes came; resume the upload")
+    complete = append_chunks(manifest, chunks, stamp)
+    if manifest.length is not None and complete.size != manifest.length:
+        raise UploadConflict(f"{complete.size} of {manifest.length} bytes came; resume the upload")
     due = stamp.now + exclusive_seconds
-    return replace(whole, state=UploadState.ACCEPTED, digest=digest, holder=vm, due=due)
+    return replace(complete, state=UploadState.ACCEPTED, digest=digest, holder=vm, due=due)
 
 
 def is_claimable(manifest: Manifest, vm: str, now: float) -> bool:
@@ -185,13 +185,13 @@
 
 def renew_lease(manifest: Manifest, lease: float, sent: int, digest: str, stamp: Stamp) -> Manifest:
     """Keep the delivery for `lease` seconds more and record its progress."""
-    _expect(manifest, UploadState.DELIVERING)
+    _require_state(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, due=stamp.now + lease, sent=sent, digest=digest)
 
 
 def postpone(manifest: Manifest, error: str, delay: float, stamp: Stamp) -> Manifest:
     """Give the delivery back, to be tried again after `delay` seconds."""
-    _expect(manifest, UploadState.DELIVERING)
+    _require_state(manifest, UploadState.DELIVERING)
     due = stamp.now + delay
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=due, sent=0, error=error)
 
@@ -203,33 +203,33 @@
 
     Held after `MOST_CRASHED` upstreams. Else given back as by `postponed`, if it is still `vm`'s.
     """
-    _expect(manifest, *WAITING)
-    died = tuple(dict.fromkeys((*manifest.crashed, upstream)))
-    if len(died) >= MOST_CRASHED:
-        error = f"{' and '.join(died)} died while they had it; mend them, then release the upload"
+    _require_state(manifest, *DELIVERABLE_STATES)
+    names = tuple(dict.fromkeys((*manifest.crashed, upstream)))
+    if len(names) >= MAX_CRASHED_UPSTREAMS:
+        error = f"{' and '.join(names)} died while they had it; mend them, then release the upload"
         change = _change(manifest, stamp, state=UploadState.FAILED, error=error, due=0.0)
     elif manifest.state is UploadState.DELIVERING and manifest.holder == vm:
         change = postpone(manifest, error, delay, stamp)
     else:
         change = _change(manifest, stamp, error=error)
-    return replace(change, crashed=died)
+    return replace(change, crashed=names)
 
 
 def mark_failed(manifest: Manifest, error: str, stamp: Stamp) -> Manifest:
     """Hold an upload that its upstream refuses for good; its content stays."""
-    _expect(manifest, UploadState.DELIVERING)
+    _require_state(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, state=UploadState.FAILED, error=error, due=0.0)
 
 
 def release_failed(manifest: Manifest, stamp: Stamp) -> Manifest:
     """Let a held upload be delivered again, by the operator's word."""
-    _expect(manifest, UploadState.FAILED)
+    _require_state(manifest, UploadState.FAILED)
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=stamp.now, crashed=())
 
 
 def mark_delivered(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
     """Record that an upstream confirmed id and digest: true whoever holds the lease."""
-    _expect(manifest, UploadState.ACCEPTED, UploadState.DELIVERING, UploadState.FAILED)
+    _require_state(manifest, UploadState.ACCEPTED, UploadState.DELIVERING, UploadState.FAILED)
     return _change(
         manifest,
         stamp,
@@ -243,18 +243,18 @@
 
 def abandon(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
     """Give up an upload that was never accepted; fences a writer that is still there."""
-    _expect(manifest, UploadState.OPEN)
+    _require_state(manifest, UploadState.OPEN)
     due = stamp.now + retention
     return _change(manifest, stamp, state=UploadState.ABANDONED, chunks=(), due=due)
 
 
 def retry_delay(attempts: int, random: Random) -> float:
     """Return the seconds to wait after so many attempts, with jitter of a half."""
-    whole = min(BACKOFF_CAP, BACKOFF_BASE * 2.0 ** min(attempts - 1, 16))
-    return whole * random.uniform(0.5, 1.0)
+    delay = min(BACKOFF_CAP, BACKOFF_BASE * 2.0 ** min(attempts - 1, 16))
+    return delay * random.uniform(0.5, 1.0)
 
 
-def _expect(manifest: Manifest, *states: UploadState) -> None:
+def _require_state(manifest: Manifest, *states: UploadState) -> None:
     if manifest.state not in states:
         raise UploadConflict(
             f"upload {manifest.id} is {manifest.state.value}; ask for its offset and state"
