--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -22,10 +22,10 @@
 
 log = get_log("orphans")
 
-BATCH = 50
+BATCH_SIZE = 50
 """Names and entries looked at in one step."""
 
-ABANDON_AFTER = 86400.0
+ABANDON_AFTER_SECONDS = 86400.0
 """Seconds without a commit after which an upload that was not accepted is given up."""
 
 
@@ -38,33 +38,33 @@
         self,
         uploads: Uploads,
         *,
-        batch: int = BATCH,
-        abandon_after: float = ABANDON_AFTER,
+        batch_size: int = BATCH_SIZE,
+        abandon_after: float = ABANDON_AFTER_SECONDS,
         retention: float = RETENTION_SECONDS,
     ):
         self.uploads = uploads
-        self.batch = batch
+        self.batch_size = batch_size
         self.abandon_after = abandon_after
         self.retention = retention
         self.cursors = {OPEN_PREFIX: "", DONE_PREFIX: "", CHUNK_PREFIX: ""}
-        self.removed = 0
-        self.abandoned = 0
+        self.deleted_chunks = 0
+        self.abandoned_uploads = 0
 
     async def step(self, now: float) -> None:
         """Look at the next batch of each kind; `now` is wall time. Called each minute or so."""
         try:
-            await self._abandon(now)
-            await self._forget(now)
-            await self._sweep()
+            await self._abandon_stale(now)
+            await self._remove_finished(now)
+            await self._delete_orphan_chunks()
         except StoreUnavailable as error:
             log.debug("Clean-up waits: %s.", error)
 
     def dump(self) -> dict:
         """Describe what was cleaned up since the start."""
-        return {"chunks_removed": self.removed, "uploads_abandoned": self.abandoned}
+        return {"chunks_removed": self.deleted_chunks, "uploads_abandoned": self.abandoned_uploads}
 
-    async def _abandon(self, now: float) -> None:
-        for entry in await self._entries(OPEN_PREFIX):
+    async def _abandon_stale(self, now: float) -> None:
+        for entry in await self._next_entries(OPEN_PREFIX):
             if entry.created + self.abandon_after > now:
                 continue
             current = await self.uploads.table.read(entry.id)
@@ -75,22 +75,26 @@
                 await self.uploads.table.update(current, change)
             except UploadConflict:
                 continue
-            self.abandoned += 1
+            self.abandoned_uploads += 1
             log.info("Upload %s was never finished and is given up.", entry.id)
 
     def _is_stale(self, manifest: Manifest, now: float) -> bool:
         return manifest.state is UploadState.OPEN and manifest.updated + self.abandon_after <= now
 
-    async def _forget(self, now: float) -> None:
-        for entry in await self._entries(DONE_PREFIX):
+    async def _remove_finished(self, now: float) -> None:
+        for entry in await self._next_entries(DONE_PREFIX):
             if entry.due > now:
                 continue
             current = await self.uploads.table.read(entry.id)
-            if current is not None and current.manifest.due <= now and _is_done(current.manifest):
+            if (
+                current is not None
+                and current.manifest.due <= now
+                and _is_finished(current.manifest)
+            ):
                 await self.uploads.table.remove(current)
 
-    async def _sweep(self) -> None:
-        names = await self._names()
+    async def _delete_orphan_chunks(self) -> None:
+        names = await self._next_names()
         # The manifests are read after the names were listed: `is_dead` depends on it.
         manifests: dict[str, Manifest | None] = {}
         for name in names:
@@ -103,18 +107,18 @@
             if is_orphan(name, epoch, manifests[upload]) and await self.uploads.chunks.discard(
                 name
             ):
-                self.removed += 1
+                self.deleted_chunks += 1
 
-    async def _names(self) -> list[str]:
-        names = await self.uploads.chunks.list_names(self.cursors[CHUNK_PREFIX], self.batch)
-        self.cursors[CHUNK_PREFIX] = names[-1] if len(names) == self.batch else ""
+    async def _next_names(self) -> list[str]:
+        names = await self.uploads.chunks.list_names(self.cursors[CHUNK_PREFIX], self.batch_size)
+        self.cursors[CHUNK_PREFIX] = names[-1] if len(names) == self.batch_size else ""
         return names
 
-    async def _entries(self, prefix: str) -> list[UploadEntry]:
-        rows = await self.uploads.table.list_entries(prefix, self.cursors[prefix], self.batch)
-        self.cursors[prefix] = rows[-1][0] if len(rows) == self.batch else ""
+    async def _next_entries(self, prefix: str) -> list[UploadEntry]:
+        rows = await self.uploads.table.list_entries(prefix, self.cursors[prefix], self.batch_size)
+        self.cursors[prefix] = rows[-1][0] if len(rows) == self.batch_size else ""
         return [entry for _, entry in rows]
 
 
-def _is_done(manifest: Manifest) -> bool:
+def _is_finished(manifest: Manifest) -> bool:
     return manifest.state in (UploadState.DELIVERED, UploadState.ABANDONED)
