--- a/sequoiabridge/store/upload_chunks.py
+++ b/sequoiabridge/store/upload_chunks.py
@@ -135,12 +135,12 @@
         self, manifest: Manifest, before_chunk: BeforeChunkRead | None = None, deadline: float = inf
     ) -> str:
         """Return the SHA-256 of all committed chunks, in hexadecimal."""
-        whole = hashlib.sha256()
+        content_hash = hashlib.sha256()
         for chunk in manifest.chunks:
             if before_chunk is not None:
                 await before_chunk()
-            await self._hash(await self.get(manifest.id, chunk, deadline), whole)
-        return whole.hexdigest()
+            await self._update_hash(await self.get(manifest.id, chunk, deadline), content_hash)
+        return content_hash.hexdigest()
 
     async def _verify(self, name: str, chunk: Chunk, data: bytes | None) -> None:
         if data is None:
@@ -148,13 +148,13 @@
                 f"chunk {name} is not in the object store; look at the upload's state"
             )
         digest = hashlib.sha256()
-        await self._hash(data, digest)
+        await self._update_hash(data, digest)
         if len(data) != chunk.length or digest.digest() != chunk.digest:
             raise DeliveryAborted(
                 f"chunk {name} is damaged; its content in the object store has changed"
             )
 
-    async def _hash(self, data: bytes, digest) -> None:
+    async def _update_hash(self, data: bytes, digest) -> None:
         """Hash in steps, so that calls are not held up by a whole chunk."""
         view = memoryview(data)
         for start in range(0, len(data), HASH_BLOCK_SIZE):
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -124,7 +124,7 @@
         self.chunker = BodyChunker(incoming.body, uploads.chunks.sleep)
         self.start_offset = incoming.offset or 0
         self.pending: list[Chunk] = []
-        self.committed_at = uploads.clock.now()
+        self.last_commit_at = uploads.clock.now()
 
     @property
     def offset(self) -> int:
@@ -176,15 +176,15 @@
         self.uploads.progress[self.current.manifest.id] = self.offset
         self.uploads.counts["chunks"] += 1
 
-    def _check_size(self, more: int) -> None:
+    def _check_size(self, added: int) -> None:
         limit = self.incoming.max_size
-        if limit and self.offset + more > limit:
+        if limit and self.offset + added > limit:
             raise UploadTooLarge(f"the upload is over {limit} bytes; split it")
 
     def _is_commit_due(self) -> bool:
-        waited = self.uploads.clock.now() - self.committed_at
+        since_commit = self.uploads.clock.now() - self.last_commit_at
         return len(self.pending) >= self.uploads.chunks_per_commit or (
-            bool(self.pending) and waited >= self.uploads.commit_interval
+            bool(self.pending) and since_commit >= self.uploads.commit_interval
         )
 
     async def _commit(self, retry_timeout: float) -> None:
@@ -194,7 +194,7 @@
             self.current, manifest, retry_timeout, self.incoming.deadline
         )
         self.pending = []
-        self.committed_at = self.uploads.clock.now()
+        self.last_commit_at = self.uploads.clock.now()
 
     async def _try_commit(self, retry_timeout: float) -> None:
         if not self.pending:
@@ -243,15 +243,15 @@
         """Settle a lost answer to the accepting commit after a deliverer's change on top of it."""
         retry_timeout, deadline = self.uploads.retry_timeout, self.incoming.deadline
         try:
-            now = await self.uploads.table.read(manifest.id, retry_timeout, deadline)
+            latest = await self.uploads.table.read(manifest.id, retry_timeout, deadline)
         except StoreUnavailable as error:
             raise AcceptanceUnknown(str(error)) from error
         if (
-            now is not None
-            and now.manifest.epoch == manifest.epoch
-            and now.manifest.state not in (UploadState.OPEN, UploadState.ABANDONED)
+            latest is not None
+            and latest.manifest.epoch == manifest.epoch
+            and latest.manifest.state not in (UploadState.OPEN, UploadState.ABANDONED)
         ):
-            return now
+            return latest
         raise UploadConflict(f"upload {manifest.id} was taken over; ask for its offset and resume")
 
 
