--- a/sequoiabridge/operators/admin.py
+++ b/sequoiabridge/operators/admin.py
@@ -25,17 +25,17 @@
 
 READ_BYTES = 65536
 
-ACCEPT_PAUSE = 0.1
+ACCEPT_RETRY_SECONDS = 0.1
 """Seconds to wait when no connection can be accepted, for want of file descriptors."""
 
-LINGER = 1.0
+LINGER_SECONDS = 1.0
 """Seconds for which a refused client may go on sending before it is cut off."""
 
 
 class AdminLimits:
     """What the admin port bears; sizes in bytes, times in seconds."""
 
-    __slots__ = ("max_head", "max_body", "idle_timeout", "body_timeout", "connections")
+    __slots__ = ("max_head", "max_body", "idle_timeout", "body_timeout", "max_connections")
 
     def __init__(
         self,
@@ -43,13 +43,13 @@
         max_body: int = 4_000_000,
         idle_timeout: float = 30.0,
         body_timeout: float = 30.0,
-        connections: int = 64,
+        max_connections: int = 64,
     ):
         self.max_head = max_head
         self.max_body = max_body
         self.idle_timeout = idle_timeout
         self.body_timeout = body_timeout
-        self.connections = connections
+        self.max_connections = max_connections
 
 
 class AdminConnection:
@@ -73,10 +73,10 @@
                 if not await self._serve_one():
                     return
             except RequestRejected as error:
-                await self._refuse(error)
+                await self._reject(error)
                 return
             except h11.RemoteProtocolError as error:
-                await self._refuse(
+                await self._reject(
                     RequestRejected(error.error_status_hint, "bad-request", f"{error}.")
                 )
                 return
@@ -146,11 +146,11 @@
         async with curio.timeout_after(self.limits.body_timeout):
             await self.sock.sendall(data)
 
-    async def _refuse(self, error: RequestRejected) -> None:
+    async def _reject(self, error: RequestRejected) -> None:
         await self._send(error_answer(error), close=True)
         # Closing with unread bytes would reset the connection and lose the answer.
         await self.sock.shutdown(SHUT_WR)
-        async with curio.ignore_after(LINGER):
+        async with curio.ignore_after(LINGER_SECONDS):
             while await self.sock.recv(READ_BYTES):
                 pass
 
@@ -169,9 +169,9 @@
         self.handler = handler
         self.limits = limits or AdminLimits()
         self.sock = None
-        self.open: dict[AdminConnection, curio.Task] = {}
+        self.open_connections: dict[AdminConnection, curio.Task] = {}
         self.accepted = 0
-        self.turned_away = 0
+        self.rejected = 0
 
     async def bind(self) -> None:
         """Bind the address; afterwards `address` has the port."""
@@ -190,17 +190,17 @@
                 await self._accept()
         finally:
             await self.sock.close()
-            for task in list(self.open.values()):
+            for task in list(self.open_connections.values()):
                 await task.cancel(blocking=False)
 
     def dump(self) -> dict:
         """Describe the port for the state dump."""
         return {
             "address": self.address,
-            "connections": len(self.open),
-            "connections_limit": self.limits.connections,
+            "connections": len(self.open_connections),
+            "connections_limit": self.limits.max_connections,
             "accepted": self.accepted,
-            "turned_away": self.turned_away,
+            "turned_away": self.rejected,
         }
 
     async def _accept(self) -> None:
@@ -208,22 +208,27 @@
             client, _ = await self.sock.accept()
         except OSError as error:
             log.warning("could not accept a connection: %s", error)
-            await curio.sleep(ACCEPT_PAUSE)
+            await curio.sleep(ACCEPT_RETRY_SECONDS)
             return
-        if len(self.open) >= self.limits.connections and not await self._make_room():
-            self.turned_away += 1
+        if (
+            len(self.open_connections) >= self.limits.max_connections
+            and not await self._close_idle_connection()
+        ):
+            self.rejected += 1
             await client.close()
             return
         self.accepted += 1
         connection = AdminConnection(client, self.handler, self.limits)
-        self.open[connection] = await curio.spawn(self._serve(connection), daemon=True)
+        self.open_connections[connection] = await curio.spawn(self._serve(connection), daemon=True)
 
-    async def _make_room(self) -> bool:
-        oldest = next((connection for connection in self.open if not connection.busy), None)
+    async def _close_idle_connection(self) -> bool:
+        oldest = next(
+            (connection for connection in self.open_connections if not connection.busy), None
+        )
         if oldest is None:
             return False
-        self.turned_away += 1
-        await self.open.pop(oldest).cancel(blocking=False)
+        self.rejected += 1
+        await self.open_connections.pop(oldest).cancel(blocking=False)
         return True
 
     async def _serve(self, connection: AdminConnection) -> None:
@@ -233,7 +238,7 @@
         except (curio.TaskTimeout, OSError):
             pass  # The client is gone or too slow; there is nobody to tell.
         finally:
-            self.open.pop(connection, None)
+            self.open_connections.pop(connection, None)
 
 
 def admin_request(head: h11.Request, body: bytes) -> AdminRequest:
--- a/sequoiabridge/operators/bases.py
+++ b/sequoiabridge/operators/bases.py
@@ -60,9 +60,9 @@
     """What an operator's word can free."""
 
     @abstractmethod
-    async def held(self, held: HeldKind, name: str) -> Result[str, SequoiaError]:
+    async def describe(self, kind: HeldKind, name: str) -> Result[str, SequoiaError]:
         """Return a sentence that says what is held under this name, or `NotFound`."""
 
     @abstractmethod
-    async def release(self, held: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
+    async def release(self, kind: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
         """Release it and return a sentence that says what was done, or `NotFound`."""
--- a/sequoiabridge/operators/changes.py
+++ b/sequoiabridge/operators/changes.py
@@ -15,7 +15,7 @@
 from .commands import ChangeCommand, Drain, Remove, SetOptions
 from .errors import ConfigurationBehind, InvalidChange, NotFound
 
-COLUMNS = ["kind", "name", "option", "old", "new"]
+DIFFERENCE_COLUMNS = ["kind", "name", "option", "old", "new"]
 """Columns of a difference between two documents."""
 
 
@@ -34,32 +34,32 @@
     document: Document, command: ChangeCommand, author: str, at: float
 ) -> Result[Proposal, SequoiaError]:
     """Return what a command would change, validated whole."""
-    expected = check_expected(document, command.expect)
+    expected = check_expected_version(document, command.expect)
     if expected.is_error():
         return Error(expected.error)
-    entry = entry_of(document, command)
+    entry = entry_change(document, command)
     if entry.is_error():
         return Error(entry.error)
-    return validated(document, Change([entry.ok]), author, at, "command")
+    return validate_change(document, Change([entry.ok]), author, at, "command")
 
 
 def propose_document(
     document: Document, text: str, author: str, expect: int | None, at: float
 ) -> Result[Proposal, SequoiaError]:
     """Return what it takes to make the configuration what an INI text says."""
-    expected = check_expected(document, expect)
+    expected = check_expected_version(document, expect)
     if expected.is_error():
         return Error(expected.error)
     parsed = parse_document(text)
     if parsed.is_error():
-        return Error(invalid(parsed.error))
+        return Error(invalid_change(parsed.error))
     if document.services and not parsed.ok.services:
         message = "The document has no service and would remove all; remove them one by one."
         return Error(InvalidChange(message, [message]))
-    return validated(document, diff(document, parsed.ok), author, at, "configuration")
+    return validate_change(document, diff(document, parsed.ok), author, at, "configuration")
 
 
-def check_expected(document: Document, expect: int | None) -> Result[None, SequoiaError]:
+def check_expected_version(document: Document, expect: int | None) -> Result[None, SequoiaError]:
     """Check the version that the operator has seen against the one in force on this VM."""
     if expect is None or expect == document.version:
         return Ok(None)
@@ -73,65 +73,65 @@
     return Error(ConflictError(message))
 
 
-def entry_of(
+def entry_change(
     document: Document, command: ChangeCommand
 ) -> Result[SetEntry | RemoveEntry, SequoiaError]:
     """Return the entry that a command sets or removes."""
     if isinstance(command, Drain):
-        kind, options = "upstream", {"drained": "no" if command.back else "yes"}
+        kind, options = "upstream", {"drained": "no" if command.resume else "yes"}
     else:
         kind = command.kind.value
         options = command.options if isinstance(command, SetOptions) else {}
-    there = command.name in document.entries(kind)
-    if isinstance(command, SetOptions) and command.new:
-        if not there:
+    exists = command.name in document.entries(kind)
+    if isinstance(command, SetOptions) and command.create:
+        if not exists:
             return Ok(SetEntry(kind, command.name, options))
         message = f"The {kind} {command.name} is there already; change it with set."
         return Error(InvalidChange(message, [message]))
-    if not there:
+    if not exists:
         return Error(NotFound(f"There is no {kind} {command.name}; see show {kind}s."))
     if isinstance(command, Remove):
         return Ok(RemoveEntry(kind, command.name))
     return Ok(document.merged(kind, command.name, options))
 
 
-def validated(
+def validate_change(
     document: Document, change: Change, author: str, at: float, source: str
 ) -> Result[Proposal, SequoiaError]:
     """Return the proposal if the document that it leads to is valid."""
     new = document.changed(change, document.version + 1, author, at, source=source)
     if new.is_error():
-        return Error(invalid(new.error))
+        return Error(invalid_change(new.error))
     return Ok(Proposal(document, new.ok, diff(document, new.ok)))
 
 
-def invalid(problems: list[Problem]) -> InvalidChange:
+def invalid_change(problems: list[Problem]) -> InvalidChange:
     """Return all problems of a change as one error."""
     lines = [problem.text for problem in problems]
     return InvalidChange(f"The change is not valid: {' | '.join(lines)}.", lines)
 
 
-def row_table(old: Document, new: Document) -> tuple[list[str], list[list[str]]]:
+def difference_table(old: Document, new: Document) -> tuple[list[str], list[list[str]]]:
     """Return the columns and rows of a difference: one for each option that changed.
 
     An entry that is added or removed has a row of its own before its options.
     """
     rows = []
     for entry in diff(old, new).entries:
-        before = options_in(old, entry.kind, entry.name)
-        after = options_in(new, entry.kind, entry.name)
+        before = entry_options(old, entry.kind, entry.name)
+        after = entry_options(new, entry.kind, entry.name)
         if before is None:
             rows.append([entry.kind, entry.name, "(entry)", "", "added"])
         if after is None:
             rows.append([entry.kind, entry.name, "(entry)", "removed", ""])
         for option in sorted((before or {}).keys() | (after or {}).keys()):
-            values = shown(entry.kind, option, before), shown(entry.kind, option, after)
+            values = option_text(entry.kind, option, before), option_text(entry.kind, option, after)
             if values[0] != values[1]:
                 rows.append([entry.kind, entry.name, option, *values])
-    return COLUMNS, rows
+    return DIFFERENCE_COLUMNS, rows
 
 
-def options_in(document: Document, kind: str, name: str) -> dict[str, str] | None:
+def entry_options(document: Document, kind: str, name: str) -> dict[str, str] | None:
     """Return an entry's options in a document, or None if it is not there."""
     unknown = document.unknown.get((kind, name))
     if unknown is not None or kind not in KINDS:
@@ -140,7 +140,7 @@
     return entry.options() if entry else None
 
 
-def shown(kind: str, option: str, options: dict[str, str] | None) -> str:
+def option_text(kind: str, option: str, options: dict[str, str] | None) -> str:
     """Return an option's text, its default's if it is not given, "" without an entry."""
     if options is None:
         return ""
--- a/sequoiabridge/operators/commands.py
+++ b/sequoiabridge/operators/commands.py
@@ -43,18 +43,18 @@
 
     __slots__ = ()
 
-    def parts(self) -> tuple:
+    def slot_values(self) -> tuple:
         """Return the values of all slots, those of the base classes first."""
         names = [n for c in reversed(type(self).__mro__) for n in getattr(c, "__slots__", ())]
         return tuple(getattr(self, name) for name in names)
 
     def __eq__(self, other: object) -> bool:
-        return type(self) is type(other) and self.parts() == other.parts()
+        return type(self) is type(other) and self.slot_values() == other.slot_values()
 
     __hash__ = None
 
     def __repr__(self) -> str:
-        return f"{type(self).__name__}{self.parts()!r}"
+        return f"{type(self).__name__}{self.slot_values()!r}"
 
 
 class Condition(Command):
@@ -117,14 +117,14 @@
 class SetOptions(ChangeCommand):
     """Adds an entry (`new`) or changes options of one that exists."""
 
-    __slots__ = ("kind", "name", "options", "new")
+    __slots__ = ("kind", "name", "options", "create")
 
-    def __init__(self, kind: EntryKind, name: str, options: dict[str, str], new: bool):
+    def __init__(self, kind: EntryKind, name: str, options: dict[str, str], create: bool):
         super().__init__()
         self.kind = kind
         self.name = name
         self.options = options
-        self.new = new
+        self.create = create
 
 
 class Remove(ChangeCommand):
@@ -141,20 +141,20 @@
 class Drain(ChangeCommand):
     """Gives an upstream no new work, or (`back`) gives it work again."""
 
-    __slots__ = ("name", "back")
+    __slots__ = ("name", "resume")
 
-    def __init__(self, name: str, back: bool):
+    def __init__(self, name: str, resume: bool):
         super().__init__()
         self.name = name
-        self.back = back
+        self.resume = resume
 
 
 class Release(ChangeCommand):
     """Lets a stopped request run or a held upload be delivered, or frees a dead VM's claim."""
 
-    __slots__ = ("held", "name")
+    __slots__ = ("kind", "name")
 
-    def __init__(self, held: HeldKind, name: str):
+    def __init__(self, kind: HeldKind, name: str):
         super().__init__()
-        self.held = held
+        self.kind = kind
         self.name = name
--- a/sequoiabridge/operators/dump.py
+++ b/sequoiabridge/operators/dump.py
@@ -12,12 +12,12 @@
 
 log = get_log("dump")
 
-HIDDEN = "(hidden)"
+REDACTED = "(hidden)"
 
-SECRET_NAMES = frozenset({"token", "secret", "password", "authorization", "fleet_key"})
+SECRET_KEYS = frozenset({"token", "secret", "password", "authorization", "fleet_key"})
 """Keys whose values are never shown."""
 
-SHORTEST_WITHIN = 6
+MIN_EMBEDDED_SECRET_CHARS = 6
 """Characters from which a secret is also looked for within longer texts."""
 
 MAX_DEPTH = 12
@@ -49,41 +49,43 @@
         names = sorted({component.name for component in components})
         if only is not None and only not in names:
             raise NotFound(f"There is no part {only}; parts are {', '.join(names)}.")
-        shown = {}
+        dumps = {}
         for component in components:
             if only in (None, component.name):
-                shown[component.name] = self._dump(component)
+                dumps[component.name] = self._dump(component)
                 await curio.sleep(0)
-        return {"vm": self.vm, "parts": shown}
+        return {"vm": self.vm, "parts": dumps}
 
     def _dump(self, component: Component) -> object:
         try:
-            return self._shown(component.dump(), 0)
+            return self._redact(component.dump(), 0)
         except Exception as error:
             # The others' state is worth most when one part is broken.
             log.warning("part %s gave no dump: %s", component.name, type(error).__name__)
-            return {"error": self._text(f"{type(error).__name__}: {error}")}
+            return {"error": self._redact_text(f"{type(error).__name__}: {error}")}
 
-    def _shown(self, value: object, depth: int) -> object:
+    def _redact(self, value: object, depth: int) -> object:
         if depth > MAX_DEPTH:
             return "(too deep)"
         if isinstance(value, dict):
-            return {self._text(str(k)): self._entry(k, v, depth) for k, v in value.items()}
+            return {
+                self._redact_text(str(k)): self._redact_entry(k, v, depth) for k, v in value.items()
+            }
         if isinstance(value, list | tuple | set | frozenset):
-            return [self._shown(item, depth + 1) for item in value]
+            return [self._redact(item, depth + 1) for item in value]
         if value is None or isinstance(value, bool | int | float):
             return value
-        return self._text(value if isinstance(value, str) else repr(value))
+        return self._redact_text(value if isinstance(value, str) else repr(value))
 
-    def _entry(self, key: object, value: object, depth: int) -> object:
-        if str(key).lower() in SECRET_NAMES:
-            return HIDDEN
-        return self._shown(value, depth + 1)
+    def _redact_entry(self, key: object, value: object, depth: int) -> object:
+        if str(key).lower() in SECRET_KEYS:
+            return REDACTED
+        return self._redact(value, depth + 1)
 
-    def _text(self, text: str) -> str:
+    def _redact_text(self, text: str) -> str:
         for secret in self.secrets:
             if text == secret:
-                return HIDDEN
-            if len(secret) >= SHORTEST_WITHIN:
-                text = text.replace(secret, HIDDEN)
+                return REDACTED
+            if len(secret) >= MIN_EMBEDDED_SECRET_CHARS:
+                text = text.replace(secret, REDACTED)
         return text
--- a/sequoiabridge/operators/fetch.py
+++ b/sequoiabridge/operators/fetch.py
@@ -12,7 +12,7 @@
 
 READ_BYTES = 65536
 
-MAX_ANSWER = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 """Bytes of an answer that are read; a longer one is an error."""
 
 
@@ -32,11 +32,11 @@
     except (h11.RemoteProtocolError, ValueError) as error:
         raise AdminError(f"its answer is not whole or not HTTP ({error})") from error
     if status != 200:
-        raise AdminError(f"it answered {status}: {reason(body)}")
+        raise AdminError(f"it answered {status}: {error_message(body)}")
     return bytes(body)
 
 
-def reason(body: bytes) -> str:
+def error_message(body: bytes) -> str:
     """Return the message of an error answer, or the beginning of what came in its place."""
     try:
         return str(msgspec.json.decode(body)["error"]["message"])
@@ -70,7 +70,9 @@
             status = event.status_code
         elif type(event) is h11.Data:
             body += event.data
-            if len(body) > MAX_ANSWER:
-                raise AdminError(f"the answer has over {MAX_ANSWER} bytes; ask for fewer rows")
+            if len(body) > MAX_ANSWER_BYTES:
+                raise AdminError(
+                    f"the answer has over {MAX_ANSWER_BYTES} bytes; ask for fewer rows"
+                )
         elif type(event) is not h11.InformationalResponse:
             return status, body
--- a/sequoiabridge/operators/filtering.py
+++ b/sequoiabridge/operators/filtering.py
@@ -14,12 +14,12 @@
 from .errors import LanguageError
 from .rows import ROWS, ShowRow
 
-Test = Callable[[ShowRow], bool]
+RowTest = Callable[[ShowRow], bool]
 
 CHUNK_ROWS = 500
 """Rows that are tested before other tasks may run."""
 
-COMPARE = {
+COMPARISONS = {
     "=": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -29,11 +29,11 @@
 }
 
 
-def compile_tests(show: Show) -> Result[list[Test], LanguageError]:
+def compile_tests(show: Show) -> Result[list[RowTest], LanguageError]:
     """Return a test for `of` and for each condition, or the first value of a wrong type."""
-    tests: list[Test] = []
+    tests: list[RowTest] = []
     if show.of is not None:
-        tests.append(of_test(show.of))
+        tests.append(name_test(show.of))
     types = {field.name: field.type for field in msgspec.structs.fields(ROWS[show.subject])}
     for condition in show.where:
         test = condition_test(condition, types[condition.field])
@@ -43,38 +43,38 @@
     return Ok(tests)
 
 
-def of_test(name: str) -> Test:
+def name_test(name: str) -> RowTest:
     """Return a test for `of NAME`: one of the row type's own fields equals the name."""
     return lambda row: any(getattr(row, field) == name for field in row.of_fields())
 
 
-def condition_test(condition: Condition, kind: type) -> Result[Test, LanguageError]:
+def condition_test(condition: Condition, value_type: type) -> Result[RowTest, LanguageError]:
     """Return a test for one condition on a field of type `kind`."""
     field, value = condition.field, condition.value
     if condition.operator == "~":
-        part = value.lower()
-        return Ok(lambda row: part in str(getattr(row, field)).lower())
-    compare = COMPARE[condition.operator]
+        substring = value.lower()
+        return Ok(lambda row: substring in str(getattr(row, field)).lower())
+    compare = COMPARISONS[condition.operator]
     try:
-        wanted = typed(value, kind)
+        wanted = convert_value(value, value_type)
     except ValueError:
-        example = {bool: "yes or no", int: "a whole number", float: "a number"}[kind]
+        example = {bool: "yes or no", int: "a whole number", float: "a number"}[value_type]
         message = f"{field} is {example}, and {value} is not."
         return Error(LanguageError(message, condition.column, [example]))
     return Ok(lambda row: compare(getattr(row, field), wanted))
 
 
-def typed(value: str, kind: type) -> str | int | float | bool:
+def convert_value(value: str, value_type: type) -> str | int | float | bool:
     """Return a value of a field's type, or raise `ValueError`."""
-    if kind is not bool:
-        return kind(value)
+    if value_type is not bool:
+        return value_type(value)
     word = value.lower()
     if word not in TRUE_WORDS | FALSE_WORDS:
         raise ValueError(word)
     return word in TRUE_WORDS
 
 
-async def chosen(rows: list[ShowRow], tests: list[Test]) -> list[ShowRow]:
+async def filter_rows(rows: list[ShowRow], tests: list[RowTest]) -> list[ShowRow]:
     """Return the rows that pass all tests; calls are served between chunks of rows."""
     passed: list[ShowRow] = []
     for start in range(0, len(rows), CHUNK_ROWS):
--- a/sequoiabridge/operators/gather.py
+++ b/sequoiabridge/operators/gather.py
@@ -12,7 +12,7 @@
 from ..exceptions import AdminError
 from .fetch import fetch
 
-Get = Callable[[str, str, str, float], Awaitable[bytes]]
+Fetch = Callable[[str, str, str, float], Awaitable[bytes]]
 """Takes address, target, token and timeout in seconds; raises `AdminError`."""
 
 PEER_TIMEOUT = 1.0
@@ -29,16 +29,16 @@
         self.address = address
 
 
-class Gathered:
+class GatheredAnswers:
     """Answers as they came, by VM, and why others gave none."""
 
-    __slots__ = ("answers", "not_heard")
+    __slots__ = ("answers", "failures")
 
     def __init__(self) -> None:
         self.answers: dict[str, bytes] = {}
-        self.not_heard: dict[str, str] = {}
+        self.failures: dict[str, str] = {}
 
-    async def decoded(self, kind: type) -> dict[str, Any]:
+    async def decode_answers(self, answer_type: type) -> dict[str, Any]:
         """Return the answers by VM, in the order of names; tasks run between two of them.
 
         A VM whose answer is not of this kind counts as not heard.
@@ -46,9 +46,9 @@
         found = {}
         for vm, body in sorted(self.answers.items()):
             try:
-                found[vm] = msgspec.json.decode(body, type=kind)
+                found[vm] = msgspec.json.decode(body, type=answer_type)
             except msgspec.MsgspecError:
-                self.not_heard[vm] = "its answer could not be read"
+                self.failures[vm] = "its answer could not be read"
             await curio.sleep(0)
         return found
 
@@ -66,32 +66,32 @@
         peers: Callable[[], list[Peer]],
         token: str,
         timeout: float = PEER_TIMEOUT,
-        get: Get = fetch,
+        get: Fetch = fetch,
     ):
         self.peers = peers
         self.token = token
         self.timeout = timeout
         self.get = get
 
-    async def gather(self, target: str) -> Gathered:
+    async def gather(self, target: str) -> GatheredAnswers:
         """Send `GET target`, which has a query, to all peers; wait for each at most the timeout.
 
         Each is asked by its name, so that another daemon at its address refuses to answer for it.
         """
-        gathered = Gathered()
+        gathered = GatheredAnswers()
         async with curio.TaskGroup() as group:
             for peer in self.peers():
-                await group.spawn(self._ask, peer, target, gathered)
+                await group.spawn(self._query, peer, target, gathered)
         return gathered
 
-    async def _ask(self, peer: Peer, target: str, gathered: Gathered) -> None:
+    async def _query(self, peer: Peer, target: str, gathered: GatheredAnswers) -> None:
         if not peer.address:
-            gathered.not_heard[peer.vm] = "its admin address is not known here"
+            gathered.failures[peer.vm] = "its admin address is not known here"
             return
-        named = f"{target}&vm={quote(peer.vm, safe='')}"
+        vm_target = f"{target}&vm={quote(peer.vm, safe='')}"
         try:
             gathered.answers[peer.vm] = await self.get(
-                peer.address, named, self.token, self.timeout
+                peer.address, vm_target, self.token, self.timeout
             )
         except AdminError as error:
-            gathered.not_heard[peer.vm] = str(error)
+            gathered.failures[peer.vm] = str(error)
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -18,10 +18,10 @@
 from ..timers import Clock
 from .rows import RefusalRow
 
-RECENT_CALLS = 2000
-KEPT_CALLS = 1000
-KEPT_BYTES = 1_000_000
-SAMPLE_EVERY = 1000
+MAX_RECENT_CALLS = 2000
+MAX_DETAILED_CALLS = 1000
+MAX_DETAILED_BYTES = 1_000_000
+SAMPLE_INTERVAL = 1000
 """One call in so many is kept with all its notes though nothing happened to it."""
 
 ENTRY_BYTES = 300
@@ -91,26 +91,26 @@
         self,
         clock: Clock,
         vm: str,
-        recent_calls: int = RECENT_CALLS,
-        kept_calls: int = KEPT_CALLS,
-        kept_bytes: int = KEPT_BYTES,
-        sample_every: int = SAMPLE_EVERY,
+        max_recent_calls: int = MAX_RECENT_CALLS,
+        max_detailed_calls: int = MAX_DETAILED_CALLS,
+        max_detailed_bytes: int = MAX_DETAILED_BYTES,
+        sample_interval: int = SAMPLE_INTERVAL,
     ):
         self.clock = clock
         self.vm = vm
-        self.recent: deque[CallEntry] = deque(maxlen=recent_calls)
-        self.kept: deque[CallEntry] = deque()
-        self.kept_calls = kept_calls
-        self.kept_bytes = kept_bytes
-        self.bytes = 0
-        self.sample_every = sample_every
-        self.started = 0
+        self.recent: deque[CallEntry] = deque(maxlen=max_recent_calls)
+        self.detailed: deque[CallEntry] = deque()
+        self.max_detailed_calls = max_detailed_calls
+        self.max_detailed_bytes = max_detailed_bytes
+        self.detailed_bytes = 0
+        self.sample_interval = sample_interval
+        self.started_calls = 0
         self.recorded = 0
 
     def should_sample(self) -> bool:
         """Say whether the call that starts now is to note its evidence; one in `sample_every`."""
-        self.started += 1
-        return self.started % self.sample_every == 0
+        self.started_calls += 1
+        return self.started_calls % self.sample_interval == 0
 
     def record(
         self,
@@ -142,7 +142,7 @@
         )
         self.recorded += 1
         if notes or refusal is not None or attempts > 1 or hedged:
-            self._keep(entry)
+            self._keep_details(entry)
         else:
             self.recent.append(entry)
 
@@ -155,7 +155,7 @@
 
     def newest_first(self) -> Iterator[CallEntry]:
         """Go through the kept entries, then the recent ones, each newest first."""
-        yield from reversed(self.kept)
+        yield from reversed(self.detailed)
         yield from reversed(self.recent)
 
     def explain(self, request_id: str) -> list[str] | None:
@@ -163,33 +163,36 @@
         entry = self.find(request_id)
         if entry is None:
             return None
-        return [self._headline(entry), *(str(note) for note in entry.notes), ending(entry)]
+        return [self._summary(entry), *(str(note) for note in entry.notes), describe_outcome(entry)]
 
     def refusals(self) -> list[RefusalRow]:
         """Return the refusals that are still here, newest first."""
-        return [self._refusal_row(entry) for entry in reversed(self.kept) if entry.refusal]
+        return [self._refusal_row(entry) for entry in reversed(self.detailed) if entry.refusal]
 
     def dump(self) -> dict:
         """Describe the journal for the state dump, not its entries."""
-        oldest = min((ring[0].ended for ring in (self.recent, self.kept) if ring), default=None)
+        oldest = min((ring[0].ended for ring in (self.recent, self.detailed) if ring), default=None)
         return {
             "recorded": self.recorded,
             "recent": len(self.recent),
-            "kept": len(self.kept),
-            "kept_bytes": self.bytes,
-            "kept_bytes_limit": self.kept_bytes,
+            "kept": len(self.detailed),
+            "kept_bytes": self.detailed_bytes,
+            "kept_bytes_limit": self.max_detailed_bytes,
             "oldest": None if oldest is None else self._wall_time(oldest),
         }
 
-    def _keep(self, entry: CallEntry) -> None:
+    def _keep_details(self, entry: CallEntry) -> None:
         # A copy: a late loser of a hedge may still add to the call's own list.
-        entry.notes = shortened(entry.notes)
-        self.kept.append(entry)
-        self.bytes += entry.size()
-        while len(self.kept) > self.kept_calls or self.bytes > self.kept_bytes:
-            self.bytes -= self.kept.popleft().size()
-
-    def _headline(self, entry: CallEntry) -> str:
+        entry.notes = truncate_notes(entry.notes)
+        self.detailed.append(entry)
+        self.detailed_bytes += entry.size()
+        while (
+            len(self.detailed) > self.max_detailed_calls
+            or self.detailed_bytes > self.max_detailed_bytes
+        ):
+            self.detailed_bytes -= self.detailed.popleft().size()
+
+    def _summary(self, entry: CallEntry) -> str:
         what = f"{entry.id}: {entry.service or 'no service'}, {entry.kind or 'no kind'}"
         return f"{what}; ended {self._wall_time(entry.ended)} on {self.vm}"
 
@@ -212,7 +215,7 @@
         return datetime.fromtimestamp(seconds, UTC).isoformat(timespec="milliseconds")
 
 
-def ending(entry: CallEntry) -> str:
+def describe_outcome(entry: CallEntry) -> str:
     """Say how a call ended."""
     took = f"after {entry.seconds * 1000:.1f} ms and {format_count(entry.attempts, 'attempt')}"
     if entry.refusal is None:
@@ -228,10 +231,10 @@
     return len(note) if isinstance(note, str) else note.size()
 
 
-def shortened(notes: Sequence[object]) -> tuple[object, ...]:
+def truncate_notes(notes: Sequence[object]) -> tuple[object, ...]:
     """Return the first and the last notes, with a line for those left out."""
     if len(notes) <= MAX_NOTES:
         return tuple(notes)
     half = MAX_NOTES // 2
-    left_out = f"({len(notes) - 2 * half} notes left out)"
-    return (*notes[:half], left_out, *notes[-half:])
+    omitted = f"({len(notes) - 2 * half} notes left out)"
+    return (*notes[:half], omitted, *notes[-half:])
--- a/sequoiabridge/operators/parser.py
+++ b/sequoiabridge/operators/parser.py
@@ -28,19 +28,19 @@
 from .errors import LanguageError
 from .rows import fields_of
 
-MAX_COMMAND = 8192
+MAX_COMMAND_CHARS = 8192
 """Characters in one command."""
 
 MAX_SUGGESTIONS = 2
 
-CHOICES = {
+TERMINAL_KEYWORDS = {
     "SUBJECT": [subject.value for subject in Subject],
     "KIND": [kind.value for kind in EntryKind],
     "HELD": [held.value for held in HeldKind],
 }
 """Terminals that stand for one of several words."""
 
-DESCRIPTIONS = {
+TERMINAL_DESCRIPTIONS = {
     "FIELD": "a field or option name",
     "OPERATOR": "one of = != < <= > >= ~",
     "NUMBER": "a number",
@@ -52,10 +52,10 @@
 }
 """Terminals that stand for anything of some form."""
 
-FOUND = re.compile(r'"[^"\n]*"|[^\s,="<>!~]+|\S')
+NEXT_TOKEN = re.compile(r'"[^"\n]*"|[^\s,="<>!~]+|\S')
 """What an error message quotes of the command."""
 
-MAX_SHOWN = 40
+MAX_QUOTED_CHARS = 40
 """Characters of the command that an error message quotes."""
 
 GRAMMAR = Path(__file__).with_name("language.lark")
@@ -71,33 +71,33 @@
 
 def parse(text: str) -> Result[Command, LanguageError]:
     """Parse one command; the error has the column and says what was expected there."""
-    if len(text) > MAX_COMMAND:
-        message = f"the command has {len(text)} characters; the most is {MAX_COMMAND}."
-        return Error(LanguageError(message, MAX_COMMAND + 1))
+    if len(text) > MAX_COMMAND_CHARS:
+        message = f"the command has {len(text)} characters; the most is {MAX_COMMAND_CHARS}."
+        return Error(LanguageError(message, MAX_COMMAND_CHARS + 1))
     try:
         tree = PARSER.parse(text)
     except UnexpectedInput as error:
         return Error(explain_error(text, error))
-    builder = Builder(visit_tokens=False)
+    builder = CommandBuilder(visit_tokens=False)
     command = builder.transform(tree)
-    if builder.problems:
-        return Error(builder.problems[0])
+    if builder.errors:
+        return Error(builder.errors[0])
     return Ok(command)
 
 
 def explain_error(text: str, error: UnexpectedInput) -> LanguageError:
     """Put lark's error into an operator's words, with the nearest words suggested."""
     position = error_position(text, error)
-    words, forms = expected_at(error)
-    found = FOUND.match(text, position)
-    expected = [*words, *forms]
-    message = f"expected {any_of(expected)}"
+    words, descriptions = expected_terms(error)
+    found = NEXT_TOKEN.match(text, position)
+    expected = [*words, *descriptions]
+    message = f"expected {join_choices(expected)}"
     if found is None:
         return LanguageError(f"{message}, but the command ends here.", position + 1, expected)
     if found.group() == '"':
         message = "the quote is not closed; put another after the value."
         return LanguageError(message, position + 1, ['"'])
-    message = f"{message}, but found {shown(found.group())}."
+    message = f"{message}, but found {quote_token(found.group())}."
     return LanguageError(message + did_you_mean(found.group(), words), position + 1, expected)
 
 
@@ -110,7 +110,7 @@
     return end if position is None or position < 0 else min(position, end)
 
 
-def expected_at(error: UnexpectedInput) -> tuple[list[str], list[str]]:
+def expected_terms(error: UnexpectedInput) -> tuple[list[str], list[str]]:
     """Return what may stand at the error: words to type, and forms such as "a number"."""
     terminals: set[str] = set()
     if isinstance(error, UnexpectedToken):
@@ -118,25 +118,25 @@
     elif isinstance(error, UnexpectedCharacters):
         terminals = set(error.allowed or ())
     words: list[str] = []
-    forms: set[str] = set()
+    descriptions: set[str] = set()
     for terminal in sorted(terminals - {"WS"}):
-        if terminal in CHOICES:
-            words += CHOICES[terminal]
-        elif terminal in DESCRIPTIONS:
-            forms.add(DESCRIPTIONS[terminal])
+        if terminal in TERMINAL_KEYWORDS:
+            words += TERMINAL_KEYWORDS[terminal]
+        elif terminal in TERMINAL_DESCRIPTIONS:
+            descriptions.add(TERMINAL_DESCRIPTIONS[terminal])
         else:
             words.append(terminal.removeprefix("_").lower())
-    return words, sorted(forms)
+    return words, sorted(descriptions)
 
 
-def shown(found: str) -> str:
+def quote_token(found: str) -> str:
     """Return a piece of the command as a message may show it."""
     if not found.isprintable():
         found = ascii(found)
-    return found if len(found) <= MAX_SHOWN else found[:MAX_SHOWN] + "…"
+    return found if len(found) <= MAX_QUOTED_CHARS else found[:MAX_QUOTED_CHARS] + "…"
 
 
-def any_of(choices: list[str]) -> str:
+def join_choices(choices: list[str]) -> str:
     """Join choices as a person would: `a, b or c`."""
     if len(choices) < 2:
         return "".join(choices)
@@ -145,17 +145,17 @@
 
 def did_you_mean(found: str, words: list[str]) -> str:
     """Return a sentence with the words nearest to what was found, or nothing."""
-    near = get_close_matches(found.lower(), words, n=MAX_SUGGESTIONS)
-    return f" Did you mean {any_of(near)}?" if near else ""
+    matches = get_close_matches(found.lower(), words, n=MAX_SUGGESTIONS)
+    return f" Did you mean {join_choices(matches)}?" if matches else ""
 
 
 @v_args(inline=True)
-class Builder(Transformer):
+class CommandBuilder(Transformer):
     """Makes typed commands of the parse tree; a wrong field goes to `problems`."""
 
     def __init__(self, visit_tokens: bool = False):
         super().__init__(visit_tokens)
-        self.problems: list[LanguageError] = []
+        self.errors: list[LanguageError] = []
 
     def show(self, subject, of, where, limit):
         command = Show(Subject(subject.lower()), of, where or [], limit)
@@ -164,19 +164,19 @@
         return command
 
     def of(self, name):
-        return text_of(name)
+        return unquote(name)
 
     def where(self, *conditions):
         return list(conditions)
 
     def condition(self, field, operator, value):
-        return Condition(str(field), str(operator), text_of(value), field.start_pos + 1)
+        return Condition(str(field), str(operator), unquote(value), field.start_pos + 1)
 
     def limit(self, number):
         return int(number)
 
     def explain(self, request_id):
-        return Explain(text_of(request_id))
+        return Explain(unquote(request_id))
 
     def diff(self, old, new):
         return Diff(int(old), int(new))
@@ -185,29 +185,29 @@
         options: dict[str, str] = {}
         for key, value in assignments:
             if key in options:
-                self._twice(key, key)
+                self._add_duplicate(key, key)
             options[str(key)] = value
-        return SetOptions(EntryKind(kind.lower()), text_of(name), options, new=True)
+        return SetOptions(EntryKind(kind.lower()), unquote(name), options, create=True)
 
     def set(self, kind, name, assignment):
         key, value = assignment
         options = {str(key): value}
-        return SetOptions(EntryKind(kind.lower()), text_of(name), options, new=False)
+        return SetOptions(EntryKind(kind.lower()), unquote(name), options, create=False)
 
     def assignment(self, key, value):
-        return key, text_of(value)
+        return key, unquote(value)
 
     def remove(self, kind, name):
-        return Remove(EntryKind(kind.lower()), text_of(name))
+        return Remove(EntryKind(kind.lower()), unquote(name))
 
     def drain(self, name):
-        return Drain(text_of(name), back=False)
+        return Drain(unquote(name), resume=False)
 
     def resume(self, name):
-        return Drain(text_of(name), back=True)
+        return Drain(unquote(name), resume=True)
 
-    def release(self, held, name):
-        return Release(HeldKind(held.lower()), text_of(name))
+    def release(self, kind, name):
+        return Release(HeldKind(kind.lower()), unquote(name))
 
     def modifier(self, modifier):
         return modifier
@@ -224,23 +224,23 @@
                 command.dry_run = True
                 continue
             if command.expect is not None:
-                self._twice(number, "the expected version")
+                self._add_duplicate(number, "the expected version")
             command.expect = int(number)
         return command
 
     def _check_field(self, condition: Condition, fields: list[str]) -> None:
         if condition.field in fields:
             return
-        message = f"expected {any_of(fields)}, "
+        message = f"expected {join_choices(fields)}, "
         message += f"but found {condition.field}." + did_you_mean(condition.field, fields)
-        self.problems.append(LanguageError(message, condition.column, fields))
+        self.errors.append(LanguageError(message, condition.column, fields))
 
-    def _twice(self, token: Token, what: str) -> None:
+    def _add_duplicate(self, token: Token, what: str) -> None:
         column = token.start_pos + 1
         message = f"{what} is given twice; give it once."
-        self.problems.append(LanguageError(message, column))
+        self.errors.append(LanguageError(message, column))
 
 
-def text_of(token: Token) -> str:
+def unquote(token: Token) -> str:
     """Return the text of a name or value, without the quotes of a quoted one."""
     return str(token[1:-1]) if token.type == "STRING" else str(token)
--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -21,9 +21,9 @@
 RELEASE_TIMEOUT = 5.0
 """Seconds in which the release of a claim is proven in the table."""
 
-LISTED = 1000
+MAX_LISTED_CLAIMS = 1000
 
-BY_OPERATOR = "released by the operator"
+RELEASE_REASON = "released by the operator"
 
 
 class DaemonReleaser(Releaser):
@@ -43,24 +43,26 @@
         self.clock = clock
         self.uploads = uploads
 
-    async def held(self, held: HeldKind, name: str) -> Result[str, SequoiaError]:
-        if held is HeldKind.CRASH:
-            return self._held_crash(name)
-        if held is HeldKind.UPLOAD:
-            return await self._held_upload(name)
-        return await self._held_claim(name)
+    async def describe(self, kind: HeldKind, name: str) -> Result[str, SequoiaError]:
+        if kind is HeldKind.CRASH:
+            return self._describe_crash(name)
+        if kind is HeldKind.UPLOAD:
+            return await self._describe_upload(name)
+        return await self._describe_claim(name)
 
-    async def release(self, held: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
-        if held is HeldKind.CRASH:
+    async def release(self, kind: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
+        if kind is HeldKind.CRASH:
             return self._release_crash(name)
-        if held is HeldKind.UPLOAD:
+        if kind is HeldKind.UPLOAD:
             return await self._release_upload(name, author)
-        released = await self.claims.release_by_operator(name, author, BY_OPERATOR, RELEASE_TIMEOUT)
+        released = await self.claims.release_by_operator(
+            name, author, RELEASE_REASON, RELEASE_TIMEOUT
+        )
         if released.is_error():
             return released
         return Ok(f"Claim {name} is released; its key may be used again.")
 
-    def _held_crash(self, name: str) -> Result[str, SequoiaError]:
+    def _describe_crash(self, name: str) -> Result[str, SequoiaError]:
         now = self.clock.now()
         for state in self.services.states():
             for entry in state.ledger.list_suspects(now):
@@ -70,7 +72,7 @@
         return Error(NotFound(f"No request {name} is listed; see show crashes."))
 
     def _release_crash(self, name: str) -> Result[str, SequoiaError]:
-        found = self._held_crash(name)
+        found = self._describe_crash(name)
         if found.is_error():
             return found
         wall = self.clock.wall()
@@ -79,8 +81,8 @@
         self.fleet.publish(CrashItem(name, "", wall, released=True), Urgency.CRASH)
         return Ok(f"Request {name} may run again, on all VMs within seconds.")
 
-    async def _held_claim(self, name: str) -> Result[str, SequoiaError]:
-        found = await self.claims.list_open(LISTED)
+    async def _describe_claim(self, name: str) -> Result[str, SequoiaError]:
+        found = await self.claims.list_open(MAX_LISTED_CLAIMS)
         if found.is_error():
             return Error(NotFound(found.error.message))
         for claim in found.ok.claims:
@@ -89,7 +91,7 @@
                 return Ok(f"Claim {name} of {row.caller} for {row.service} is {row.state.value}.")
         return Error(NotFound(f"No claim {name} is open past its deadline; see show claims."))
 
-    async def _held_upload(self, name: str) -> Result[str, SequoiaError]:
+    async def _describe_upload(self, name: str) -> Result[str, SequoiaError]:
         try:
             manifest = await self.uploads.get_manifest(name)
         except StoreUnavailable as error:
@@ -103,7 +105,7 @@
         return Ok(f"{of} is held: {manifest.error}.")
 
     async def _release_upload(self, name: str, author: str) -> Result[str, SequoiaError]:
-        found = await self._held_upload(name)
+        found = await self._describe_upload(name)
         if found.is_error():
             return found
         try:
--- a/sequoiabridge/operators/reply.py
+++ b/sequoiabridge/operators/reply.py
@@ -17,7 +17,7 @@
 JSON = "application/json"
 TEXT = "text/plain; charset=utf-8"
 
-STATUSES: dict[type[SequoiaError], tuple[int, str]] = {
+HTTP_STATUSES: dict[type[SequoiaError], tuple[int, str]] = {
     LanguageError: (400, "language"),
     InvalidChange: (400, "invalid"),
     NotFound: (404, "not-found"),
@@ -69,7 +69,7 @@
     status, kind = 500, "internal"
     if isinstance(error, RequestRejected):
         status, kind = error.status, error.kind
-    for known, found in STATUSES.items():
+    for known, found in HTTP_STATUSES.items():
         if isinstance(error, known):
             status, kind = found
     message = str(error)
--- a/sequoiabridge/operators/routes.py
+++ b/sequoiabridge/operators/routes.py
@@ -9,20 +9,20 @@
 from .bases import Readiness
 from .dump import StateDump
 from .errors import LanguageError, NotFound, RequestRejected
-from .executor import Executor, Replied
+from .executor import Executor, ReplyResult
 from .messages import AdminAnswer, AdminHandler, AdminRequest
 from .reply import error_answer, json_answer, text_answer
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-AUTHOR = "sequoia-author"
+AUTHOR_HEADER = "sequoia-author"
 """Header by which the tool names the operator; the token does not tell one from another."""
 
-UNNAMED = "operator"
+DEFAULT_AUTHOR = "operator"
 
-MAX_AUTHOR = 100
+MAX_AUTHOR_CHARS = 100
 
-EXPLAIN = "/explain/"
+EXPLAIN_PREFIX = "/explain/"
 
 Route = Callable[[AdminRequest], Awaitable[AdminAnswer]]
 
@@ -48,12 +48,12 @@
         self.metrics = metrics
         self.dump = dump
         self.executor = executor
-        self.open: dict[str, Route] = {
+        self.public_routes: dict[str, Route] = {
             "/metrics": self._metrics,
             "/ready": self._ready,
             "/live": self._live,
         }
-        self.guarded: dict[tuple[str, str], Route] = {
+        self.protected_routes: dict[tuple[str, str], Route] = {
             ("GET", "/dump"): self._dump,
             ("GET", "/rows"): self._rows,
             ("POST", "/ask"): self._ask,
@@ -69,12 +69,12 @@
 
     def _route(self, request: AdminRequest) -> Route:
         method = "GET" if request.method == "HEAD" else request.method
-        if method == "GET" and request.path in self.open:
-            return self.open[request.path]
+        if method == "GET" and request.path in self.public_routes:
+            return self.public_routes[request.path]
         self._check_token(request)
-        if method == "GET" and request.path.startswith(EXPLAIN):
+        if method == "GET" and request.path.startswith(EXPLAIN_PREFIX):
             return self._explain
-        route = self.guarded.get((method, request.path))
+        route = self.protected_routes.get((method, request.path))
         if route is None:
             raise NotFound(f"There is no {method} {request.path}; see docs/operators/admin.md.")
         return route
@@ -82,8 +82,8 @@
     def _check_token(self, request: AdminRequest) -> None:
         given = request.headers.get("authorization", "")
         scheme, _, token = given.partition(" ")
-        right = hmac.compare_digest(token.strip().encode(), self.token)
-        if right and scheme.lower() == "bearer":
+        is_valid = hmac.compare_digest(token.strip().encode(), self.token)
+        if is_valid and scheme.lower() == "bearer":
             return
         message = (
             "The operators' token is missing or wrong; send the one under [admin] in this VM's "
@@ -91,7 +91,7 @@
         )
         raise RequestRejected(401, "unauthorized", message)
 
-    def _check_name(self, request: AdminRequest) -> None:
+    def _check_vm(self, request: AdminRequest) -> None:
         """Refuse to answer for another VM, whose address the asking daemon has wrong."""
         asked, own = request.query.get("vm", self.executor.vm), self.executor.vm
         if asked == own:
@@ -113,15 +113,15 @@
         return json_answer(await self.dump.collect(request.query.get("part")))
 
     async def _explain(self, request: AdminRequest) -> AdminAnswer:
-        request_id = request.path.removeprefix(EXPLAIN)
+        request_id = request.path.removeprefix(EXPLAIN_PREFIX)
         if "local" in request.query:
-            self._check_name(request)
+            self._check_vm(request)
             lines = self.executor.journal.explain(request_id)
             return json_answer(lines or [])
-        return answer_of(await self.executor.explain(request_id))
+        return reply_answer(await self.executor.explain(request_id))
 
     async def _rows(self, request: AdminRequest) -> AdminAnswer:
-        self._check_name(request)
+        self._check_vm(request)
         command = request.query.get("command", "")
         rows = await self.executor.local_rows(command)
         if rows.is_error():
@@ -129,29 +129,29 @@
         return json_answer(rows.ok)
 
     async def _ask(self, request: AdminRequest) -> AdminAnswer:
-        text = text_body(request)
-        return answer_of(await self.executor.execute(text, author_of(request)))
+        text = decode_body(request)
+        return reply_answer(await self.executor.execute(text, author_of(request)))
 
     async def _apply(self, request: AdminRequest) -> AdminAnswer:
-        text = text_body(request)
-        expect = number(request, "expect")
+        text = decode_body(request)
+        expect = query_integer(request, "expect")
         dry_run = request.query.get("dry_run", "0") not in ("0", "no", "false")
         author = author_of(request)
-        return answer_of(await self.executor.apply(text, author, expect, dry_run))
+        return reply_answer(await self.executor.apply(text, author, expect, dry_run))
 
 
-def answer_of(result: Replied) -> AdminAnswer:
+def reply_answer(result: ReplyResult) -> AdminAnswer:
     """Return a reply as JSON, or its error."""
     return json_answer(result.ok) if result.is_ok() else error_answer(result.error)
 
 
 def author_of(request: AdminRequest) -> str:
     """Return the operator's name as the tool gave it."""
-    author = "".join(c for c in request.headers.get(AUTHOR, "") if c.isprintable()).strip()
-    return author[:MAX_AUTHOR] or UNNAMED
+    author = "".join(c for c in request.headers.get(AUTHOR_HEADER, "") if c.isprintable()).strip()
+    return author[:MAX_AUTHOR_CHARS] or DEFAULT_AUTHOR
 
 
-def text_body(request: AdminRequest) -> str:
+def decode_body(request: AdminRequest) -> str:
     """Return the body as text."""
     try:
         return request.body.decode("utf-8")
@@ -160,7 +160,7 @@
         raise LanguageError(message, error.start + 1) from error
 
 
-def number(request: AdminRequest, name: str) -> int | None:
+def query_integer(request: AdminRequest, name: str) -> int | None:
     """Return a number of the query, or None if it is not there."""
     text = request.query.get(name)
     if text is None:
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -36,13 +36,13 @@
     VmRow,
 )
 
-LISTED = 1000
+MAX_LISTED_ROWS = 1000
 """Claims or uploads that one command lists at most."""
 
-HISTORY = 100
+MAX_HISTORY_VERSIONS = 100
 """Versions that one command lists at most."""
 
-Rows = Result[list[ShowRow], SequoiaError]
+RowsResult = Result[list[ShowRow], SequoiaError]
 
 
 class DaemonRowSource(RowSource):
@@ -72,7 +72,7 @@
         self.uploads = uploads
         self.journal = journal
 
-    async def rows(self, subject: Subject, of: str | None) -> Rows:
+    async def rows(self, subject: Subject, of: str | None) -> RowsResult:
         stored = {
             Subject.CLAIMS: self._claims,
             Subject.UPLOADS: self._uploads,
@@ -80,7 +80,7 @@
         }
         if subject in stored:
             return await stored[subject]()
-        here = {
+        local = {
             Subject.SERVICES: self._services,
             Subject.POOLS: self._pools,
             Subject.UPSTREAMS: self._upstreams,
@@ -90,7 +90,7 @@
             Subject.CRASHES: self._crashes,
             Subject.REFUSALS: self.journal.refusals,
         }
-        return Ok(here[subject]())
+        return Ok(local[subject]())
 
     def _services(self) -> list[ShowRow]:
         return [self._service(state) for state in self.services.states()]
@@ -207,10 +207,10 @@
             for entry in state.ledger.list_suspects(now)
         ]
 
-    async def _claims(self) -> Rows:
-        found = await self.claims.list_open(LISTED)
+    async def _claims(self) -> RowsResult:
+        found = await self.claims.list_open(MAX_LISTED_ROWS)
         if found.is_error():
-            return Error(unread("claims", found.error.message))
+            return Error(read_error("claims", found.error.message))
         return Ok(
             [
                 ClaimRow(
@@ -226,37 +226,39 @@
             ]
         )
 
-    async def _uploads(self) -> Rows:
+    async def _uploads(self) -> RowsResult:
         try:
-            entries = await self.uploads.list_undelivered(LISTED)
+            entries = await self.uploads.list_undelivered(MAX_LISTED_ROWS)
         except StoreUnavailable as error:
-            return Error(unread("uploads", str(error)))
+            return Error(read_error("uploads", str(error)))
         now = self.clock.wall()
         return Ok([upload_row(entry, now) for entry in entries])
 
-    async def _history(self) -> Rows:
-        found = await self.versions.history(HISTORY)
+    async def _history(self) -> RowsResult:
+        found = await self.versions.history(MAX_HISTORY_VERSIONS)
         if found.is_error():
-            return Error(unread("history", found.error.message))
+            return Error(read_error("history", found.error.message))
         return Ok(
             [
-                HistoryRow(row.version, row.author, iso(row.at), summary(row.change))
+                HistoryRow(
+                    row.version, row.author, format_time(row.at), summarize_change(row.change)
+                )
                 for row in found.ok
             ]
         )
 
 
-def unread(what: str, why: str) -> StoreUnavailable:
+def read_error(what: str, why: str) -> StoreUnavailable:
     """Return the error of a list that the platform did not give."""
     return StoreUnavailable(f"The {what} cannot be read: {why}.")
 
 
-def iso(wall: float) -> str:
+def format_time(wall: float) -> str:
     """Return a wall time as people and scripts read it."""
     return datetime.fromtimestamp(wall, UTC).isoformat(timespec="seconds")
 
 
-def summary(encoded: bytes) -> str:
+def summarize_change(encoded: bytes) -> str:
     """Say in a few words what a change sets and removes."""
     decoded = Change.decode(encoded)
     if decoded.is_error():
--- a/sequoiabridge/operators/steps.py
+++ b/sequoiabridge/operators/steps.py
@@ -11,10 +11,10 @@
 from ..policy.base import Failure, ScoredUpstream
 
 STEP_BYTES = 100
-WEIGHED_BYTES = 150
+CANDIDATE_BYTES = 150
 """What one step, and one weighed upstream in it, take in memory, about."""
 
-MAX_WEIGHED = 20
+MAX_CANDIDATES = 20
 """Upstreams shown of one choice, the best first; the rest are counted."""
 
 
@@ -40,23 +40,23 @@
 class UpstreamChosen(Step):
     """An upstream was chosen (or none could be, `upstream` None); `weighed` is the best first."""
 
-    __slots__ = ("upstream", "weighed", "left_out")
+    __slots__ = ("upstream", "candidates", "omitted")
 
-    def __init__(self, upstream: str | None, weighed: Sequence[ScoredUpstream] = ()):
+    def __init__(self, upstream: str | None, candidates: Sequence[ScoredUpstream] = ()):
         self.upstream = upstream
-        self.weighed = tuple(weighed[:MAX_WEIGHED])
-        self.left_out = len(weighed) - len(self.weighed)
+        self.candidates = tuple(candidates[:MAX_CANDIDATES])
+        self.omitted = len(candidates) - len(self.candidates)
 
     def __str__(self) -> str:
         line = f"chose {self.upstream}" if self.upstream else "found no upstream to choose"
-        if not self.weighed:
+        if not self.candidates:
             return line
-        scores = "; ".join(f"{w.name} {w.score:.3g} ({w.detail})" for w in self.weighed)
-        more = f"; and {self.left_out} more" if self.left_out else ""
+        scores = "; ".join(f"{w.name} {w.score:.3g} ({w.detail})" for w in self.candidates)
+        more = f"; and {self.omitted} more" if self.omitted else ""
         return f"{line}; weighed: {scores}{more}"
 
     def size(self) -> int:
-        return STEP_BYTES + sum(WEIGHED_BYTES + len(w.detail) for w in self.weighed)
+        return STEP_BYTES + sum(CANDIDATE_BYTES + len(w.detail) for w in self.candidates)
 
 
 class AttemptFailed(Step):
@@ -79,12 +79,12 @@
 class RetryDecision(Step):
     """A retry or hedge was made (`made`) or not; `why` is a short sentence."""
 
-    __slots__ = ("what", "made", "why")
+    __slots__ = ("kind", "allowed", "reason")
 
-    def __init__(self, what: str, made: bool, why: str):
-        self.what = what
-        self.made = made
-        self.why = why
+    def __init__(self, kind: str, allowed: bool, reason: str):
+        self.kind = kind
+        self.allowed = allowed
+        self.reason = reason
 
     def __str__(self) -> str:
-        return f"{self.what if self.made else 'no ' + self.what}: {self.why}"
+        return f"{self.kind if self.allowed else 'no ' + self.kind}: {self.reason}"
--- a/sequoiabridge/tests/operators/fakes.py
+++ b/sequoiabridge/tests/operators/fakes.py
@@ -39,7 +39,7 @@
 """
 
 
-class FakeSource(RowSource):
+class FakeRowSource(RowSource):
     """Gives the same rows for each subject."""
 
     def __init__(self, rows):
@@ -49,7 +49,7 @@
         return Ok(self.found)
 
 
-class FakeGate(ConfigurationRepository):
+class FakeConfigurationRepository(ConfigurationRepository):
     """Keeps all versions in memory; `lag` versions are not known to this VM."""
 
     def __init__(self):
@@ -80,20 +80,20 @@
         return document.version
 
 
-class FakeReleases(Releaser):
+class FakeReleaser(Releaser):
     """Knows one claim that can be released, and one that cannot yet."""
 
     def __init__(self):
         self.released = []
 
-    async def held(self, held, name):
+    async def describe(self, kind, name):
         if name == "claim-2":
             return Error(ClaimNotReleased("Its holder may still send; release it in 9 s."))
         return Ok("Held.") if name == "claim-1" else Error(NotFound(f"There is no {name}."))
 
-    async def release(self, held, name, author):
-        self.released.append((held, name, author))
-        return await self.held(held, name)
+    async def release(self, kind, name, author):
+        self.released.append((kind, name, author))
+        return await self.describe(kind, name)
 
 
 class FakeReadiness(Readiness):
@@ -109,23 +109,23 @@
 class FakeDaemon:
     """The operators' side of one daemon, on fakes."""
 
-    def __init__(self, vm="vm1", peers=(), parts=(), get=fetch, **limits):
+    def __init__(self, vm="vm1", peers=(), components=(), get=fetch, **limits):
         self.clock = ManualClock()
-        self.gate = FakeGate()
-        self.releases = FakeReleases()
+        self.configuration = FakeConfigurationRepository()
+        self.releaser = FakeReleaser()
         self.readiness = FakeReadiness()
         self.journal = Journal(self.clock, vm)
         rows = [UpstreamRow("a1", vm, "spendview", in_flight=2), UpstreamRow("a2", vm, "mottag")]
         self.executor = Executor(
             vm,
             self.clock,
-            FakeSource(rows),
-            self.gate,
-            self.releases,
+            FakeRowSource(rows),
+            self.configuration,
+            self.releaser,
             self.journal,
             Gatherer(lambda: list(peers), TOKEN, get=get),
         )
-        dump = StateDump(vm, lambda: list(parts), [TOKEN])
+        dump = StateDump(vm, lambda: list(components), [TOKEN])
         routes = AdminRoutes(TOKEN, self.readiness, Metrics(), dump, self.executor)
         self.server = AdminServer("127.0.0.1:0", routes, AdminLimits(**limits))
 
@@ -143,7 +143,7 @@
         await self.task.cancel()
 
 
-async def talk(address, data, until_closed=True):
+async def exchange(address, data, until_closed=True):
     """Send bytes and return what comes back, all of it or the first piece."""
     host, port = address.split(":")
     sock = await curio.open_connection(host, int(port))
--- a/sequoiabridge/tests/operators/test_admin.py
+++ b/sequoiabridge/tests/operators/test_admin.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from .fakes import TOKEN, FakeDaemon, request, talk
+from .fakes import TOKEN, FakeDaemon, exchange, request
 
 
 def serve(*requests, **daemon_options):
@@ -12,12 +12,12 @@
 
     async def run():
         async with FakeDaemon(**daemon_options) as daemon:
-            return [split(await talk(daemon.server.address, data)) for data in requests]
+            return [parse_answer(await exchange(daemon.server.address, data)) for data in requests]
 
     return curio.run(run)
 
 
-def split(answer):
+def parse_answer(answer):
     head, _, body = answer.partition(b"\r\n\r\n")
     return int(head.split()[1]), body
 
@@ -35,9 +35,9 @@
     async def run():
         async with FakeDaemon() as daemon:
             daemon.readiness.state = (False, "It is draining.")
-            return await talk(daemon.server.address, request("GET", "/ready", token=""))
+            return await exchange(daemon.server.address, request("GET", "/ready", token=""))
 
-    assert split(curio.run(run)) == (503, b"It is draining.\n")
+    assert parse_answer(curio.run(run)) == (503, b"It is draining.\n")
 
 
 def test_errors_carry_kind_column_and_message():
@@ -58,7 +58,9 @@
             address = daemon.server.address
             drain = request("POST", "/ask", b"drain upstream a1", extra="Sequoia-Author: anna\r\n")
             resume = request("POST", "/ask", b"resume upstream a1 expect version 1")
-            return split(await talk(address, drain)), split(await talk(address, resume))
+            return parse_answer(await exchange(address, drain)), parse_answer(
+                await exchange(address, resume)
+            )
 
     (won, first), (lost, second) = curio.run(run)
     assert (won, lost) == (200, 409)
@@ -81,18 +83,18 @@
 
 def test_a_silent_client_is_closed_and_a_full_port_lets_the_health_check_in():
     async def run():
-        async with FakeDaemon(connections=2, idle_timeout=0.05) as daemon:
-            idle = talk(daemon.server.address, b"GET /li")
+        async with FakeDaemon(max_connections=2, idle_timeout=0.05) as daemon:
+            idle = exchange(daemon.server.address, b"GET /li")
             assert await idle == b""
-        async with FakeDaemon(connections=2, idle_timeout=60.0) as daemon:
+        async with FakeDaemon(max_connections=2, idle_timeout=60.0) as daemon:
             address = daemon.server.address
-            waiting = [await curio.spawn(talk(address, b"GET /li")) for _ in range(2)]
+            waiting = [await curio.spawn(exchange(address, b"GET /li")) for _ in range(2)]
             while daemon.server.accepted < 2:
                 await curio.sleep(0)
-            answer = await talk(address, request("GET", "/ready"))
+            answer = await exchange(address, request("GET", "/ready"))
             closed = await waiting[0].join()
             await waiting[1].cancel()
-            return split(answer), closed, daemon.server.dump()["turned_away"]
+            return parse_answer(answer), closed, daemon.server.dump()["turned_away"]
 
     assert curio.run(run) == ((200, b"It serves callers.\n"), b"", 1)
 
@@ -103,6 +105,6 @@
 
     async def run():
         async with FakeDaemon() as daemon:
-            return await talk(daemon.server.address, one + one + last)
+            return await exchange(daemon.server.address, one + one + last)
 
     assert curio.run(run).count(b"HTTP/1.1 200") == 3
--- a/sequoiabridge/tests/operators/test_dump.py
+++ b/sequoiabridge/tests/operators/test_dump.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ...component import Component
-from ...operators.dump import HIDDEN, StateDump
+from ...operators.dump import REDACTED, StateDump
 from ...operators.errors import NotFound
 
 SECRET = "the-fleet's-long-key"
@@ -31,7 +31,7 @@
     ]
     dump = StateDump("vm1", lambda: components, [SECRET])
     shown = curio.run(dump.collect)["parts"]
-    assert shown == {"queue": {"length": 3}, "fleet": {"error": f"ValueError: no {HIDDEN}"}}
+    assert shown == {"queue": {"length": 3}, "fleet": {"error": f"ValueError: no {REDACTED}"}}
 
 
 def test_no_secret_is_shown_by_name_or_by_value():
--- a/sequoiabridge/tests/operators/test_executor.py
+++ b/sequoiabridge/tests/operators/test_executor.py
@@ -70,7 +70,7 @@
 )
 def test_the_operator_is_told_on_how_many_vms_a_change_is_in_force(spread, said):
     daemon = FakeDaemon("vm1")
-    daemon.gate.in_force = spread
+    daemon.configuration.in_force = spread
     reply = curio.run(daemon.executor.execute, "drain upstream a1", "anna")
     assert reply.ok.message == said
 
@@ -133,26 +133,26 @@
     change = "set upstream a1 slots = 4"
     dry = daemon.ask(change + " dry run expect version 1")
     assert dry.rows == [["upstream", "a1", "slots", "0", "4"]]
-    assert (dry.version, max(daemon.gate.documents)) == (1, 1)
+    assert (dry.version, max(daemon.configuration.documents)) == (1, 1)
     assert daemon.ask(change).version == 2
-    upstream = daemon.gate.document().upstreams["a1"]
+    upstream = daemon.configuration.document().upstreams["a1"]
     assert (upstream.slots, upstream.address) == (4, "10.0.0.1:80")
     assert daemon.ask("diff 1 2").rows == dry.rows
     assert daemon.ask(change).message.startswith("Nothing to change")
-    assert max(daemon.gate.documents) == 2
+    assert max(daemon.configuration.documents) == 2
 
 
 def test_a_vm_that_lags_neither_overwrites_nor_guesses():
     daemon = FakeDaemon()
     daemon.ask("set upstream a1 slots = 4")
-    newest = daemon.gate.document()
-    daemon.gate.lag = 1
+    newest = daemon.configuration.document()
+    daemon.configuration.lag = 1
     assert isinstance(daemon.ask("drain upstream a1"), ConflictError)
     assert isinstance(daemon.ask("drain upstream a1 expect version 2"), ConfigurationBehind)
-    daemon.gate.lag = 0
+    daemon.configuration.lag = 0
     assert isinstance(daemon.ask("release claim claim-1 expect version 1"), ConflictError)
-    assert daemon.gate.document() is newest
-    assert daemon.releases.released == []
+    assert daemon.configuration.document() is newest
+    assert daemon.releaser.released == []
 
 
 @pytest.mark.parametrize(
@@ -170,14 +170,14 @@
     error = daemon.ask(command)
     assert isinstance(error, kind)
     assert words in str(error)
-    assert max(daemon.gate.documents) == 1
+    assert max(daemon.configuration.documents) == 1
 
 
 def test_apply_makes_the_document_so_but_not_an_empty_one():
     daemon = FakeDaemon()
-    text = daemon.gate.document().to_ini() + "\n[service mottag]\npath_prefix = /images\n"
+    text = daemon.configuration.document().to_ini() + "\n[service mottag]\npath_prefix = /images\n"
     reply = curio.run(daemon.executor.apply(text, "anna", 1, False)).ok
     assert ["service", "mottag", "(entry)", "", "added"] in reply.rows
-    assert daemon.gate.document().services.keys() == {"spendview", "mottag"}
+    assert daemon.configuration.document().services.keys() == {"spendview", "mottag"}
     assert curio.run(daemon.executor.apply("", "anna", None, False)).is_error()
     assert curio.run(daemon.executor.apply(text, "anna", 1, False)).is_error()
--- a/sequoiabridge/tests/operators/test_journal.py
+++ b/sequoiabridge/tests/operators/test_journal.py
@@ -13,7 +13,9 @@
 
 
 def test_both_rings_are_bounded_and_plain_calls_do_not_push_out_refusals():
-    journal = Journal(ManualClock(), "vm1", recent_calls=10, kept_calls=5, kept_bytes=10_000)
+    journal = Journal(
+        ManualClock(), "vm1", max_recent_calls=10, max_detailed_calls=5, max_detailed_bytes=10_000
+    )
     refusal = Refusal(503, Outcome.NOT_RUN, Reason.QUEUE_FULL, "Try again later.")
     record(journal, "refused", refusal=refusal)
     for number in range(100):
@@ -22,12 +24,12 @@
     assert journal.refusals()[0].reason == "queue-full"
     for number in range(6):
         record(journal, f"retried-{number}", attempts=2)
-    assert (len(journal.kept), journal.find("refused")) == (5, None)
+    assert (len(journal.detailed), journal.find("refused")) == (5, None)
     record(journal, "long", notes=["x" * 9_000])
-    assert [entry.id for entry in journal.kept] == ["retried-4", "retried-5", "long"]
-    assert journal.bytes <= journal.kept_bytes
+    assert [entry.id for entry in journal.detailed] == ["retried-4", "retried-5", "long"]
+    assert journal.detailed_bytes <= journal.max_detailed_bytes
     record(journal, "longer", notes=["x" * 11_000])
-    assert (len(journal.kept), journal.bytes) == (0, 0)
+    assert (len(journal.detailed), journal.detailed_bytes) == (0, 0)
 
 
 def test_a_call_with_endless_notes_keeps_the_first_and_the_last():
@@ -41,7 +43,7 @@
 
 
 def test_explain_says_what_was_weighed_and_why_each_retry():
-    journal = Journal(ManualClock(), "vm1", sample_every=2)
+    journal = Journal(ManualClock(), "vm1", sample_interval=2)
     weighed = [
         ScoredUpstream("a1", 0.5, "1 in flight, 4 ms old"),
         ScoredUpstream("a2", 2.0, "3 in flight"),
--- a/sequoiabridge/tests/operators/test_parser.py
+++ b/sequoiabridge/tests/operators/test_parser.py
@@ -17,7 +17,7 @@
     Subject,
 )
 from ...operators.errors import LanguageError
-from ...operators.parser import MAX_COMMAND, PARSER, parse
+from ...operators.parser import MAX_COMMAND_CHARS, PARSER, parse
 
 PAGE = Path(__file__).parents[3] / "docs" / "operators" / "language.md"
 EXAMPLES = re.findall(r"^    (\S.*)$", PAGE.read_text(encoding="utf-8"), re.MULTILINE)
@@ -57,7 +57,7 @@
         ("resume upstream u dry run dry", 30, "expected run"),
         ("remove pool p expect version 1 expect version 2", 47, "given twice"),
         ("show pools\nlimit many", 18, "expected a number"),
-        ("show pools " + " " * MAX_COMMAND, MAX_COMMAND + 1, "the most is"),
+        ("show pools " + " " * MAX_COMMAND_CHARS, MAX_COMMAND_CHARS + 1, "the most is"),
     ],
 )
 def test_errors_name_the_column_and_what_was_expected(text, column, expected):
--- a/sequoiabridge/tests/operators/test_releases.py
+++ b/sequoiabridge/tests/operators/test_releases.py
@@ -23,41 +23,41 @@
     return world, upload, DaemonReleaser(None, None, None, None, world.vm("b"))
 
 
-def run(releases, text, dry=False):
+def run(releaser, text, dry=False):
     command = parse(text).ok
     assert isinstance(command, Release)
     if dry:
-        return finish(releases.held(command.held, command.name))
-    return finish(releases.release(command.held, command.name, "anna"))
+        return finish(releaser.describe(command.kind, command.name))
+    return finish(releaser.release(command.kind, command.name, "anna"))
 
 
 def test_a_held_upload_is_delivered_after_its_release_and_not_by_a_dry_run():
-    world, upload, releases = held_upload()
-    assert "refused" in run(releases, f"release upload {upload}", dry=True).ok
+    world, upload, releaser = held_upload()
+    assert "refused" in run(releaser, f"release upload {upload}", dry=True).ok
     assert world.manifests()[0].state is UploadState.FAILED
-    assert upload in run(releases, f"Release UPLOAD {upload}").ok
+    assert upload in run(releaser, f"Release UPLOAD {upload}").ok
     world.recover()
     assert world.upstream.kept == {upload: DATA}
 
 
 @pytest.mark.parametrize("dry", [True, False])
 def test_what_is_not_held_or_not_known_is_told_and_left(dry):
-    world, upload, releases = held_upload()
-    assert isinstance(run(releases, "release upload nobody", dry).error, NotFound)
+    world, upload, releaser = held_upload()
+    assert isinstance(run(releaser, "release upload nobody", dry).error, NotFound)
     world.tables.faults.down = True
-    assert isinstance(run(releases, f"release upload {upload}", dry).error, StoreUnavailable)
+    assert isinstance(run(releaser, f"release upload {upload}", dry).error, StoreUnavailable)
     world.tables.faults.down = False
-    run(releases, f"release upload {upload}")
+    run(releaser, f"release upload {upload}")
     world.recover()
     before = world.manifests()
-    assert isinstance(run(releases, f"release upload {upload}", dry).error, NotFound)
+    assert isinstance(run(releaser, f"release upload {upload}", dry).error, NotFound)
     assert world.manifests() == before and before[0].state is UploadState.DELIVERED
 
 
 def test_a_release_that_another_operator_overtook_is_a_conflict():
-    world, upload, releases = held_upload()
-    late = releases.release(HeldKind.UPLOAD, upload, "anna")
+    world, upload, releaser = held_upload()
+    late = releaser.release(HeldKind.UPLOAD, upload, "anna")
     for _ in range(2):
         late.send(None)
-    run(releases, f"release upload {upload}")
+    run(releaser, f"release upload {upload}")
     assert isinstance(finish(late).error, ConflictError)
