--- a/sequoiabridge/assembly/call_path.py
+++ b/sequoiabridge/assembly/call_path.py
@@ -45,7 +45,7 @@
         self.probing = Probing(self.services, prober, daemon.metrics, self.sharing, clock)
         self.drain_checker = DrainChecker(self.services, prober, self.sharing, clock)
         self.admit = Admit(self.services, clock)
-        ids = RequestIds(daemon.vm, fleet.membership.me.incarnation)
+        ids = RequestIds(daemon.vm, fleet.membership.own_member.incarnation)
         self.pipeline = Pipeline(self._filters(daemon), self._dispatch(daemon), ids, clock)
         limits = caller_limits(daemon.settings)
         self.callers = CallerServer(self.pipeline, limits, clock, ids.next)
--- a/sequoiabridge/assembly/platform_tasks.py
+++ b/sequoiabridge/assembly/platform_tasks.py
@@ -41,7 +41,7 @@
         self.timers.after(interval * self.random.uniform(0.8, 1.2), "vm list", self.read_list)
         listed = await self.vm_list.vms(LIST_TIMEOUT)
         if listed.is_ok():
-            self.fleet.hint([vm.address for vm in listed.ok if not vm.leaving])
+            self.fleet.set_listed_addresses([vm.address for vm in listed.ok if not vm.leaving])
 
     async def prune(self) -> None:
         """Remove some old changes with a probability such that on average one VM does so."""
--- a/sequoiabridge/benchmarks/fleet.py
+++ b/sequoiabridge/benchmarks/fleet.py
@@ -22,7 +22,7 @@
 from ..fleet.loads import LocalLoad, select_load_items
 from ..fleet.members import update_of
 from ..fleet.repair import STARTUP_SECONDS
-from ..tests.fleet.pump import KEY, Pump, PumpChannel
+from ..tests.fleet.simulation import KEY, FleetSimulation, SimulatedChannel
 from ..timers import ManualClock, SystemClock, Timers
 
 FLEET = 18
@@ -42,13 +42,22 @@
 """Virtual seconds between two changes."""
 LIMIT = 30.0
 REAL_SECONDS = 12.0
-NOT_STATE = (type, ModuleType, FunctionType, PumpChannel, Pump, Timers, Random, ManualClock)
+NOT_STATE = (
+    type,
+    ModuleType,
+    FunctionType,
+    SimulatedChannel,
+    FleetSimulation,
+    Timers,
+    Random,
+    ManualClock,
+)
 UPSTREAMS = 15
 """Upstreams on which each VM has evidence to share."""
 
 
-class TimedPump(Pump):
-    """A pump that adds up the time spent inside the nodes, link and queue apart."""
+class TimedSimulation(FleetSimulation):
+    """A simulation that adds up the time spent inside the nodes, link and queue apart."""
 
     def __init__(self, *args, **more):
         self.spent = 0.0
@@ -71,95 +80,97 @@
 class Cost:
     """Bytes a second and CPU share of a node between two moments of virtual time."""
 
-    def __init__(self, pump):
-        self.pump = pump
-        self.start = pump.clock.now()
-        self.spent = pump.spent
+    def __init__(self, simulation):
+        self.simulation = simulation
+        self.start = simulation.clock.now()
+        self.spent = simulation.spent
         self.sent = self.bytes()
 
     def bytes(self):
-        return [node.counters.bytes_sent for node in self.pump.all()]
+        return [node.counters.bytes_sent for node in self.simulation.all()]
 
     def figures(self):
         """Return mean and largest bytes/s of a node, and its mean CPU share in percent."""
-        seconds = self.pump.clock.now() - self.start
+        seconds = self.simulation.clock.now() - self.start
         each = [(b - a) / seconds for a, b in zip(self.sent, self.bytes(), strict=True)]
-        cpu = (self.pump.spent - self.spent) / seconds / len(each) * 100
+        cpu = (self.simulation.spent - self.spent) / seconds / len(each) * 100
         return statistics.mean(each), max(each), cpu
 
 
 def cold_start(count):
     """Return a fleet that starts all at once, and the virtual seconds until it knows itself."""
-    pump = TimedPump(count, seeds=max(3, count // SEED_SHARE))
-    took = pump.run_until(pump.complete, SETTLE)
-    return pump, took or float("inf")
+    simulation = TimedSimulation(count, seeds=max(3, count // SEED_SHARE))
+    took = simulation.run_until(simulation.complete, SETTLE)
+    return simulation, took or float("inf")
 
 
 def acquainted(count):
     """Return a fleet in which everybody has been told of everybody."""
-    pump = TimedPump(count, seeds=max(3, count // SEED_SHARE))
-    views = [update_of(node.me) for node in pump.all()]
-    for node in pump.all():
+    simulation = TimedSimulation(count, seeds=max(3, count // SEED_SHARE))
+    views = [update_of(node.own_member) for node in simulation.all()]
+    for node in simulation.all():
         for view in views:
-            node.membership.ledger.learn(view, pump.clock.now())
-        node.membership.ledger.changed.clear()
-        node.membership.ledger.events.clear()
-    pump.run(STARTUP_SECONDS + 5)
-    return pump
+            node.membership.merger.merge(view, simulation.clock.now())
+        node.membership.merger.pending_updates.clear()
+        node.membership.merger.events.clear()
+    simulation.run(STARTUP_SECONDS + 5)
+    return simulation
 
 
-def follow_changes(pump):
+def follow_changes(simulation):
     """Put changes in force at every node as they come."""
-    for node in pump.all():
+    for node in simulation.all():
         node.subscribe(ConfigurationItem, lambda item, sender, node=node: apply_all(node))
 
 
 def apply_all(node):
     """Put every change in force whose turn has come."""
     while item := node.version_tracker.next_change():
-        node.applied(item.version)
+        node.record_applied(item.version)
 
 
-def accept(pump, author, version):
+def accept(simulation, author, version):
     """Publish a change; return the virtual seconds to in force everywhere and to known so."""
-    author.applied(version)
+    author.record_applied(version)
     author.publish(ConfigurationItem(version, b"x" * CHANGE_SIZE), Urgency.CONFIGURATION)
-    nodes = pump.all()
-    start = pump.clock.now()
-    there = pump.run_until(lambda: all(n.version_tracker.in_force >= version for n in nodes), LIMIT)
-    pump.run_until(lambda: author.spread(version)[0] == len(nodes), LIMIT)
-    return there, pump.clock.now() - start
+    nodes = simulation.all()
+    start = simulation.clock.now()
+    there = simulation.run_until(
+        lambda: all(n.version_tracker.in_force >= version for n in nodes), LIMIT
+    )
+    simulation.run_until(lambda: author.count_in_force(version)[0] == len(nodes), LIMIT)
+    return there, simulation.clock.now() - start
 
 
-def spread_changes(pump, count):
+def spread_changes(simulation, count):
     """Spread `count` changes of different authors; return both lists of seconds."""
     there, known = [], []
     for version in range(1, count + 1):
-        seconds = accept(pump, pump.all()[version % len(pump.nodes)], version)
+        seconds = accept(simulation, simulation.all()[version % len(simulation.nodes)], version)
         there.append(seconds[0] if seconds[0] is not None else LIMIT)
         known.append(seconds[1])
-        pump.run(GAP)
+        simulation.run(GAP)
     return there, known
 
 
-def share_load(pump, seconds):
+def share_load(simulation, seconds):
     """Let each node publish shifting evidence; return the bytes/s of load sent by a node."""
-    told = {node.me.name: {} for node in pump.all()}
-    before = load_bytes(pump)
+    told = {node.own_member.name: {} for node in simulation.all()}
+    before = load_bytes(simulation)
     for _ in range(int(seconds / 0.5)):
-        now = pump.clock.now()
-        for node in pump.all():
-            loads = [evidence(pump.random, i, now) for i in range(UPSTREAMS)]
+        now = simulation.clock.now()
+        for node in simulation.all():
+            loads = [evidence(simulation.random, i, now) for i in range(UPSTREAMS)]
             room = node.bucket.room(Urgency.LOAD)
-            for item in select_load_items(loads, told[node.me.name], room, now):
+            for item in select_load_items(loads, told[node.own_member.name], room, now):
                 node.publish(item, Urgency.LOAD)
-        pump.run(0.5)
-    return (load_bytes(pump) - before) / seconds / len(pump.nodes)
+        simulation.run(0.5)
+    return (load_bytes(simulation) - before) / seconds / len(simulation.nodes)
 
 
-def load_bytes(pump):
+def load_bytes(simulation):
     """Return the bytes of load items that all nodes have sent."""
-    return sum(n.counters.bytes_by_urgency[Urgency.LOAD] for n in pump.all())
+    return sum(n.counters.bytes_by_urgency[Urgency.LOAD] for n in simulation.all())
 
 
 def evidence(random, number, now):
@@ -170,17 +181,17 @@
 
 def fleet_of_today():
     """Measure the fleet of 18 in virtual time; return its figures."""
-    pump, took = cold_start(FLEET)
-    pump.run(STARTUP_SECONDS)
-    follow_changes(pump)
-    cost = Cost(pump)
-    pump.run(IDLE)
+    simulation, took = cold_start(FLEET)
+    simulation.run(STARTUP_SECONDS)
+    follow_changes(simulation)
+    cost = Cost(simulation)
+    simulation.run(IDLE)
     idle = cost.figures()
-    cost = Cost(pump)
-    there, known = spread_changes(pump, CHANGES)
+    cost = Cost(simulation)
+    there, known = spread_changes(simulation, CHANGES)
     busy = cost.figures()
-    cost = Cost(pump)
-    load = share_load(pump, 20)
+    cost = Cost(simulation)
+    load = share_load(simulation, 20)
     shared = cost.figures()
     print(f"{FLEET} nodes, virtual time; complete after {took:.1f} s")
     print(f"  idle:          {idle[0]:6.0f} bytes/s (most {idle[1]:.0f}), CPU {idle[2]:.2f}%")
@@ -209,24 +220,25 @@
 
 def until_known(seed, victims):
     """Return the seconds until every node knows which VMs have died."""
-    pump = Pump(FLEET, seed=seed)
-    pump.run(30)
-    for node in [pump.all()[i] for i in victims]:
-        pump.kill(node)
-    return pump.run_until(pump.complete, 120) or 120.0
+    simulation = FleetSimulation(FLEET, seed=seed)
+    simulation.run(30)
+    for node in [simulation.all()[i] for i in victims]:
+        simulation.kill(node)
+    return simulation.run_until(simulation.complete, 120) or 120.0
 
 
 def until_unready(seed):
     """Return the seconds until no node of a minority that was cut off is ready."""
-    pump = Pump(FLEET, seed=seed)
-    for node in pump.all():
-        node.applied(1)
-    pump.run(30)
-    few = pump.all()[: FLEET // 2 - 1]
-    pump.cut(few, pump.all()[FLEET // 2 - 1 :])
-    now = pump.clock.now
+    simulation = FleetSimulation(FLEET, seed=seed)
+    for node in simulation.all():
+        node.record_applied(1)
+    simulation.run(30)
+    few = simulation.all()[: FLEET // 2 - 1]
+    simulation.cut(few, simulation.all()[FLEET // 2 - 1 :])
+    now = simulation.clock.now
     return (
-        pump.run_until(lambda: not any(n.version_tracker.ready(now()) for n in few), 120) or 120.0
+        simulation.run_until(lambda: not any(n.version_tracker.ready(now()) for n in few), 120)
+        or 120.0
     )
 
 
@@ -253,13 +265,13 @@
 def slope(count):
     """Print one row of the table of sizes."""
     took = f"{cold_start(count)[1]:.1f}" if count <= COLD_LIMIT else "not run"
-    pump = acquainted(count)
-    follow_changes(pump)
-    memory = memory_of(pump.all()[-1]) / 1024
-    cost = Cost(pump)
-    pump.run(IDLE)
+    simulation = acquainted(count)
+    follow_changes(simulation)
+    memory = memory_of(simulation.all()[-1]) / 1024
+    cost = Cost(simulation)
+    simulation.run(IDLE)
     mean, most, cpu = cost.figures()
-    there, known = spread_changes(pump, 5)
+    there, known = spread_changes(simulation, 5)
     print(
         f"{count:7d} {took:>12} {mean:8.0f} {most:8.0f} {cpu:8.2f} {cpu * 2000:10.0f} "
         f"{memory:8.0f} {max(there):9.2f} {max(known):9.2f}",
@@ -307,7 +319,7 @@
     """Publish a change every second."""
     for version in range(1, int(REAL_SECONDS) - 2):
         times[version] = time.time()
-        node.applied(version)
+        node.record_applied(version)
         node.publish(ConfigurationItem(version, b"x" * CHANGE_SIZE), Urgency.CONFIGURATION)
         await curio.sleep(1.0)
 
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -19,7 +19,7 @@
 from .exceptions import ConflictError, SequoiaError, StoreUnavailable
 from .fleet.base import ConfigurationItem, Urgency
 from .fleet.fleet import FleetNode
-from .fleet.packing import change_of
+from .fleet.packing import unpack_change
 from .logs import get_log
 from .operators.bases import ConfigurationRepository
 from .operators.errors import NotFound
@@ -78,7 +78,7 @@
         self.polling = False
         self.timers: Timers | None = None
         fleet.subscribe(ConfigurationItem, lambda item, origin: self.apply_received_changes())
-        fleet.exchange_documents(self.provide_document, self.receive_document)
+        fleet.set_document_handlers(self.provide_document, self.receive_document)
 
     def subscribe(self, timers: Timers) -> None:
         """Poll the table immediately, then every `POLL_INTERVAL` seconds."""
@@ -136,12 +136,12 @@
         return Ok(outcome.version)
 
     def count_in_force(self, version: int) -> tuple[int, int]:
-        return self.fleet.spread(version)
+        return self.fleet.count_in_force(version)
 
     def apply_received_changes(self) -> None:
         """Apply the changes received from other VMs that follow the version in force."""
         while (item := self.fleet.version_tracker.next_change()) is not None:
-            encoded = change_of(item)
+            encoded = unpack_change(item)
             if not encoded:
                 self._poll_now()
                 return
@@ -226,7 +226,7 @@
         self.fleet.publish(ConfigurationItem(row.version, encoded), Urgency.CONFIGURATION)
 
     def _put_in_force(self, document: Document) -> None:
-        if not self.fleet.applied(document.version):
+        if not self.fleet.record_applied(document.version):
             return
         self.in_force = document
         self.applied_at = self.clock.now()
--- a/sequoiabridge/daemon_metrics.py
+++ b/sequoiabridge/daemon_metrics.py
@@ -74,7 +74,7 @@
     metrics.counter(
         "sequoia_fleet_bad_messages",
         "Messages of other VMs that were dropped.",
-        lambda: [((kind.value,), number) for kind, number in counters.bad.items()],
+        lambda: [((kind.value,), number) for kind, number in counters.dropped.items()],
         ("kind",),
     )
 
--- a/sequoiabridge/fleet/channel.py
+++ b/sequoiabridge/fleet/channel.py
@@ -2,7 +2,7 @@
 
 Each daemon listens with one pull socket and dials a push socket for each VM that it sends to. A
 push socket has one peer, so a slow or silent one holds up nobody else, and a new connection to one
-VM is a matter of closing one socket. At most `MAX_DIALED` are kept, the least used goes first.
+VM is a matter of closing one socket. At most `MAX_CONNECTIONS` are kept, the least used goes first.
 pynng knows asyncio and trio; here the pull socket's descriptor is waited on by curio.
 """
 
@@ -16,22 +16,22 @@
 
 from ..exceptions import ConfigurationError
 from ..logs import get_log
-from .wire import MAX_FRAME
+from .wire import MAX_FRAME_BYTES
 
 log = get_log("fleet")
 
-MAX_DIALED = 64
+MAX_CONNECTIONS = 64
 """Connections kept for sending; at 18 VMs that is all of them."""
-SEND_BUFFER = 32
+SEND_BUFFER_FRAMES = 32
 """Frames that wait for a connection; more are dropped."""
-RECONNECT_MIN, RECONNECT_MAX = 100, 2_000
+RECONNECT_MIN_MS, RECONNECT_MAX_MS = 100, 2_000
 """Milliseconds between nng's attempts to connect."""
-BATCH = 64
+RECEIVE_BATCH_FRAMES = 64
 """Frames taken before other tasks get a turn."""
-FLUSH = 0.2
+FLUSH_SECONDS = 0.2
 """Seconds given to nng to write what was sent last before the sockets are closed."""
 
-Receive = Callable[[bytes], None]
+FrameHandler = Callable[[bytes], None]
 
 
 class Channel(ABC):
@@ -50,7 +50,7 @@
         """Close the connection to an address, so that the next frame opens a new one."""
 
     @abstractmethod
-    async def run(self, receive: Receive) -> None:
+    async def run(self, receive: FrameHandler) -> None:
         """Listen and call `receive` with each frame until cancelled."""
 
     @abstractmethod
@@ -71,14 +71,14 @@
 
     def __init__(self, address: str):
         self.address = address
-        self.pull: pynng.Pull0 | None = None
-        self.dialed: OrderedDict[str, pynng.Push0] = OrderedDict()
+        self.pull_socket: pynng.Pull0 | None = None
+        self.push_sockets: OrderedDict[str, pynng.Push0] = OrderedDict()
         self.redials = 0
 
     def listen(self) -> None:
-        self.pull = pynng.Pull0(recv_buffer_size=256, recv_max_size=MAX_FRAME)
+        self.pull_socket = pynng.Pull0(recv_buffer_size=256, recv_max_size=MAX_FRAME_BYTES)
         try:
-            self.pull.listen(f"tcp://{self.address}")
+            self.pull_socket.listen(f"tcp://{self.address}")
         except pynng.NNGException as error:
             raise ConfigurationError(
                 f"[fleet] address: cannot listen on {self.address} ({error}); set an IP address "
@@ -86,7 +86,7 @@
             ) from error
 
     def send(self, address: str, frame: bytes) -> bool:
-        push = self._push(address)
+        push = self._get_push_socket(address)
         if push is None:
             return False
         try:
@@ -100,52 +100,52 @@
         return True
 
     def redial(self, address: str) -> None:
-        push = self.dialed.pop(address, None)
+        push = self.push_sockets.pop(address, None)
         if push is not None:
             self.redials += 1
             push.close()
 
-    async def run(self, receive: Receive) -> None:
-        descriptor = self.pull.recv_fd
+    async def run(self, receive: FrameHandler) -> None:
+        descriptor = self.pull_socket.recv_fd
         while True:
-            if not self._drain(receive):
+            if not self._receive_batch(receive):
                 await _read_wait(descriptor)
             else:
                 await curio.sleep(0)
 
     async def close(self) -> None:
-        await curio.sleep(FLUSH)
-        for push in self.dialed.values():
+        await curio.sleep(FLUSH_SECONDS)
+        for push in self.push_sockets.values():
             push.close()
-        self.dialed.clear()
-        if self.pull is not None:
-            self.pull.close()
-            self.pull = None
+        self.push_sockets.clear()
+        if self.pull_socket is not None:
+            self.pull_socket.close()
+            self.pull_socket = None
 
     def connections(self) -> int:
-        return len(self.dialed)
+        return len(self.push_sockets)
 
-    def _drain(self, receive: Receive) -> bool:
+    def _receive_batch(self, receive: FrameHandler) -> bool:
         """Take up to a batch of frames; return True if there may be more."""
-        for _ in range(BATCH):
+        for _ in range(RECEIVE_BATCH_FRAMES):
             try:
-                frame = self.pull.recv(block=False)
+                frame = self.pull_socket.recv(block=False)
             except pynng.TryAgain:
                 return False
             receive(frame)
         return True
 
-    def _push(self, address: str) -> pynng.Push0 | None:
-        push = self.dialed.get(address)
+    def _get_push_socket(self, address: str) -> pynng.Push0 | None:
+        push = self.push_sockets.get(address)
         if push is not None:
-            self.dialed.move_to_end(address)
+            self.push_sockets.move_to_end(address)
             return push
-        while len(self.dialed) >= MAX_DIALED:
-            self.dialed.popitem(last=False)[1].close()
+        while len(self.push_sockets) >= MAX_CONNECTIONS:
+            self.push_sockets.popitem(last=False)[1].close()
         push = pynng.Push0(
-            send_buffer_size=SEND_BUFFER,
-            reconnect_time_min=RECONNECT_MIN,
-            reconnect_time_max=RECONNECT_MAX,
+            send_buffer_size=SEND_BUFFER_FRAMES,
+            reconnect_time_min=RECONNECT_MIN_MS,
+            reconnect_time_max=RECONNECT_MAX_MS,
         )
         try:
             push.dial(f"tcp://{address}", block=False)
@@ -153,5 +153,5 @@
             log.warning("Cannot dial %s (%s).", address, error)
             push.close()
             return None
-        self.dialed[address] = push
+        self.push_sockets[address] = push
         return push
--- a/sequoiabridge/fleet/counters.py
+++ b/sequoiabridge/fleet/counters.py
@@ -4,7 +4,7 @@
 
 from .base import Urgency
 from .bucket import TRANSPORT_OVERHEAD
-from .wire import Bad
+from .wire import DropReason
 
 
 class Counters:
@@ -21,7 +21,7 @@
         "messages_received",
         "not_sent",
         "bytes_by_urgency",
-        "bad",
+        "dropped",
     )
 
     def __init__(self):
@@ -31,14 +31,14 @@
         self.messages_received = 0
         self.not_sent = 0
         self.bytes_by_urgency: Counter[Urgency] = Counter()
-        self.bad: Counter[Bad] = Counter()
+        self.dropped: Counter[DropReason] = Counter()
 
-    def sent(self, frame: bytes) -> None:
+    def record_sent(self, frame: bytes) -> None:
         """Count a frame that leaves."""
         self.messages_sent += 1
         self.bytes_sent += len(frame) + TRANSPORT_OVERHEAD
 
-    def received(self, frame: bytes) -> None:
+    def record_received(self, frame: bytes) -> None:
         """Count a frame that came in."""
         self.messages_received += 1
         self.bytes_received += len(frame) + TRANSPORT_OVERHEAD
@@ -52,5 +52,5 @@
             "messages_received": self.messages_received,
             "not_sent": self.not_sent,
             "bytes_by_urgency": {u.name.lower(): self.bytes_by_urgency[u] for u in Urgency},
-            "bad": {kind.value: self.bad[kind] for kind in Bad},
+            "bad": {reason.value: self.dropped[reason] for reason in DropReason},
         }
--- a/sequoiabridge/fleet/fleet.py
+++ b/sequoiabridge/fleet/fleet.py
@@ -18,22 +18,22 @@
 from .counters import Counters
 from .members import Event, EventKind, MembershipOptions
 from .membership import Membership
-from .prober import to
+from .pinger import message_to
 from .repair import Repair
 from .replay import Admission, ReplayGuard, first_incarnation
-from .sender import BASE_SIZE, Sender
+from .sender import EMPTY_MESSAGE_BYTES, Sender
 from .snapshot import Consumer, Provider, SnapshotExchange
 from .spreader import Spreader
 from .version_tracker import SpreadTracker, VersionTracker
-from .wire import PACKET_SIZE, Bad, Codec, Kind, Message
+from .wire import PACKET_BYTES, Codec, DropReason, Kind, Message
 
 log = get_log("fleet")
 
-TICK = 0.2
+TICK_INTERVAL = 0.2
 """Seconds between two ticks of the state machines."""
-FANOUT = 2
+URGENT_FANOUT = 2
 """Members that get urgent items at once, and again in each tick."""
-LOAD_EVERY = 0.5
+LOAD_MESSAGE_INTERVAL = 0.5
 """Seconds between two messages that carry only what is not urgent."""
 
 ItemListener = Callable[[AnyItem, str], None]
@@ -69,9 +69,9 @@
         now, incarnation = clock.now(), first_incarnation(clock.wall())
         self.timers, self.clock, self.random = timers, clock, random
         self.channel = channel or NngChannel(address)
-        me = MemberView(vm, address, data_centre, incarnation, MemberState.ALIVE, now)
-        self.me = me
-        self.membership = Membership(me, seeds, options or MembershipOptions(), random, now)
+        own_member = MemberView(vm, address, data_centre, incarnation, MemberState.ALIVE, now)
+        self.own_member = own_member
+        self.membership = Membership(own_member, seeds, options or MembershipOptions(), random, now)
         self.codec = Codec(keys, address)
         self.guard = ReplayGuard()
         self.bucket = ByteBucket(bytes_per_second, now)
@@ -79,7 +79,7 @@
         self.version_tracker = VersionTracker(now)
         self.spreader = Spreader(self.membership, self.codec, random)
         self.sender = Sender(
-            me,
+            own_member,
             self.spreader,
             self.version_tracker,
             self.codec,
@@ -95,7 +95,7 @@
         )
         self.item_listeners: list[tuple[type[Item], ItemListener]] = []
         self.event_listeners: list[EventListener] = []
-        self.next_rest = now
+        self.next_background_send = now
         self.subscription: Subscription | None = None
         self.receiver: curio.Task | None = None
 
@@ -104,13 +104,13 @@
     def publish(self, item: AnyItem, urgency: Urgency) -> None:
         now = self.clock.now()
         self.spreader.publish(item, urgency, now)
-        self._spread_urgent(now)
+        self._send_urgent(now)
 
     def subscribe(self, kind: type[Item], callback: ItemListener) -> None:
         self.item_listeners.append((kind, callback))
 
     def members(self) -> list[MemberView]:
-        return [self.me, *self.membership.roster.members.values()]
+        return [self.own_member, *self.membership.roster.members.values()]
 
     def live_count(self) -> int:
         return len(self.membership.roster.live_names) + 1
@@ -119,24 +119,24 @@
         """Call `listener` when a VM joins, is suspected, dies or leaves, and on own pauses."""
         self.event_listeners.append(listener)
 
-    def hint(self, addresses: Iterable[str]) -> None:
+    def set_listed_addresses(self, addresses: Iterable[str]) -> None:
         """Take the fleet addresses (IP:port) of the platform's VM list as read just now."""
-        self.membership.roster.hint(addresses)
+        self.membership.roster.set_listed_addresses(addresses)
 
-    def applied(self, version: int) -> bool:
+    def record_applied(self, version: int) -> bool:
         """Note that a version is in force here; False if it is older than the one in force."""
         if not self.version_tracker.record_applied(version, self.clock.now()):
             return False
-        self.me.version = version
+        self.own_member.version = version
         return True
 
-    def exchange_documents(self, provider: Provider, consumer: Consumer) -> None:
+    def set_document_handlers(self, provider: Provider, consumer: Consumer) -> None:
         """Let whole configurations be given to, and taken from, other VMs.
 
         Args:
             provider: Returns the version in force and its encoding.
             consumer: Called with a newer version and its encoding; puts it in force and calls
-                `applied`.
+                `record_applied`.
         """
         self.snapshots.provider, self.snapshots.consumer = provider, consumer
 
@@ -144,9 +144,9 @@
         """Count from now on which VMs confirm that a version is in force there."""
         return self.repair.track(version, self.clock.now())
 
-    def spread(self, version: int) -> tuple[int, int]:
+    def count_in_force(self, version: int) -> tuple[int, int]:
         """Return (n, m): the version is known to be in force on n of m live VMs."""
-        views = [self.me, *self.membership.live()]
+        views = [self.own_member, *self.membership.live()]
         return sum(view.version >= version for view in views), len(views)
 
     # Life.
@@ -155,18 +155,18 @@
         """Listen, and subscribe to the timers."""
         self.channel.listen()
         self.receiver = await curio.spawn(self.channel.run, self.receive, daemon=True)
-        self.subscription = self.timers.every(TICK, "fleet", self.tick)
+        self.subscription = self.timers.every(TICK_INTERVAL, "fleet", self.tick)
 
     async def leave(self) -> None:
         """Tell the others that this VM leaves on purpose, and close the channel."""
-        self.say_goodbye()
+        self.send_leave()
         if self.subscription is not None:
             self.subscription.cancel()
         if self.receiver is not None:
             await self.receiver.cancel()
         await self.channel.close()
 
-    def say_goodbye(self) -> None:
+    def send_leave(self) -> None:
         """Tell some members that this VM leaves; it answers nobody from then on."""
         now = self.clock.now()
         for outgoing in self.membership.leave(now):
@@ -179,48 +179,48 @@
             return
         for outgoing in self.membership.tick(now):
             self.sender.send(outgoing, now)
-        self._settle(now)
+        self._process_membership_changes(now)
         roster = self.membership.roster
         # A suspect may be on the other side of a cut, so it does not count towards a majority.
         self.version_tracker.set_fleet_size(
             self.live_count() - len(roster.suspects), len(roster.expected) + 1
         )
-        self._spread_urgent(now)
+        self._send_urgent(now)
         self.repair.tick(now)
         self.snapshots.tick(now)
-        self._spread_rest(now)
+        self._send_background(now)
 
     def receive(self, frame: bytes) -> None:
         """Take in one frame; the channel calls this."""
         now = self.clock.now()
-        self.counters.received(frame)
+        self.counters.record_received(frame)
         result = self.codec.decode(frame)
         if result.is_error():
-            self.counters.bad[result.error] += 1
+            self.counters.dropped[result.error] += 1
             return
         message = result.ok
         if message.kind not in KNOWN_KINDS:
-            self.counters.bad[Bad.UNKNOWN_KIND] += 1
+            self.counters.dropped[DropReason.UNKNOWN_KIND] += 1
             return
-        fresh = self.membership.fresh(message)
-        if fresh and not self._admit(message, now):
+        is_current = self.membership.names_own_incarnation(message)
+        if is_current and not self._admit(message, now):
             return
-        answers = self.membership.received(message, now)
-        learned = bool(self.membership.ledger.changed)
+        answers = self.membership.handle_message(message, now)
+        has_updates = bool(self.membership.merger.pending_updates)
         for outgoing in answers:
             self.sender.send(outgoing, now)
-        self._settle(now)
-        if fresh and not self.membership.leaving:
-            self._take_in(message, learned, now)
+        self._process_membership_changes(now)
+        if is_current and not self.membership.leaving:
+            self._apply_message(message, has_updates, now)
 
     def dump(self) -> dict:
         now = self.clock.now()
         return {
-            "incarnation": self.me.incarnation,
+            "incarnation": self.own_member.incarnation,
             "live": self.live_count(),
             "expected": len(self.membership.roster.expected) + 1,
-            "paused_s": round(self.membership.paused_for, 1),
-            "members": [describe(member, now) for member in self.members()],
+            "paused_s": round(self.membership.last_pause_seconds, 1),
+            "members": [describe_member(member, now) for member in self.members()],
             "version": self.version_tracker.in_force,
             "newest_version": self.version_tracker.newest,
             "not_current_because": self.version_tracker.why_not_ready(now),
@@ -229,7 +229,7 @@
             "dropped": self.spreader.queue.dropped,
             "marks": len(self.spreader.marks.marks),
             "connections": self.channel.connections(),
-            "stale": self.membership.stale,
+            "stale": self.membership.stale_count,
             "counters": self.counters.dump(),
         }
 
@@ -239,25 +239,25 @@
         admission = self.guard.admit(message.sender, message.incarnation, message.sequence)
         if admission is Admission.NEW:
             return True
-        self.counters.bad[Bad.REPLAYED] += 1
+        self.counters.dropped[DropReason.REPLAYED] += 1
         if admission is Admission.OLD_SESSION:
-            for outgoing in self.membership.outdated(message):
+            for outgoing in self.membership.correct_outdated(message):
                 self.sender.send(outgoing, now)
         return False
 
-    def _take_in(self, message: Message, learned: bool, now: float) -> None:
+    def _apply_message(self, message: Message, has_updates: bool, now: float) -> None:
         """Take in the version and the items of a message that is no replay."""
         self.version_tracker.record_peer_version(message.version, now)
         items = self.spreader.handle_message(message, now)
         for item, origin in items:
             self._deliver(item, origin, now)
-        self.repair.handle_message(message, learned or bool(items), now)
+        self.repair.handle_message(message, has_updates or bool(items), now)
         self.snapshots.handle_message(message, now)
-        self._spread_urgent(now)
+        self._send_urgent(now)
 
     def _deliver(self, item: AnyItem | None, origin: str, now: float) -> None:
         if item is None:
-            self.counters.bad[Bad.UNKNOWN_ITEM] += 1
+            self.counters.dropped[DropReason.UNKNOWN_ITEM] += 1
             return
         if isinstance(item, ConfigurationItem):
             self.version_tracker.add_change(item, now)
@@ -265,19 +265,19 @@
             if isinstance(item, kind):
                 listener(item, origin)
 
-    def _settle(self, now: float) -> None:
+    def _process_membership_changes(self, now: float) -> None:
         """Queue and tell what the last step of the membership changed."""
-        ledger = self.membership.ledger
-        changed, ledger.changed = ledger.changed, []
-        self.spreader.queue_updates(changed, now)
-        trips, self.membership.round_trips = self.membership.round_trips, []
-        for name, at in trips:
+        merger = self.membership.merger
+        updates, merger.pending_updates = merger.pending_updates, []
+        self.spreader.queue_updates(updates, now)
+        round_trips, self.membership.round_trips = self.membership.round_trips, []
+        for name, at in round_trips:
             self.version_tracker.record_confirmation(name, at)
-        events, ledger.events = ledger.events, []
+        events, merger.events = merger.events, []
         for event in events:
-            self._tell(event, now)
+            self._publish_event(event, now)
 
-    def _tell(self, event: Event, now: float) -> None:
+    def _publish_event(self, event: Event, now: float) -> None:
         log.info("VM %s: %s %s", event.name, event.kind.value, event.detail)
         if event.kind is EventKind.PAUSED:
             self.version_tracker.discard_confirmations()
@@ -288,33 +288,33 @@
 
     # Spreading.
 
-    def _spread_urgent(self, now: float) -> None:
+    def _send_urgent(self, now: float) -> None:
         """Send what is urgent to members that lack it, as long as the bucket pays for it."""
         self.bucket.refill(now)
-        for _ in range(FANOUT):
+        for _ in range(URGENT_FANOUT):
             found = self.spreader.next_target(Urgency.CRASH)
             if found is None:
                 return
             entry, target = found
-            needed = min(entry.size, PACKET_SIZE) + BASE_SIZE + TRANSPORT_OVERHEAD
+            needed = min(entry.size, PACKET_BYTES) + EMPTY_MESSAGE_BYTES + TRANSPORT_OVERHEAD
             if self.bucket.room(entry.urgency) < needed:
                 return
-            self.sender.send(to(target, Kind.GOSSIP), now)
+            self.sender.send(message_to(target, Kind.GOSSIP), now)
 
-    def _spread_rest(self, now: float) -> None:
+    def _send_background(self, now: float) -> None:
         """Use what the bucket leaves for items that are not urgent."""
-        if now < self.next_rest or self.bucket.room(Urgency.LOAD) < PACKET_SIZE:
+        if now < self.next_background_send or self.bucket.room(Urgency.LOAD) < PACKET_BYTES:
             return
-        self.next_rest = now + LOAD_EVERY
+        self.next_background_send = now + LOAD_MESSAGE_INTERVAL
         found = self.spreader.next_target(Urgency.LOAD)
         if found is not None:
-            self.sender.send(to(found[1], Kind.GOSSIP), now)
+            self.sender.send(message_to(found[1], Kind.GOSSIP), now)
 
 
 KNOWN_KINDS = frozenset(int(kind) for kind in Kind)
 
 
-def describe(member: MemberView, now: float) -> dict:
+def describe_member(member: MemberView, now: float) -> dict:
     """Return a member as shown in the dump."""
     return {
         "name": member.name,
--- a/sequoiabridge/fleet/members.py
+++ b/sequoiabridge/fleet/members.py
@@ -10,35 +10,35 @@
     """Times in seconds and counts of the membership protocol."""
 
     __slots__ = (
-        "period",
+        "ping_interval",
         "ack_timeout",
-        "indirect",
-        "suspicion",
-        "tombstone",
-        "retry_lost",
-        "pause",
-        "deaf",
+        "indirect_pings",
+        "suspicion_timeout",
+        "tombstone_lifetime",
+        "unreachable_ping_interval",
+        "pause_threshold",
+        "isolation_timeout",
     )
 
     def __init__(
         self,
-        period: float = 1.0,
+        ping_interval: float = 1.0,
         ack_timeout: float = 0.4,
-        indirect: int = 3,
-        suspicion: float = 3.0,
-        tombstone: float = 600.0,
-        retry_lost: float = 2.0,
-        pause: float = 2.0,
-        deaf: float = 10.0,
+        indirect_pings: int = 3,
+        suspicion_timeout: float = 3.0,
+        tombstone_lifetime: float = 600.0,
+        unreachable_ping_interval: float = 2.0,
+        pause_threshold: float = 2.0,
+        isolation_timeout: float = 10.0,
     ):
-        self.period = period
+        self.ping_interval = ping_interval
         self.ack_timeout = ack_timeout
-        self.indirect = indirect
-        self.suspicion = suspicion
-        self.tombstone = tombstone
-        self.retry_lost = retry_lost
-        self.pause = pause
-        self.deaf = deaf
+        self.indirect_pings = indirect_pings
+        self.suspicion_timeout = suspicion_timeout
+        self.tombstone_lifetime = tombstone_lifetime
+        self.unreachable_ping_interval = unreachable_ping_interval
+        self.pause_threshold = pause_threshold
+        self.isolation_timeout = isolation_timeout
 
 
 class EventKind(Enum):
@@ -105,8 +105,8 @@
         self.redial = redial
 
 
-LIVE = (MemberState.ALIVE, MemberState.SUSPECT)
-RANK = {
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+STATE_RANK = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
     MemberState.DEAD: 2,
--- a/sequoiabridge/fleet/membership.py
+++ b/sequoiabridge/fleet/membership.py
@@ -14,21 +14,21 @@
 from random import Random
 
 from .base import MemberState, MemberView
-from .ledger import Ledger
 from .members import EventKind, MembershipOptions, Outgoing, update_of
-from .prober import Pending, Prober, reply, to
+from .pinger import PendingPing, Pinger, message_to, reply_to
 from .roster import Roster
+from .update_merger import UpdateMerger
 from .wire import Kind, Message, Update
 
 LEAVE_FANOUT = 8
 """VMs that a leaving VM tells itself; the others hear it from them."""
-GREET = 3
+CONTACT_FANOUT = 3
 """VMs pinged at once after a pause, or while no live member is known."""
-MANY = 6
+MASS_SUSPICION_DIVISOR = 6
 """If one in this many live members is suspected, the cause is larger than one VM."""
-HURRY = 3
+FAST_PING_FACTOR = 3
 """How much faster members are then pinged, to find out soon who else is gone."""
-SILENCE = 2.0
+ISOLATION_PERIODS = 2.0
 """Periods without any message after which a VM tells nobody what it concludes of others."""
 
 
@@ -36,49 +36,51 @@
     """The state machine.
 
     Args:
-        me: This VM; its incarnation is that of `replay.first_incarnation`.
+        own_member: This VM; its incarnation is that of `replay.first_incarnation`.
         seeds: Addresses (IP:port) from the settings.
 
     Attributes:
-        ledger: What is believed of whom; its `changed` and `events` are taken by the owner.
+        merger: What is believed of whom; its `changed` and `events` are taken by the owner.
         round_trips: Names of members that answered a ping, with the time at which it was sent;
             the owner takes and clears them.
-        stale: How many messages were dropped because they name none of our incarnations.
-        paused_for: Length in seconds of the last pause that this process noticed, or 0.
+        stale_count: How many messages were dropped because they name none of our incarnations.
+        last_pause_seconds: Length in seconds of the last pause that this process noticed, or 0.
     """
 
     def __init__(
         self,
-        me: MemberView,
+        own_member: MemberView,
         seeds: Iterable[str],
         options: MembershipOptions,
         random: Random,
         now: float,
     ):
-        self.me = me
+        self.own_member = own_member
         self.options = options
         self.random = random
-        self.roster = Roster(me, seeds, options)
-        self.ledger = Ledger(me, self.roster)
-        self.prober = Prober(self.roster, options, random)
+        self.roster = Roster(own_member, seeds, options)
+        self.merger = UpdateMerger(own_member, self.roster)
+        self.pinger = Pinger(self.roster, options, random)
         self.round_trips: list[tuple[str, float]] = []
-        self.stale = 0
-        self.paused_for = 0.0
-        self.last_tick = self.last_heard = now
-        self.next_ping = self.next_lost = self.next_forget = now
+        self.stale_count = 0
+        self.last_pause_seconds = 0.0
+        self.last_tick = self.last_received_at = now
+        self.next_ping = self.next_unreachable_ping = self.next_expiry = now
 
     @property
     def leaving(self) -> bool:
         """True once this VM has left on purpose."""
-        return self.ledger.leaving
+        return self.merger.leaving
 
     def live(self) -> list[MemberView]:
         """Return the other VMs that are not known to be gone."""
         return self.roster.live()
 
-    def fresh(self, message: Message) -> bool:
+    def names_own_incarnation(self, message: Message) -> bool:
         """Return True if the message names an incarnation that this process has had."""
-        return self.ledger.started <= message.to_incarnation <= self.me.incarnation
+        return (
+            self.merger.initial_incarnation <= message.to_incarnation <= self.own_member.incarnation
+        )
 
     # Time.
 
@@ -88,148 +90,167 @@
         if self.leaving:
             return []
         out: list[Outgoing] = []
-        if gap > self.options.pause:
-            out += self._resumed(gap, now)
-        again, given_up = self.prober.expire(now)
-        out += again
-        for pending in given_up:
-            self._unanswered(pending, now)
+        if gap > self.options.pause_threshold:
+            out += self._handle_pause(gap, now)
+        retries, expired = self.pinger.expire(now)
+        out += retries
+        for pending in expired:
+            self._handle_timeout(pending, now)
         self._expire_suspects(now)
         if now >= self.next_ping:
-            self.next_ping = now + self._pace()
-            member = self.prober.next_member()
-            out += [self.prober.ping(member, now, probing=True)] if member else []
-        if now >= self.next_lost:
-            out += self._ping_lost(now)
-        if now >= self.next_forget:
-            self.next_forget = now + self.options.period
-            self.roster.forget(now)
+            self.next_ping = now + self._ping_interval()
+            member = self.pinger.next_member()
+            out += [self.pinger.ping(member, now, suspect_on_timeout=True)] if member else []
+        if now >= self.next_unreachable_ping:
+            out += self._ping_unreachable(now)
+        if now >= self.next_expiry:
+            self.next_expiry = now + self.options.ping_interval
+            self.roster.remove_expired(now)
         return out
 
-    def _pace(self) -> float:
+    def _ping_interval(self) -> float:
         """Return the seconds to the next ping: fewer while many are suspected at once."""
-        many = len(self.roster.suspects) * MANY >= len(self.roster.live_names) > 0
-        return self.options.period / HURRY if many else self.options.period
+        is_mass_failure = (
+            len(self.roster.suspects) * MASS_SUSPICION_DIVISOR >= len(self.roster.live_names) > 0
+        )
+        return (
+            self.options.ping_interval / FAST_PING_FACTOR
+            if is_mass_failure
+            else self.options.ping_interval
+        )
 
     def leave(self, now: float) -> list[Outgoing]:
         """Leave on purpose: tell some members, who tell the others; ticks then do nothing."""
-        self.ledger.leaving = True
-        self.me.state, self.me.since = MemberState.LEFT, now
-        word = update_of(self.me)
+        self.merger.leaving = True
+        self.own_member.state, self.own_member.since = MemberState.LEFT, now
+        update = update_of(self.own_member)
         live = self.live()
         chosen = self.random.sample(live, min(LEAVE_FANOUT, len(live)))
-        return [to(member, Kind.GOSSIP, updates=[word]) for member in chosen]
+        return [message_to(member, Kind.GOSSIP, updates=[update]) for member in chosen]
 
     # Messages.
 
-    def received(self, message: Message, now: float) -> list[Outgoing]:
+    def handle_message(self, message: Message, now: float) -> list[Outgoing]:
         """Take in a message whose HMAC and sequence were checked."""
-        if message.sender == self.me.name or self.leaving:
+        if message.sender == self.own_member.name or self.leaving:
             return []
-        if not self.fresh(message):
-            return self._introduced(message, now)
-        self.last_heard = now
-        outdated = self.ledger.outdated(message.sender, message.incarnation)
-        back = self.ledger.back(message.sender, message.incarnation)
+        if not self.names_own_incarnation(message):
+            return self._handle_first_contact(message, now)
+        self.last_received_at = now
+        outdated = self.merger.find_outdated(message.sender, message.incarnation)
+        restored = self.merger.find_restored(message.sender, message.incarnation)
         if outdated is None:
-            self._heard(message, now)
+            self._record_live(message, now)
         for update in message.updates:
-            self.ledger.learn(update, now)
-        told = [update_of(member) for member in (outdated, back) if member is not None]
+            self.merger.merge(update, now)
+        corrections = [update_of(member) for member in (outdated, restored) if member is not None]
         if message.kind == Kind.PING:
-            return [reply(message, Kind.ACK, message.number, told)]
-        out = [reply(message, Kind.GOSSIP, updates=told)] if told else []
-        return out + self._answer(message, now)
+            return [reply_to(message, Kind.ACK, message.number, corrections)]
+        out = [reply_to(message, Kind.GOSSIP, updates=corrections)] if corrections else []
+        return out + self._handle_answer(message, now)
 
-    def outdated(self, message: Message) -> list[Outgoing]:
+    def correct_outdated(self, message: Message) -> list[Outgoing]:
         """Answer a process whose session is over; one whose clock is behind learns so from it."""
         known = self.roster.get(message.sender)
-        if known is None or not self.fresh(message) or self.leaving:
+        if known is None or not self.names_own_incarnation(message) or self.leaving:
             return []
-        return [reply(message, Kind.GOSSIP, updates=[update_of(known)])]
+        return [reply_to(message, Kind.GOSSIP, updates=[update_of(known)])]
 
-    def _introduced(self, message: Message, now: float) -> list[Outgoing]:
+    def _handle_first_contact(self, message: Message, now: float) -> list[Outgoing]:
         """Answer a VM that does not know our incarnation, and ask it to prove that it is live."""
         if message.kind != Kind.PING:
-            self.stale += 1
+            self.stale_count += 1
             return []
         return [
-            reply(message, Kind.ACK, message.number),
-            self.prober.probe(message.sender, message.address, message.incarnation, now),
+            reply_to(message, Kind.ACK, message.number),
+            self.pinger.ping_address(message.sender, message.address, message.incarnation, now),
         ]
 
-    def _heard(self, message: Message, now: float) -> None:
+    def _record_live(self, message: Message, now: float) -> None:
         """Note that the sender is live."""
-        self.ledger.replace_at(message.address, message.sender, message.incarnation, now)
-        word = Update(
+        self.merger.replace_predecessor(message.address, message.sender, message.incarnation, now)
+        update = Update(
             message.sender,
             message.address,
             message.data_centre,
             message.incarnation,
             int(MemberState.ALIVE),
         )
-        self.ledger.learn(word, now)
+        self.merger.merge(update, now)
         self.roster.members[message.sender].version = message.version
 
-    def _answer(self, message: Message, now: float) -> list[Outgoing]:
+    def _handle_answer(self, message: Message, now: float) -> list[Outgoing]:
         if message.kind == Kind.PING_REQUEST:
-            return self.prober.ping_for(message, now)
+            return self.pinger.ping_on_request(message, now)
         if message.kind not in (Kind.ACK, Kind.INDIRECT_ACK):
             return []
-        pending = self.prober.answered(message)
+        pending = self.pinger.match_answer(message)
         if pending is None or message.kind == Kind.INDIRECT_ACK:
             return []
-        self.round_trips.append((message.sender, pending.sent))
-        if pending.relay is None:
+        self.round_trips.append((message.sender, pending.sent_at))
+        if pending.request is None:
             return []
-        out = reply(pending.relay, Kind.INDIRECT_ACK, pending.relay.number)
+        out = reply_to(pending.request, Kind.INDIRECT_ACK, pending.request.number)
         out.target = message.address
         return [out]
 
     # Silence.
 
-    def _unanswered(self, pending: Pending, now: float) -> None:
+    def _handle_timeout(self, pending: PendingPing, now: float) -> None:
         member = self.roster.get(pending.name)
-        if not pending.probing or member is None or member.state is not MemberState.ALIVE:
+        if (
+            not pending.suspect_on_timeout
+            or member is None
+            or member.state is not MemberState.ALIVE
+        ):
             return
-        if self.last_heard < pending.sent and now - self.last_heard < self.options.deaf:
+        if (
+            self.last_received_at < pending.sent_at
+            and now - self.last_received_at < self.options.isolation_timeout
+        ):
             return  # Nobody was heard since: the fault may be on this side.
-        self.ledger.mark(member, MemberState.SUSPECT, now, quiet=self._deaf(now))
+        self.merger.set_state(member, MemberState.SUSPECT, now, local_only=self._is_isolated(now))
 
-    def _deaf(self, now: float) -> bool:
-        return now - self.last_heard > SILENCE * self.options.period
+    def _is_isolated(self, now: float) -> bool:
+        return now - self.last_received_at > ISOLATION_PERIODS * self.options.ping_interval
 
     def _expire_suspects(self, now: float) -> None:
         if not self.roster.suspects:
             return
-        limit = self.roster.suspicion()
+        limit = self.roster.suspicion_timeout()
         for name in sorted(self.roster.suspects):
             member = self.roster.get(name)
             if now - member.since >= limit:
-                self.ledger.mark(member, MemberState.DEAD, now, quiet=self._deaf(now))
+                self.merger.set_state(
+                    member, MemberState.DEAD, now, local_only=self._is_isolated(now)
+                )
 
-    def _ping_lost(self, now: float) -> list[Outgoing]:
+    def _ping_unreachable(self, now: float) -> list[Outgoing]:
         """Try an address of a dead member, a seed or a listed VM, in case one is back."""
         alone = not self.roster.live_names
-        self.next_lost = now + (self.options.period if alone else self.options.retry_lost)
-        lost = self.roster.lost_addresses()
+        self.next_unreachable_ping = now + (
+            self.options.ping_interval if alone else self.options.unreachable_ping_interval
+        )
+        addresses = self.roster.unreachable_addresses()
         out = []
-        for address in self.random.sample(lost, min(GREET if alone else 1, len(lost))):
-            dead = self.roster.at(address)
+        for address in self.random.sample(
+            addresses, min(CONTACT_FANOUT if alone else 1, len(addresses))
+        ):
+            dead = self.roster.find_by_address(address)
             if dead is None:
-                out.append(self.prober.probe("", address, 0, now))
+                out.append(self.pinger.ping_address("", address, 0, now))
             else:
-                out.append(self.prober.ping(dead, now))
+                out.append(self.pinger.ping(dead, now))
         return out
 
-    def _resumed(self, gap: float, now: float) -> list[Outgoing]:
+    def _handle_pause(self, gap: float, now: float) -> list[Outgoing]:
         """After a pause of this process: nobody is blamed for it, and some are asked for news."""
-        self.paused_for = gap
-        self.ledger.event(EventKind.PAUSED, self.me.name, now, f"{gap:.1f} s")
-        self.prober.pending.clear()
-        self.last_heard = now
+        self.last_pause_seconds = gap
+        self.merger.record_event(EventKind.PAUSED, self.own_member.name, now, f"{gap:.1f} s")
+        self.pinger.pending.clear()
+        self.last_received_at = now
         for name in self.roster.suspects:
             self.roster.members[name].since += gap
         live = self.live()
-        chosen = self.random.sample(live, min(GREET, len(live)))
-        return [self.prober.ping(member, now) for member in chosen]
+        chosen = self.random.sample(live, min(CONTACT_FANOUT, len(live)))
+        return [self.pinger.ping(member, now) for member in chosen]
--- a/sequoiabridge/fleet/packing.py
+++ b/sequoiabridge/fleet/packing.py
@@ -8,23 +8,25 @@
 
 from .base import ConfigurationItem
 
-MAX_CHANGE = 12_000
+MAX_CHANGE_BYTES = 12_000
 """Bytes of the largest change that is spread, and of the largest that is kept compressed."""
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """Of bz2: blocks of 100 kB, which hold most changes, and little memory."""
-MAX_UNPACKED = 4_000_000
+MAX_UNPACKED_BYTES = 4_000_000
 """Bytes of the largest change that is taken out of a compressed one."""
 
 
-def packed(item: ConfigurationItem) -> ConfigurationItem:
+def pack_change(item: ConfigurationItem) -> ConfigurationItem:
     """Return an item as it is kept: whole, compressed, or only its version if that is too large."""
-    if len(item.change) <= MAX_CHANGE:
+    if len(item.change) <= MAX_CHANGE_BYTES:
         return item
-    small = compress(item.change, LEVEL)
-    return ConfigurationItem(item.version, b"", small if len(small) <= MAX_CHANGE else b"")
+    compressed = compress(item.change, COMPRESSION_LEVEL)
+    return ConfigurationItem(
+        item.version, b"", compressed if len(compressed) <= MAX_CHANGE_BYTES else b""
+    )
 
 
-def announced(item: ConfigurationItem) -> ConfigurationItem:
+def to_announcement(item: ConfigurationItem) -> ConfigurationItem:
     """Return a kept item as it is spread: only the version of one that is compressed."""
     return ConfigurationItem(item.version, b"") if item.packed else item
 
@@ -34,13 +36,13 @@
     return bool(item.change or item.packed)
 
 
-def change_of(item: ConfigurationItem) -> bytes:
+def unpack_change(item: ConfigurationItem) -> bytes:
     """Return the encoded change, b"" if only the version is spread or it can't be read."""
     if not item.packed:
         return item.change
-    reader = BZ2Decompressor()
+    decompressor = BZ2Decompressor()
     try:
-        change = reader.decompress(item.packed, MAX_UNPACKED)
+        change = decompressor.decompress(item.packed, MAX_UNPACKED_BYTES)
     except OSError:
         return b""
-    return change if reader.eof else b""
+    return change if decompressor.eof else b""
--- a/sequoiabridge/fleet/repair.py
+++ b/sequoiabridge/fleet/repair.py
@@ -4,11 +4,11 @@
 
 from .base import Urgency
 from .membership import Membership
-from .prober import to
+from .pinger import message_to
 from .sender import Sender
 from .spreader import Spreader
 from .version_tracker import SpreadTracker, VersionTracker
-from .wire import PACKET_SIZE, Kind, Message
+from .wire import PACKET_BYTES, Kind, Message
 
 COMPARE_EVERY = 10.0
 """Seconds between two comparisons of state, while nothing differs."""
@@ -23,7 +23,7 @@
 """VMs pinged each time."""
 CHASE_FOR = 30.0
 """Seconds after which a version is tracked no more."""
-REPLY_ROOM = PACKET_SIZE - 200
+REPLY_ROOM = PACKET_BYTES - 200
 """Bytes of changes in one answer."""
 
 
@@ -81,7 +81,7 @@
         self.noticed = version
         origin = self.membership.roster.get(self.spreader.changes.origin(version))
         if origin is not None:
-            self.sender.send(to(origin, Kind.GOSSIP), now)
+            self.sender.send(message_to(origin, Kind.GOSSIP), now)
 
     def _chase(self, now: float) -> None:
         if now < self.next_chase or not self.acks:
@@ -93,7 +93,7 @@
                 del self.acks[version]
             elif now - ack.since > CHASE_EVERY:
                 for name in ack.unconfirmed(live)[:CHASE]:
-                    self.sender.send(to(live[name], Kind.PING), now)
+                    self.sender.send(message_to(live[name], Kind.PING), now)
 
     def _fetch(self, now: float) -> None:
         wanted = self.version_tracker.next_fetch(now)
@@ -102,7 +102,7 @@
         holders = [m for m in self.membership.live() if m.version >= wanted.start]
         if not holders:
             return
-        outgoing = to(self.random.choice(holders), Kind.FETCH, wanted.start)
+        outgoing = message_to(self.random.choice(holders), Kind.FETCH, wanted.start)
         message = self.sender.message(outgoing)
         message.until = wanted.stop - 1
         self.sender.send(outgoing, now, message)
@@ -112,9 +112,9 @@
         member = self.membership.roster.get(request.sender)
         if not parcels or member is None:
             return
-        if self.sender.bucket.room(Urgency.CONFIGURATION) < PACKET_SIZE:
+        if self.sender.bucket.room(Urgency.CONFIGURATION) < PACKET_BYTES:
             return  # It asks again, perhaps another VM.
-        outgoing = to(member, Kind.GOSSIP)
+        outgoing = message_to(member, Kind.GOSSIP)
         message = self.sender.message(outgoing)
         message.parcels = parcels
         self.spreader.spread_compressed(request.number, request.sender, now)
@@ -127,7 +127,7 @@
         interval = COMPARE_YOUNG if now - self.started < STARTUP_SECONDS else COMPARE_EVERY
         self.next_compare = now + interval * self.random.uniform(0.8, 1.2)
         self.spreader.marks.forget(now)
-        outgoing = to(self.random.choice(live), Kind.DIGEST)
+        outgoing = message_to(self.random.choice(live), Kind.DIGEST)
         message = self.sender.message(outgoing)
         message.digest = self.spreader.digest()
         self.sender.send(outgoing, now, message)
@@ -141,9 +141,9 @@
         updates, parcels = self.spreader.state_for(message.digest, now)
         # A VM that differs has to hear so even if it is the one that knows more.
         differs = self.spreader.differs(message.digest)
-        if not differs or self.sender.bucket.room(Urgency.MEMBERSHIP) < PACKET_SIZE:
+        if not differs or self.sender.bucket.room(Urgency.MEMBERSHIP) < PACKET_BYTES:
             return
-        outgoing = to(member, Kind.STATE)
+        outgoing = message_to(member, Kind.STATE)
         reply = self.sender.message(outgoing)
         reply.updates, reply.parcels = updates, parcels
         if message.kind == Kind.DIGEST:
--- a/sequoiabridge/fleet/replay.py
+++ b/sequoiabridge/fleet/replay.py
@@ -10,9 +10,9 @@
 
 COUNT_BITS = 10
 """Bits of an incarnation that count refutations within one session."""
-WINDOW = 1_024
+REPLAY_WINDOW = 1_024
 """How many sequence numbers below the highest are still told apart."""
-MASK = (1 << WINDOW) - 1
+REPLAY_WINDOW_MASK = (1 << REPLAY_WINDOW) - 1
 MAX_SENDERS = 4_096
 
 
@@ -57,15 +57,15 @@
         if session > known:
             highest, seen = sequence, 0
         if sequence > highest:
-            seen = (seen << min(sequence - highest, WINDOW)) & MASK
+            seen = (seen << min(sequence - highest, REPLAY_WINDOW)) & REPLAY_WINDOW_MASK
             highest = sequence
         behind = highest - sequence
-        if behind >= WINDOW or seen >> behind & 1:
+        if behind >= REPLAY_WINDOW or seen >> behind & 1:
             return Admission.REPLAYED
-        self._note(sender, session, highest, seen | 1 << behind)
+        self._store(sender, session, highest, seen | 1 << behind)
         return Admission.NEW
 
-    def _note(self, sender: str, session: int, highest: int, seen: int) -> None:
+    def _store(self, sender: str, session: int, highest: int, seen: int) -> None:
         self.senders[sender] = (session, highest, seen)
         self.senders.move_to_end(sender)
         if len(self.senders) > MAX_SENDERS:
--- a/sequoiabridge/fleet/roster.py
+++ b/sequoiabridge/fleet/roster.py
@@ -8,29 +8,29 @@
 from collections.abc import Iterable
 
 from .base import MemberState, MemberView
-from .members import LIVE, MembershipOptions
+from .members import LIVE_STATES, MembershipOptions
 from .wire import Update
 
 
 class Roster:
     """Members by name, with what is derived from them kept up to date."""
 
-    def __init__(self, me: MemberView, seeds: Iterable[str], options: MembershipOptions):
-        self.me = me
+    def __init__(self, own_member: MemberView, seeds: Iterable[str], options: MembershipOptions):
+        self.own_member = own_member
         self.options = options
         self.members: dict[str, MemberView] = {}
         self.by_address: dict[str, str] = {}
         self.live_names: dict[str, None] = {}
         self.suspects: set[str] = set()
-        self.seeds = {seed for seed in seeds if seed != me.address}
-        self.listed: set[str] = set()
+        self.seeds = {seed for seed in seeds if seed != own_member.address}
+        self.listed_addresses: set[str] = set()
         self.expected: set[str] = set(self.seeds)
 
     def get(self, name: str) -> MemberView | None:
         """Return the member of that name, live or gone."""
         return self.members.get(name)
 
-    def at(self, address: str) -> MemberView | None:
+    def find_by_address(self, address: str) -> MemberView | None:
         """Return the member last known at an address."""
         return self.members.get(self.by_address.get(address, ""))
 
@@ -38,15 +38,15 @@
         """Return the members that are alive or suspected."""
         return [self.members[name] for name in self.live_names]
 
-    def suspicion(self) -> float:
+    def suspicion_timeout(self) -> float:
         """Return the seconds that a suspect has to contradict, longer in a larger fleet."""
-        return self.options.suspicion * max(1.0, math.log10(len(self.live_names) + 2))
+        return self.options.suspicion_timeout * max(1.0, math.log10(len(self.live_names) + 2))
 
-    def put(self, update: Update, state: MemberState, now: float) -> None:
+    def update(self, update: Update, state: MemberState, now: float) -> None:
         """Set what is known of a member."""
         known = self.members.get(update.name)
         if known is not None and known.address != update.address:
-            self._unaddress(known)
+            self._remove_address(known)
         version = known.version if known is not None else 0
         member = MemberView(
             update.name,
@@ -60,47 +60,49 @@
         self.members[update.name] = member
         self._index(member)
 
-    def hint(self, addresses: Iterable[str]) -> None:
+    def set_listed_addresses(self, addresses: Iterable[str]) -> None:
         """Take the platform's VM list as places to look; it neither kills nor keeps anyone."""
-        self.listed = {address for address in addresses if address != self.me.address}
-        self.expected |= self.listed
-        for address in list(self.expected - self.listed):
-            member = self.at(address)
-            if member is None or member.state not in LIVE:
+        self.listed_addresses = {
+            address for address in addresses if address != self.own_member.address
+        }
+        self.expected |= self.listed_addresses
+        for address in list(self.expected - self.listed_addresses):
+            member = self.find_by_address(address)
+            if member is None or member.state not in LIVE_STATES:
                 self.expected.discard(address)
 
-    def lost_addresses(self) -> list[str]:
+    def unreachable_addresses(self) -> list[str]:
         """Return where no live member is known but one may be, in a fixed order."""
         dead = {m.address for m in self.members.values() if m.state is MemberState.DEAD}
-        places = self.seeds | self.listed | dead | self.expected
+        candidates = self.seeds | self.listed_addresses | dead | self.expected
         live = {self.members[name].address for name in self.live_names}
-        return sorted(places - live - {self.me.address})
+        return sorted(candidates - live - {self.own_member.address})
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop tombstones that are older than their time."""
         for name, member in list(self.members.items()):
-            if member.state in LIVE or now - member.since < self.options.tombstone:
+            if member.state in LIVE_STATES or now - member.since < self.options.tombstone_lifetime:
                 continue
             del self.members[name]
-            self._unaddress(member)
+            self._remove_address(member)
 
     def _index(self, member: MemberView) -> None:
         name, address = member.name, member.address
         self.suspects.discard(name)
         if member.state is MemberState.SUSPECT:
             self.suspects.add(name)
-        if member.state in LIVE:
+        if member.state in LIVE_STATES:
             self.live_names[name] = None
             self.by_address[address] = name
-            self.expected |= {address} - {self.me.address}
+            self.expected |= {address} - {self.own_member.address}
             return
         self.live_names.pop(name, None)
-        holder = self.at(address)
-        if holder is None or holder.state not in LIVE:
+        holder = self.find_by_address(address)
+        if holder is None or holder.state not in LIVE_STATES:
             self.by_address[address] = name
             if member.state is MemberState.LEFT:
                 self.expected.discard(address)
 
-    def _unaddress(self, member: MemberView) -> None:
+    def _remove_address(self, member: MemberView) -> None:
         if self.by_address.get(member.address) == member.name:
             del self.by_address[member.address]
--- a/sequoiabridge/fleet/sender.py
+++ b/sequoiabridge/fleet/sender.py
@@ -7,9 +7,9 @@
 from .members import Outgoing
 from .spreader import Spreader
 from .version_tracker import VersionTracker
-from .wire import HEADER_SIZE, PACKET_SIZE, Codec, Message
+from .wire import HEADER_BYTES, PACKET_BYTES, Codec, Message
 
-BASE_SIZE = 130
+EMPTY_MESSAGE_BYTES = 130
 """Bytes of a message that carries nothing, an estimate."""
 
 
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        me: MemberView,
+        own_member: MemberView,
         spreader: Spreader,
         version_tracker: VersionTracker,
         codec: Codec,
@@ -26,7 +26,7 @@
         bucket: ByteBucket,
         counters: Counters,
     ):
-        self.me = me
+        self.own_member = own_member
         self.spreader = spreader
         self.version_tracker = version_tracker
         self.codec = codec
@@ -37,14 +37,14 @@
 
     def message(self, outgoing: Outgoing) -> Message:
         """Return the message to be sent, with this VM's name, incarnation and version."""
-        me = self.me
+        own_member = self.own_member
         self.sequence += 1
         return Message(
             int(outgoing.kind),
-            me.name,
-            me.address,
-            me.data_centre,
-            me.incarnation,
+            own_member.name,
+            own_member.address,
+            own_member.data_centre,
+            own_member.incarnation,
             self.sequence,
             outgoing.to_incarnation,
             self.version_tracker.in_force,
@@ -69,15 +69,15 @@
             self._fill(message, outgoing.name, now)
         frame = self.codec.encode(message, outgoing.address)
         self.bucket.spend(len(frame) + TRANSPORT_OVERHEAD)
-        self.counters.sent(frame)
+        self.counters.record_sent(frame)
         if outgoing.redial:
             self.channel.redial(outgoing.address)
         if not self.channel.send(outgoing.address, frame):
             self.counters.not_sent += 1
 
     def _fill(self, message: Message, target: str, now: float) -> None:
-        used = HEADER_SIZE + BASE_SIZE + 48 * len(message.updates)
+        used = HEADER_BYTES + EMPTY_MESSAGE_BYTES + 48 * len(message.updates)
         used += sum(len(parcel.item) + 20 for parcel in message.parcels)
-        room = PACKET_SIZE - used
+        room = PACKET_BYTES - used
         for entry in self.spreader.fill(message, target, room, self.bucket, now):
             self.counters.bytes_by_urgency[entry.urgency] += entry.size
--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -14,8 +14,8 @@
 from .base import Urgency
 from .bucket import TRANSPORT_OVERHEAD
 from .membership import Membership
-from .prober import reply, to
-from .sender import BASE_SIZE, Sender
+from .pinger import message_to, reply_to
+from .sender import EMPTY_MESSAGE_BYTES, Sender
 from .version_tracker import VersionTracker
 from .wire import Kind, Message, Piece
 
@@ -95,20 +95,20 @@
             return
         self.asked_at = now
         offset = sum(len(piece.data) for piece in self.parts)
-        self.sender.send(to(member, Kind.SNAPSHOT_REQUEST, offset), now)
+        self.sender.send(message_to(member, Kind.SNAPSHOT_REQUEST, offset), now)
 
     def _give(self, request: Message, now: float) -> None:
         if self.provider is None or not self._has_turn(request.sender, now):
             return
         room = self.sender.bucket.room(Urgency.CONFIGURATION)
-        if room < PIECE_SIZE + BASE_SIZE + TRANSPORT_OVERHEAD:
+        if room < PIECE_SIZE + EMPTY_MESSAGE_BYTES + TRANSPORT_OVERHEAD:
             return  # It asks again.
         if request.number == 0 and self.given[0] != self.version_tracker.in_force:
             version, document = self.provider()
             self.given = (version, compress(document))
         version, data = self.given
         part = data[request.number : request.number + PIECE_SIZE]
-        outgoing = reply(request, Kind.SNAPSHOT)
+        outgoing = reply_to(request, Kind.SNAPSHOT)
         message = self.sender.message(outgoing)
         message.piece = Piece(version, request.number, len(data), crc32(data), part)
         self.sender.send(outgoing, now, message)
--- a/sequoiabridge/fleet/spreader.py
+++ b/sequoiabridge/fleet/spreader.py
@@ -34,8 +34,8 @@
 )
 from .members import update_of
 from .membership import Membership
-from .packing import announced, has_change, packed
-from .wire import PACKET_SIZE, Codec, Kind, Message, Parcel, Update, urgency_of
+from .packing import has_change, pack_change, to_announcement
+from .wire import PACKET_BYTES, Codec, Kind, Message, Parcel, Update, urgency_of
 
 PARCEL_OVERHEAD = 8
 LOAD_SENDS = 2
@@ -66,27 +66,27 @@
     def publish(self, item: AnyItem, urgency: Urgency, now: float) -> None:
         """Queue an item of this VM."""
         if isinstance(item, ConfigurationItem):
-            self._publish_change(packed(item), urgency, now)
+            self._publish_change(pack_change(item), urgency, now)
             return
-        me = self.membership.me.name
-        raw = self.codec.pack(item)
+        me = self.membership.own_member.name
+        raw = self.codec.encode_item(item)
         if self._keep(item, Parcel(raw, me), now, now):
             self._queue(item, Parcel(raw, me), urgency, now)
 
     def _publish_change(self, item: ConfigurationItem, urgency: Urgency, now: float) -> None:
         """Keep a change, and spread it, or its version if it is large, unless that was heard."""
-        me = self.membership.me.name
+        me = self.membership.own_member.name
         heard = item.version in self.changes.parcels
-        if self._keep(item, Parcel(self.codec.pack(item), me), now, now) and not heard:
-            told = announced(item)
-            self._queue(told, Parcel(self.codec.pack(told), me), urgency, now)
+        if self._keep(item, Parcel(self.codec.encode_item(item), me), now, now) and not heard:
+            told = to_announcement(item)
+            self._queue(told, Parcel(self.codec.encode_item(told), me), urgency, now)
 
     def spread_compressed(self, version: int, asker: str, now: float) -> None:
         """Spread a compressed change: a VM had to ask for it, so others can't read it either."""
         parcel = self.changes.parcels.get(version)
         if parcel is None or version <= self.spread_version:
             return
-        item = self.codec.unpack(parcel.item).ok
+        item = self.codec.decode_item(parcel.item).ok
         if not item.packed:
             return
         self.spread_version = version
@@ -109,7 +109,7 @@
         new: list[tuple[AnyItem | None, str]] = []
         self._note_version(message)
         for parcel in message.parcels:
-            result = self.codec.unpack(parcel.item)
+            result = self.codec.decode_item(parcel.item)
             if result.is_error():
                 new.append((None, parcel.origin))
                 continue
@@ -166,7 +166,7 @@
         self.random.shuffle(entries)
         updates: list[Update] = []
         parcels: list[Parcel] = []
-        room = PACKET_SIZE - 200
+        room = PACKET_BYTES - 200
         for _, _, content in entries:
             room -= UPDATE_SIZE if isinstance(content, Update) else len(content.raw) + 20
             if room < 0:
@@ -178,7 +178,7 @@
         return updates, parcels
 
     def _state(self) -> list[tuple[str, str, Update | Mark]]:
-        members = [self.membership.me, *self.membership.live()]
+        members = [self.membership.own_member, *self.membership.live()]
         words = [update_of(m) for m in members]
         state = [(f"member {u.name}", str(u.incarnation), u) for u in words]
         return state + list(self.marks.entries())
@@ -207,7 +207,7 @@
         size = len(parcel.item) + len(parcel.origin) + PARCEL_OVERHEAD
         subject = subject_of(item, parcel.origin)
         entry = Entry(subject, urgency, parcel, size, since, limit)
-        entry.known.add(self.membership.me.name)
+        entry.known.add(self.membership.own_member.name)
         self.queue.put(entry)
         return entry
 
--- a/sequoiabridge/fleet/wire.py
+++ b/sequoiabridge/fleet/wire.py
@@ -17,15 +17,15 @@
 from .base import AnyItem, Item, Urgency
 
 WIRE_VERSION = 1
-MAC_SIZE = 16
+MAC_BYTES = 16
 """Bytes of the HMAC that are kept; half of SHA-256, the shortest length that RFC 2104 advises."""
-HEADER_SIZE = 1 + MAC_SIZE
-PACKET_SIZE = 1_200
+HEADER_BYTES = 1 + MAC_BYTES
+PACKET_BYTES = 1_200
 """Bytes up to which a frame is filled, so that it fits one TCP segment."""
-MAX_FRAME = 16_384
+MAX_FRAME_BYTES = 16_384
 """Bytes of the largest frame; only a single large configuration change comes near it."""
 MAX_KEYS = 2
-MIN_KEY = 16
+MIN_KEY_BYTES = 16
 """Bytes of the shortest key that is accepted."""
 
 
@@ -52,7 +52,7 @@
     """One `piece` of it."""
 
 
-class Bad(Enum):
+class DropReason(Enum):
     """Why a message was dropped."""
 
     TRUNCATED = "truncated"
@@ -135,8 +135,10 @@
         raise ConfigurationError(
             f"[fleet] key: give one key, or two while changing it: {len(keys)}"
         )
-    if any(len(key) < MIN_KEY for key in keys):
-        raise ConfigurationError(f"[fleet] key: a key is too short; use {MIN_KEY} bytes or more")
+    if any(len(key) < MIN_KEY_BYTES for key in keys):
+        raise ConfigurationError(
+            f"[fleet] key: a key is too short; use {MIN_KEY_BYTES} bytes or more"
+        )
 
 
 class Codec:
@@ -161,41 +163,41 @@
         body = self.encoder.encode(message)
         return bytes([WIRE_VERSION]) + sign(self.keys[0], to, body) + body
 
-    def decode(self, frame: bytes) -> Result[Message, Bad]:
+    def decode(self, frame: bytes) -> Result[Message, DropReason]:
         """Return the message of a frame, or why it must be dropped."""
-        if len(frame) > MAX_FRAME:
-            return Error(Bad.OVERSIZE)
-        if len(frame) <= HEADER_SIZE:
-            return Error(Bad.TRUNCATED)
+        if len(frame) > MAX_FRAME_BYTES:
+            return Error(DropReason.OVERSIZE)
+        if len(frame) <= HEADER_BYTES:
+            return Error(DropReason.TRUNCATED)
         if frame[0] != WIRE_VERSION:
-            return Error(Bad.UNKNOWN_VERSION)
-        mac, body = frame[1:HEADER_SIZE], frame[HEADER_SIZE:]
-        if not self._authentic(mac, body):
-            return Error(Bad.MAC)
+            return Error(DropReason.UNKNOWN_VERSION)
+        mac, body = frame[1:HEADER_BYTES], frame[HEADER_BYTES:]
+        if not self._is_authentic(mac, body):
+            return Error(DropReason.MAC)
         try:
             return Ok(self.decoder.decode(body))
         except msgspec.MsgspecError:
-            return Error(Bad.MALFORMED)
+            return Error(DropReason.MALFORMED)
 
-    def pack(self, item: Item) -> msgspec.Raw:
+    def encode_item(self, item: Item) -> msgspec.Raw:
         """Return the encoding of an item, to be put into a `Parcel`."""
         return msgspec.Raw(self.encoder.encode(item))
 
-    def unpack(self, raw: msgspec.Raw) -> Result[AnyItem, Bad]:
+    def decode_item(self, raw: msgspec.Raw) -> Result[AnyItem, DropReason]:
         """Return the item of a parcel; kinds that this version does not know are an error."""
         try:
             return Ok(self.item_decoder.decode(raw))
         except msgspec.MsgspecError:
-            return Error(Bad.UNKNOWN_ITEM)
+            return Error(DropReason.UNKNOWN_ITEM)
 
-    def _authentic(self, mac: bytes, body: bytes) -> bool:
+    def _is_authentic(self, mac: bytes, body: bytes) -> bool:
         return any(hmac.compare_digest(mac, sign(k, self.address, body)) for k in self.keys)
 
 
 def sign(key: bytes, to: str, body: bytes) -> bytes:
     """Return the truncated HMAC of a body meant for the VM that listens on `to`."""
     prefix = bytes([WIRE_VERSION]) + to.encode() + b"\0"
-    return hmac.digest(key, prefix + body, hashlib.sha256)[:MAC_SIZE]
+    return hmac.digest(key, prefix + body, hashlib.sha256)[:MAC_BYTES]
 
 
 def urgency_of(item: Item) -> Urgency:
--- a/sequoiabridge/tests/fleet/pump.py
+++ b/sequoiabridge/tests/fleet/simulation.py
@@ -1,40 +1,40 @@
-"""A message pump: fleet nodes in one process and in virtual time, with faults on the links."""
+"""Fleet nodes in one process and in virtual time, with faults on the links between them."""
 
 from random import Random
 
 from ...fleet.base import MemberState
 from ...fleet.channel import Channel
-from ...fleet.fleet import TICK, FleetNode
+from ...fleet.fleet import TICK_INTERVAL, FleetNode
 from ...timers import ManualClock, Timers
 
 KEY = b"a key of the fleet, 32 bytes long"
 STEP = 0.02
 
 
-class PumpChannel(Channel):
-    """Hands frames to the pump."""
+class SimulatedChannel(Channel):
+    """Hands frames to the simulation."""
 
-    def __init__(self, pump, address):
-        self.pump, self.address = pump, address
+    def __init__(self, simulation, address):
+        self.simulation, self.address = simulation, address
 
     def send(self, address, frame):
-        self.pump.send(self.address, address, frame)
+        self.simulation.send(self.address, address, frame)
         return True
 
     def redial(self, address):
-        self.pump.silent.discard((self.address, address))
+        self.simulation.silent.discard((self.address, address))
 
     def listen(self):
         pass
 
     async def run(self, receive):
-        raise AssertionError("the pump delivers")
+        raise AssertionError("the simulation delivers")
 
     async def close(self):
         pass
 
 
-class Pump:
+class FleetSimulation:
     """Nodes by address; `cuts` are one-way dead links, `silent` connections die until redialed."""
 
     def __init__(self, count=0, seed=1, loss=0.0, seeds=3, rate=3000):
@@ -63,35 +63,35 @@
             clock,
             Random(self.random.random()),
             self.rate,
-            channel=PumpChannel(self, address),
+            channel=SimulatedChannel(self, address),
         )
         node.clock = self.clock
         self.nodes[address] = node
-        self.next_tick[address] = self.clock.now() + self.random.uniform(0, TICK)
+        self.next_tick[address] = self.clock.now() + self.random.uniform(0, TICK_INTERVAL)
         return node
 
     def kill(self, node):
-        self.nodes.pop(node.me.address)
+        self.nodes.pop(node.own_member.address)
 
     def leave(self, node):
         """Leave on purpose and stop."""
-        node.say_goodbye()
+        node.send_leave()
         self.kill(node)
 
     def pause(self, node):
-        self.paused[node.me.address] = []
+        self.paused[node.own_member.address] = []
 
     def resume(self, node):
-        address = node.me.address
+        address = node.own_member.address
         for frame in self.paused.pop(address):
             node.receive(frame)
 
     def cut(self, group, rest, both=True):
         for a in group:
             for b in rest:
-                self.cuts.add((a.me.address, b.me.address))
+                self.cuts.add((a.own_member.address, b.own_member.address))
                 if both:
-                    self.cuts.add((b.me.address, a.me.address))
+                    self.cuts.add((b.own_member.address, a.own_member.address))
 
     def send(self, source, target, frame):
         link = (source, target)
@@ -109,7 +109,7 @@
             for address, node in list(self.nodes.items()):
                 if address in self.paused or self.clock.now() < self.next_tick[address]:
                     continue
-                self.next_tick[address] = self.clock.now() + TICK
+                self.next_tick[address] = self.clock.now() + TICK_INTERVAL
                 node.tick()
 
     def run_until(self, condition, limit):
@@ -126,8 +126,8 @@
 
     def complete(self):
         """True if every running VM knows exactly the running VMs as live."""
-        names = {n.me.name for n in self.all()}
-        return all(set(live_names(n)) | {n.me.name} == names for n in self.all())
+        names = {n.own_member.name for n in self.all()}
+        return all(set(live_names(n)) | {n.own_member.name} == names for n in self.all())
 
     def _deliver(self):
         now = self.clock.now()
@@ -152,7 +152,7 @@
 
 
 def incarnation(node):
-    return node.me.incarnation
+    return node.own_member.incarnation
 
 
 GONE = (MemberState.DEAD, MemberState.LEFT)
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -6,7 +6,7 @@
 from ...fleet.base import ConfigurationItem, DrainItem, LoadItem, Urgency
 from ...fleet.bucket import HEARTBEAT, QUEUE_LIMIT, ByteBucket, Entry, SendQueue
 from ...fleet.wire import Parcel
-from .pump import GONE, Pump, state
+from .simulation import GONE, FleetSimulation, state
 
 
 def entry(subject, urgency, size=50):
@@ -56,17 +56,17 @@
 
 
 def test_a_flood_keeps_the_rate_and_kills_nobody_and_configuration_still_gets_through():
-    pump = Pump(6)
-    pump.run(10)
-    first, *others = pump.all()
-    start = pump.clock.now(), first.counters.bytes_sent
+    simulation = FleetSimulation(6)
+    simulation.run(10)
+    first, *others = simulation.all()
+    start = simulation.clock.now(), first.counters.bytes_sent
     for second in range(20):
         for i in range(100):
             first.publish(LoadItem(f"up{i}", second, 1, False, 0), Urgency.LOAD)
             first.publish(DrainItem(f"up{i}-{second}", second), Urgency.DRAIN)
-        pump.run(1)
+        simulation.run(1)
     first.publish(ConfigurationItem(1, b"x" * 300), Urgency.CONFIGURATION)
-    assert pump.run_until(lambda: all(n.version_tracker.newest == 1 for n in others), 4)
+    assert simulation.run_until(lambda: all(n.version_tracker.newest == 1 for n in others), 4)
     spent = first.counters.bytes_sent - start[1]
-    assert spent <= 3000 * (pump.clock.now() - start[0]) + 2 * 3000
-    assert all(state(a, f"vm{i}") not in GONE for a in pump.all() for i in range(1, 7))
+    assert spent <= 3000 * (simulation.clock.now() - start[0]) + 2 * 3000
+    assert all(state(a, f"vm{i}") not in GONE for a in simulation.all() for i in range(1, 7))
--- a/sequoiabridge/tests/fleet/test_channel.py
+++ b/sequoiabridge/tests/fleet/test_channel.py
@@ -10,7 +10,7 @@
 from ...fleet.fleet import FleetNode
 from ...fleet.members import EventKind
 from ...timers import SystemClock, Timers
-from .pump import KEY, state
+from .simulation import KEY, state
 
 
 def free_address():
--- a/sequoiabridge/tests/fleet/test_stateful.py
+++ b/sequoiabridge/tests/fleet/test_stateful.py
@@ -11,7 +11,7 @@
 )
 
 from ...fleet.base import MemberState
-from .pump import GONE, Pump, incarnation, state
+from .simulation import GONE, FleetSimulation, incarnation, state
 
 COUNT = 6
 HEAL = 30
@@ -24,71 +24,75 @@
 
     @initialize(seed=st.integers(min_value=0, max_value=1000))
     def start(self, seed):
-        self.pump = Pump(COUNT, seed=seed, seeds=COUNT)
-        self.pump.run(10)
+        self.simulation = FleetSimulation(COUNT, seed=seed, seeds=COUNT)
+        self.simulation.run(10)
         self.left, self.seen = {}, {}
 
     def node(self, number):
-        return self.pump.nodes.get(f"10.0.0.{number}:7000")
+        return self.simulation.nodes.get(f"10.0.0.{number}:7000")
 
     @rule(seconds=st.integers(min_value=1, max_value=12))
     def wait(self, seconds):
-        self.pump.run(seconds)
+        self.simulation.run(seconds)
 
     @rule(number=NUMBERS)
     def kill(self, number):
         node = self.node(number)
-        if node is not None and len(self.pump.nodes) > 2:
-            self.pump.paused.pop(node.me.address, None)
-            self.pump.kill(node)
+        if node is not None and len(self.simulation.nodes) > 2:
+            self.simulation.paused.pop(node.own_member.address, None)
+            self.simulation.kill(node)
 
     @rule(number=NUMBERS)
     def leave(self, number):
         node = self.node(number)
-        if node is None or node.me.address in self.pump.paused or len(self.pump.nodes) <= 2:
+        if (
+            node is None
+            or node.own_member.address in self.simulation.paused
+            or len(self.simulation.nodes) <= 2
+        ):
             return
-        self.pump.leave(node)
-        self.left[node.me.name] = incarnation(node)
+        self.simulation.leave(node)
+        self.left[node.own_member.name] = incarnation(node)
 
     @rule(number=NUMBERS)
     def start_again(self, number):
         if self.node(number) is None:
-            self.pump.add(number)
+            self.simulation.add(number)
 
     @rule(number=NUMBERS)
     def pause(self, number):
         node = self.node(number)
-        if node is not None and node.me.address not in self.pump.paused:
-            self.pump.pause(node)
+        if node is not None and node.own_member.address not in self.simulation.paused:
+            self.simulation.pause(node)
 
     @rule(number=NUMBERS)
     def resume(self, number):
         node = self.node(number)
-        if node is not None and node.me.address in self.pump.paused:
-            self.pump.resume(node)
+        if node is not None and node.own_member.address in self.simulation.paused:
+            self.simulation.resume(node)
 
     @rule(number=NUMBERS, both=st.booleans())
     def cut(self, number, both):
-        nodes = self.pump.all()
+        nodes = self.simulation.all()
         chosen = [n for n in nodes if n is self.node(number)]
-        self.pump.cut(chosen, [n for n in nodes if n not in chosen], both)
+        self.simulation.cut(chosen, [n for n in nodes if n not in chosen], both)
 
-    @precondition(lambda self: self.pump.cuts)
+    @precondition(lambda self: self.simulation.cuts)
     @rule()
     def mend(self):
-        self.pump.cuts.clear()
+        self.simulation.cuts.clear()
 
     @rule()
     def heal_and_check(self):
-        self.pump.cuts.clear()
-        for address in list(self.pump.paused):
-            self.pump.resume(self.pump.nodes[address])
-        assert self.pump.run_until(self.pump.complete, HEAL) is not None
+        self.simulation.cuts.clear()
+        for address in list(self.simulation.paused):
+            self.simulation.resume(self.simulation.nodes[address])
+        assert self.simulation.run_until(self.simulation.complete, HEAL) is not None
 
     @invariant()
     def none_that_left_is_believed_live_without_a_newer_incarnation(self):
         for name, over in getattr(self, "left", {}).items():
-            for node in self.pump.all():
+            for node in self.simulation.all():
                 view = node.membership.roster.get(name)
                 if view is None or view.incarnation > over:
                     continue
--- a/sequoiabridge/tests/fleet/test_wire.py
+++ b/sequoiabridge/tests/fleet/test_wire.py
@@ -5,19 +5,19 @@
 
 from ...exceptions import ConfigurationError
 from ...fleet.base import CrashItem, DrainItem, MemberState, Urgency
-from ...fleet.replay import COUNT_BITS, WINDOW, Admission, ReplayGuard
+from ...fleet.replay import COUNT_BITS, REPLAY_WINDOW, Admission, ReplayGuard
 from ...fleet.wire import (
-    MAX_FRAME,
+    MAX_FRAME_BYTES,
     WIRE_VERSION,
-    Bad,
     Codec,
+    DropReason,
     Kind,
     Message,
     Update,
     parse_keys,
     sign,
 )
-from .pump import KEY, Pump, incarnation, live_names, state
+from .simulation import KEY, FleetSimulation, incarnation, live_names, state
 
 ME, OTHER = "10.0.0.1:7000", "10.0.0.2:7000"
 
@@ -34,14 +34,14 @@
 @pytest.mark.parametrize(
     ("spoil", "bad"),
     [
-        (lambda f: f[:-1] + bytes([f[-1] ^ 1]), Bad.MAC),
-        (lambda f: f[:5] + bytes([f[5] ^ 1]) + f[6:], Bad.MAC),
-        (lambda f: f[:-3], Bad.MAC),
-        (lambda f: f[:17], Bad.TRUNCATED),
-        (lambda f: b"", Bad.TRUNCATED),
-        (lambda f: f + bytes(MAX_FRAME), Bad.OVERSIZE),
-        (lambda f: bytes([WIRE_VERSION + 1]) + f[1:], Bad.UNKNOWN_VERSION),
-        (lambda f: f[:1] + sign(KEY, ME, b"\x91\x01") + b"\x91\x01", Bad.MALFORMED),
+        (lambda f: f[:-1] + bytes([f[-1] ^ 1]), DropReason.MAC),
+        (lambda f: f[:5] + bytes([f[5] ^ 1]) + f[6:], DropReason.MAC),
+        (lambda f: f[:-3], DropReason.MAC),
+        (lambda f: f[:17], DropReason.TRUNCATED),
+        (lambda f: b"", DropReason.TRUNCATED),
+        (lambda f: f + bytes(MAX_FRAME_BYTES), DropReason.OVERSIZE),
+        (lambda f: bytes([WIRE_VERSION + 1]) + f[1:], DropReason.UNKNOWN_VERSION),
+        (lambda f: f[:1] + sign(KEY, ME, b"\x91\x01") + b"\x91\x01", DropReason.MALFORMED),
     ],
 )
 def test_a_spoiled_frame_is_dropped_for_its_own_reason(spoil, bad):
@@ -51,8 +51,8 @@
 
 def test_a_frame_for_another_vm_or_under_another_key_is_dropped():
     frame = Codec([KEY], OTHER).encode(message(), ME)
-    assert Codec([KEY], "10.0.0.3:7000").decode(frame).error is Bad.MAC
-    assert Codec([b"x" * 32], ME).decode(frame).error is Bad.MAC
+    assert Codec([KEY], "10.0.0.3:7000").decode(frame).error is DropReason.MAC
+    assert Codec([b"x" * 32], ME).decode(frame).error is DropReason.MAC
 
 
 def test_keys_can_be_changed_while_the_fleet_runs():
@@ -76,12 +76,15 @@
     codec = Codec([KEY], ME)
     body = msgspec.msgpack.decode(msgspec.msgpack.encode(message()))
     body[12] = [["vm3", "10.0.0.3:7000", "dc", 9, 0, "a field more"]]
-    body[13] = [[codec.pack(NewItem("x")), "vm2", 0], [["drain", "up1", 3, True, "more"], "vm2"]]
+    body[13] = [
+        [codec.encode_item(NewItem("x")), "vm2", 0],
+        [["drain", "up1", 3, True, "more"], "vm2"],
+    ]
     raw = msgspec.msgpack.encode([*body, "a field more"])
     got = codec.decode(bytes([WIRE_VERSION]) + sign(KEY, ME, raw) + raw).ok
     assert got.updates[0].name == "vm3"
-    assert codec.unpack(got.parcels[0].item).error is Bad.UNKNOWN_ITEM
-    assert codec.unpack(got.parcels[1].item).ok == DrainItem("up1", 3)
+    assert codec.decode_item(got.parcels[0].item).error is DropReason.UNKNOWN_ITEM
+    assert codec.decode_item(got.parcels[1].item).ok == DrainItem("up1", 3)
 
 
 def test_a_sequence_number_is_taken_once_in_any_order():
@@ -89,49 +92,51 @@
     assert [guard.admit("a", session, n) for n in (10, 12, 11)] == [Admission.NEW] * 3
     assert guard.admit("a", session + 1, 11) is Admission.REPLAYED
     assert guard.admit("a", session, 10**12) is Admission.NEW
-    assert guard.admit("a", session, 10**12 - WINDOW) is Admission.REPLAYED
+    assert guard.admit("a", session, 10**12 - REPLAY_WINDOW) is Admission.REPLAYED
     assert guard.admit("a", 6 << COUNT_BITS, 1) is Admission.NEW
     assert guard.admit("a", session, 10**13) is Admission.OLD_SESSION
 
 
 def test_recorded_frames_do_nothing_to_the_same_or_a_replaced_vm():
-    pump = Pump(2)
-    pump.run(5)
-    first, second = pump.all()
+    simulation = FleetSimulation(2)
+    simulation.run(5)
+    first, second = simulation.all()
     recorded = []
-    send = pump.send
-    pump.send = lambda s, t, f: (recorded.append(f), send(s, t, f)) if t == ME else send(s, t, f)
+    send = simulation.send
+    simulation.send = lambda s, t, f: (
+        (recorded.append(f), send(s, t, f)) if t == ME else send(s, t, f)
+    )
     second.publish(CrashItem("print", "up1", 1.0), Urgency.CRASH)
-    pump.run(1)
+    simulation.run(1)
     heard = []
     first.subscribe(CrashItem, lambda item, sender: heard.append(item))
-    dropped = first.counters.bad[Bad.REPLAYED]
+    dropped = first.counters.dropped[DropReason.REPLAYED]
     for frame in recorded:
         first.receive(frame)
     assert heard == []
-    assert first.counters.bad[Bad.REPLAYED] == dropped + len(recorded)
+    assert first.counters.dropped[DropReason.REPLAYED] == dropped + len(recorded)
 
-    pump.kill(second)
-    fresh = pump.add(1)
+    simulation.kill(second)
+    fresh = simulation.add(1)
     fresh.subscribe(CrashItem, lambda item, sender: heard.append(item))
     for frame in recorded:
         fresh.receive(frame)
         assert live_names(fresh) == []
-    pump.run(20)
+    simulation.run(20)
     assert heard == []
     assert live_names(fresh) == []
 
 
 def test_an_unknown_kind_and_state_are_dropped_and_counted():
-    pump = Pump(2)
-    pump.run(5)
-    first, second = pump.all()
+    simulation = FleetSimulation(2)
+    simulation.run(5)
+    first, second = simulation.all()
     sender = second.sender
     for kind, states in ((99, []), (Kind.GOSSIP, [Update("vm9", "10.0.0.9:7000", "dc", 1, 77)])):
         sender.sequence += 1
         odd = Message(int(kind), "vm2", OTHER, "dc", incarnation(second), sender.sequence, 0)
         odd.to_incarnation, odd.updates = incarnation(first), states
         first.receive(second.codec.encode(odd, ME))
-    assert first.counters.bad[Bad.UNKNOWN_KIND] == 1
+    assert first.counters.dropped[DropReason.UNKNOWN_KIND] == 1
     assert state(first, "vm9") is None
     assert state(first, "vm2") is MemberState.ALIVE
--- a/sequoiabridge/tests/test_configuration.py
+++ b/sequoiabridge/tests/test_configuration.py
@@ -7,7 +7,7 @@
 from ..fleet.base import ConfigurationItem
 from ..store.versions import Versions
 from ..timers import Timers
-from .fleet.pump import Pump
+from .fleet.simulation import FleetSimulation
 from .store.store_fakes import system_clock_platform
 
 CHANGE = Change([SetEntry("service", "spendview", {"path_prefix": "/spend"})])
@@ -15,7 +15,7 @@
 
 def single_vm(bench):
     """Return the configuration of a fleet of one VM, and its timers."""
-    node = Pump(1).all()[0]
+    node = FleetSimulation(1).all()[0]
     configuration = ConfigurationInForce(
         Versions(bench.client(), bench.clock), node, bench.clock, lambda _: None
     )
--- a/sequoiabridge/tests/test_configuration_poll.py
+++ b/sequoiabridge/tests/test_configuration_poll.py
@@ -4,13 +4,13 @@
 
 from ..configuration import ConfigurationInForce
 from ..store.versions import Versions
-from .fleet.pump import Pump
+from .fleet.simulation import FleetSimulation
 from .store.store_fakes import system_clock_platform
 
 
 def test_poll_of_an_unavailable_table_raises_nothing_and_the_next_poll_succeeds():
     bench = system_clock_platform()
-    node = Pump(1).all()[0]
+    node = FleetSimulation(1).all()[0]
     configuration = ConfigurationInForce(
         Versions(bench.client(), bench.clock), node, bench.clock, lambda _: None
     )
--- a/sequoiabridge/tests/test_configuration_transfer.py
+++ b/sequoiabridge/tests/test_configuration_transfer.py
@@ -11,7 +11,7 @@
 from ..fleet.marks import ChangeLog
 from ..store.versions import Versions
 from ..timers import Timers
-from .fleet.pump import Pump
+from .fleet.simulation import FleetSimulation
 from .store.store_fakes import system_clock_platform
 
 SERVICE = Change([SetEntry("service", "spendview", {"path_prefix": "/spend"})])
@@ -32,10 +32,14 @@
     """VMs with real configurations and a platform in memory."""
 
     def __init__(self, count):
-        self.bench, self.pump, self.configurations = system_clock_platform(), Pump(count), []
-        for node in self.pump.all():
+        self.bench, self.simulation, self.configurations = (
+            system_clock_platform(),
+            FleetSimulation(count),
+            [],
+        )
+        for node in self.simulation.all():
             self.join(node)
-        assert self.pump.run_until(self.pump.complete, 20) is not None
+        assert self.simulation.run_until(self.simulation.complete, 20) is not None
 
     def join(self, node):
         """Add a node; return its configuration and a list of the versions that come into force."""
@@ -44,7 +48,7 @@
         configuration = ConfigurationInForce(
             versions, node, clock, lambda doc: seen.append(doc.version)
         )
-        configuration.subscribe(Timers(self.pump.clock))
+        configuration.subscribe(Timers(self.simulation.clock))
         self.configurations.append(configuration)
         return configuration, seen
 
@@ -59,7 +63,7 @@
 
     def everywhere(self, version, limit):
         """Return the seconds until a version is in force on all VMs, None if it is not."""
-        return self.pump.run_until(lambda: self.all_have(version), limit)
+        return self.simulation.run_until(lambda: self.all_have(version), limit)
 
     def all_have(self, version):
         """Run the polls that are due; return whether a version is in force on all VMs."""
@@ -75,14 +79,16 @@
     fleet = VirtualFleet(4)
     fleet.accept(SERVICE)
     assert fleet.everywhere(1, 10) is not None
-    fleet.pump.run(10)  # No message about the change is in flight any more.
-    for node in fleet.pump.all():
+    fleet.simulation.run(10)  # No message about the change is in flight any more.
+    for node in fleet.simulation.all():
         node.spreader.changes = ChangeLog()  # As after many later changes.
         node.spreader.queue.queues[Urgency.CONFIGURATION].clear()
-    node = fleet.pump.add(5)
+    node = fleet.simulation.add(5)
     configuration, seen = fleet.join(node)
     assert (
-        fleet.pump.run_until(lambda: node.version_tracker.ready(fleet.pump.clock.now()), 30)
+        fleet.simulation.run_until(
+            lambda: node.version_tracker.ready(fleet.simulation.clock.now()), 30
+        )
         is not None
     )
     assert seen == [1]
@@ -105,7 +111,7 @@
     fleet.bench.faults.down = False
     fleet.accept(upstreams(300), lost=False)
     assert fleet.everywhere(2, 10) is not None
-    assert [node.spreader.spread_version for node in fleet.pump.all()] == [0] * 4
+    assert [node.spreader.spread_version for node in fleet.simulation.all()] == [0] * 4
 
 
 def test_change_too_large_for_a_message_is_received_as_a_document_from_peers():
@@ -120,12 +126,12 @@
 
 def test_spread_counts_the_vms_on_which_a_version_is_in_force():
     fleet = VirtualFleet(3)
-    fleet.pump.cut(fleet.pump.all()[:1], fleet.pump.all()[1:])
+    fleet.simulation.cut(fleet.simulation.all()[:1], fleet.simulation.all()[1:])
     fleet.accept(SERVICE)
     assert fleet.configurations[0].count_in_force(1) == (1, 3)
-    fleet.pump.cuts.clear()
+    fleet.simulation.cuts.clear()
     assert fleet.everywhere(1, 20) is not None
-    fleet.pump.run(5)
+    fleet.simulation.run(5)
     assert fleet.configurations[0].count_in_force(1) == (3, 3)
 
 
