--- a/sequoiabridge/store/upload_chunks.py
+++ b/sequoiabridge/store/upload_chunks.py
@@ -1,4 +1,4 @@
-"""Chunks of an upload: cut from a caller's body, put in the object store, read back whole."""
+"""Splits bodies of uploads into chunks, and stores and reads chunks in the object store."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -15,26 +15,26 @@
 from .upload_table import RetryBackoff
 
 OBJECT_TIMEOUT = 30.0
-"""Seconds for one call to the object store."""
+"""Timeout in seconds of one call to the object store, except deletions."""
 
 DELETE_TIMEOUT = 5.0
-"""Seconds for one removal, which waits for all other writes; the clean-up tries again."""
+"""Timeout in seconds of one deletion; a failed one is left to the clean-up."""
 
 
 HASH_BLOCK_SIZE = 256 * 1024
-"""Bytes hashed in one go; other tasks run in between."""
+"""Bytes hashed before other tasks get to run."""
 
 
 BeforeChunkRead = Callable[[], Awaitable[None]]
-"""Called before each chunk that is read back."""
+"""Called before each chunk is read back."""
 
 
 class DeliveryAborted(CallerGone):
-    """A delivery's body ended early: a chunk is missing or damaged, or the lease was lost."""
+    """A delivery cannot go on: a chunk is missing or damaged, or the lease was lost."""
 
 
 class Piece:
-    """Bytes cut from a body, and their SHA-256."""
+    """Bytes of a body, and their SHA-256."""
 
     __slots__ = ("data", "digest")
 
@@ -44,14 +44,16 @@
 
 
 class BodyChunker:
-    """Cuts a body into pieces of a given size; holds one piece at a time.
+    """Splits a body into pieces of a given size, one piece in memory at a time.
 
-    Hashes bytes as they come and lets other tasks run between steps: a body that comes faster
-    than it is hashed would hold up all other calls, for a read that does not wait never yields.
+    Yields to other tasks after each `HASH_BLOCK_SIZE` bytes, since reads of data that has already
+    arrived do not.
 
     Attributes:
-        whole: SHA-256 of everything that was taken.
-        gone: Why the body was cut short (caller left, or was too slow), once it was.
+        unread: Bytes read from the body beyond the last piece.
+        body_hash: SHA-256 of all pieces returned so far.
+        read_error: Why the body ended early (caller gone or too slow), or None.
+        bytes_since_yield: Bytes read since other tasks last got to run.
     """
 
     __slots__ = ("body", "sleep", "unread", "body_hash", "read_error", "bytes_since_yield")
@@ -65,7 +67,7 @@
         self.read_error: CallerGone | Refusal | None = None
 
     async def next_piece(self, size: int) -> Piece:
-        """Return the next `size` bytes; fewer only at the end or when `gone` is set."""
+        """Return the next `size` bytes; fewer only at the end or when `read_error` is set."""
         parts, missing, digest = [], size, hashlib.sha256()
         while missing:
             data = self.unread or await self._read()
@@ -94,7 +96,10 @@
 
 
 class ChunkStore:
-    """Puts and reads chunks; a lost answer is settled by the name, which is written only once."""
+    """Writes and reads chunks in the object store.
+
+    A name is written only once, so a retried write that finds its name taken has succeeded.
+    """
 
     def __init__(
         self, objects: ObjectStore, new_backoff: Callable[[float], RetryBackoff], sleep=curio.sleep
@@ -104,7 +109,7 @@
         self.sleep = sleep
 
     async def put(self, upload: str, chunk: Chunk, data: bytes, deadline: float = inf) -> None:
-        """Store a chunk. Raises `StoreUnavailable` if it is not known to be stored in time."""
+        """Store a chunk. Raises `StoreUnavailable` if it is not confirmed in time."""
         name = chunk_name(upload, chunk)
         backoff = self.new_backoff(deadline)
         while True:
@@ -112,14 +117,14 @@
                 case Result(tag="ok"):
                     return
                 case Result(error=error):
-                    # The name is this writer's alone: if it is taken, an earlier try took effect.
+                    # Names are unique to a writer: if taken, an earlier attempt succeeded.
                     if error.kind is StoreErrorKind.CONDITION_FAILED:
                         return
                     if not await backoff.wait():
                         raise StoreUnavailable(f"{error.message}; resume the upload later")
 
     async def get(self, upload: str, chunk: Chunk, deadline: float = inf) -> bytes:
-        """Return a chunk's bytes, checked. Raises `UploadCut` if it is missing or damaged."""
+        """Return a chunk's bytes. Raises `DeliveryAborted` if it is missing or damaged."""
         name = chunk_name(upload, chunk)
         backoff = self.new_backoff(deadline)
         while True:
@@ -155,7 +160,7 @@
             )
 
     async def _update_hash(self, data: bytes, digest) -> None:
-        """Hash in steps, so that calls are not held up by a whole chunk."""
+        """Hash `data`, yielding to other tasks after each block."""
         view = memoryview(data)
         for start in range(0, len(data), HASH_BLOCK_SIZE):
             if start:
@@ -163,7 +168,7 @@
             digest.update(view[start : start + HASH_BLOCK_SIZE])
 
     async def list_names(self, after: str, limit: int) -> list[str]:
-        """Return up to `limit` names of chunks of all uploads, in order, over `after`."""
+        """Return up to `limit` names of chunks of all uploads, in order, greater than `after`."""
         match await self.objects.names(CHUNK_PREFIX, after, limit, OBJECT_TIMEOUT):
             case Result(tag="ok", ok=names):
                 return names
@@ -171,5 +176,5 @@
                 raise StoreUnavailable(f"{error.message}; the clean-up goes on later")
 
     async def discard(self, name: str) -> bool:
-        """Remove a chunk by its name; return whether it is known to be gone."""
+        """Delete a chunk by its name; return whether it is known to be deleted."""
         return (await self.objects.delete(name, DELETE_TIMEOUT)).is_ok()
--- a/sequoiabridge/store/upload_delivery.py
+++ b/sequoiabridge/store/upload_delivery.py
@@ -1,8 +1,8 @@
-"""Takes accepted uploads to their upstreams until one confirms each.
+"""Delivers accepted uploads to upstreams, with retries until one confirms each.
 
-A lease keeps two VMs from delivering the same upload most of the time. When it does not (a paused
-VM wakes up, a lease lapses), both deliver: the upstream tells by id and digest that it is
-the same upload. An upload counts as delivered only by a commit made after a confirmation.
+A lease normally keeps two VMs from delivering the same upload. When it expires during a delivery,
+both may deliver; the upstream recognizes the duplicate by id and digest. An upload is delivered
+once a commit after the upstream's confirmation says so.
 """
 
 from collections.abc import Awaitable, Callable
@@ -38,38 +38,43 @@
 log = get_log("uploads")
 
 LEASE_SECONDS = 30.0
-"""Seconds for which a VM has a delivery to itself; renewed by thirds while bytes move."""
+"""Duration of the lease of a delivery in seconds; renewed after each third while bytes are sent."""
 
 RETENTION_SECONDS = 7 * 86400.0
-"""Seconds for which a delivered or abandoned upload is remembered for duplicates."""
+"""Seconds for which a delivered or abandoned upload is kept to detect duplicates."""
 
 MAX_PARALLEL_DELIVERIES = 2
-"""Deliveries at a time on one VM, by default."""
+"""Default maximum number of concurrent deliveries on one VM."""
 
 INDEX_PAGE_SIZE = 100
-"""Index entries looked at in one step."""
+"""Maximum number of index entries read in one step."""
 
 READ_SIZE = 256 * 1024
-"""Bytes of a chunk that are handed on at a time."""
+"""Maximum number of bytes returned by one read of a delivery's body."""
 
 
 class DeliveryOutcome(Enum):
-    """What an attempt at a delivery came to."""
+    """Outcome of one delivery attempt."""
 
     CONFIRMED = "confirmed"
-    """The upstream took the whole body and has it for good."""
+    """The upstream received the whole body and confirmed it."""
     ALREADY_STORED = "held-already"
-    """The upstream says that it has this id with this digest; the body need not be read."""
+    """The upstream confirmed id and digest; it need not have read the body."""
     RETRY = "retry"
-    """Not confirmed; try again later."""
+    """Not confirmed; retry later."""
     CRASHED = "crashed"
-    """The upstream died while it had the upload; a second one that does stops it."""
+    """The upstream crashed during the delivery; after too many such crashes the upload is held."""
     REFUSED = "refused"
-    """The upstream will never take it; hold it for the operator."""
+    """The upstream rejected it permanently; it is held for the operator."""
 
 
 class DeliveryResult:
-    """The result of one attempt: `error` says why it was not confirmed, `upstream` who died."""
+    """Result of one delivery attempt.
+
+    Attributes:
+        error: Why the upload was not confirmed, or "".
+        upstream: Name of the upstream that crashed, or "".
+    """
 
     __slots__ = ("outcome", "error", "upstream")
 
@@ -80,13 +85,14 @@
 
 
 SendUpload = Callable[[Manifest, Body], Awaitable[DeliveryResult]]
-"""Sends a whole upload to an upstream; may raise any `SequoiaError`, which means `RETRY`."""
+"""Sends a whole upload to an upstream; a raised `SequoiaError` counts as `RETRY`."""
 
 
 class ChunkBody(Body):
-    """An upload's content, read chunk by chunk; never a clean end unless it was whole.
+    """Body of a delivery, read from the object store chunk by chunk.
 
-    Renews the lease as it goes and ends with `UploadCut` when the lease is someone else's.
+    Renews the lease while it is read. Raises `DeliveryAborted` if the lease was lost or a chunk is
+    missing or damaged, so that a partial body never looks complete.
     """
 
     __slots__ = ("deliverer", "current", "next_index", "chunk", "position", "complete")
@@ -109,7 +115,7 @@
 
     async def _load_next_chunk(self) -> bool:
         manifest = self.current.manifest
-        # Let go of the old chunk first: one is held at a time.
+        # Free the previous chunk first, to keep only one in memory.
         self.chunk, self.position = b"", 0
         if self.next_index == len(manifest.chunks):
             self.complete = True
@@ -121,7 +127,7 @@
         return True
 
     async def renew(self) -> None:
-        """Keep the lease if it is time to. Raises `UploadCut` if it is someone else's."""
+        """Renew the lease if due. Raises `DeliveryAborted` if it was lost."""
         try:
             self.current = await self.deliverer.renew(self.current, self.current.manifest.digest)
         except UploadConflict as error:
@@ -133,7 +139,10 @@
 
     Attributes:
         progress: Bytes sent of each upload that this VM is delivering, by id.
-        stopping: Set before a planned stop: begin no more deliveries.
+        stopping: Set before a planned stop; no more deliveries are started.
+        page_cursor: Index key after which the next page of uploads begins.
+        confirmed: Number of uploads delivered since the start.
+        postponed: Number of attempts that were not confirmed since the start.
     """
 
     name = "deliveries"
@@ -168,9 +177,10 @@
         return not self.progress
 
     async def step(self, now: float) -> None:
-        """Look at a page of accepted uploads and deliver those that are due; `now` is wall time.
+        """Read a page of accepted uploads and deliver those that are due.
 
-        Called each second or so, also while an earlier step still delivers.
+        Called periodically, also while an earlier step is still running; `now` is wall time in
+        seconds.
         """
         free = self.max_parallel - len(self.progress)
         if self.stopping or free <= 0:
@@ -183,25 +193,25 @@
         chosen = due[: self.max_parallel - len(self.progress)]
         for upload in chosen:
             self.progress[upload] = 0
-        # No task group: a fault in one delivery must not cancel the others.
+        # A task group would cancel the other deliveries when one raises.
         tasks = [await curio.spawn(self.deliver, upload) for upload in chosen]
         for task in tasks:
             await task.wait()
 
     async def deliver(self, upload: str) -> None:
-        """Make one attempt at one upload, if it is due."""
+        """Make one delivery attempt for an upload if it is due."""
         self.progress[upload] = 0
         try:
             current = await self._claim(upload)
             if current is not None:
                 await self._attempt(current)
         except (StoreUnavailable, UploadConflict) as error:
-            log.info("Upload %s is left for later: %s.", upload, error)
+            log.info("Delivery of upload %s is postponed: %s.", upload, error)
         finally:
             self.progress.pop(upload, None)
 
     async def renew(self, current: VersionedManifest, digest: str) -> VersionedManifest:
-        """Keep the lease, when a third of it has passed or there is a new digest to record."""
+        """Renew the lease if a third of it has passed or there is a new digest to record."""
         manifest = current.manifest
         stamp = self.uploads.new_stamp()
         if digest == manifest.digest and stamp.now < manifest.due - self.lease * 2 / 3:
@@ -212,7 +222,7 @@
         )
 
     def dump(self) -> dict:
-        """Describe deliveries that are running here, and counts since the start."""
+        """Return the deliveries that are running here, and counts since the start."""
         return {
             "sent": dict(self.progress),
             "confirmed": self.confirmed,
@@ -260,9 +270,9 @@
         await self._record_failure(body.current, result)
 
     async def _confirm(self, upload: str) -> None:
-        """Commit that it is delivered, whoever holds the lease by now, and drop the chunks.
+        """Commit that an upload is delivered, whichever VM holds the lease, and delete its chunks.
 
-        If one cannot be dropped now, the clean-up takes it and those after it.
+        The first failed deletion leaves the rest to the clean-up.
         """
         while True:
             current = await self.uploads.table.read(upload, self.uploads.retry_timeout)
@@ -275,7 +285,7 @@
             except UploadConflict:
                 continue
         self.confirmed += 1
-        log.info("Upload %s is delivered.", upload)
+        log.info("Delivered upload %s.", upload)
         for chunk in current.manifest.chunks:
             if not await self.uploads.chunks.discard(chunk_name(upload, chunk)):
                 return
@@ -283,7 +293,7 @@
     async def _record_failure(self, current: VersionedManifest, result: DeliveryResult) -> None:
         self.postponed += 1
         manifest, stamp = current.manifest, self.uploads.new_stamp()
-        log.warning("Upload %s is not delivered: %s.", manifest.id, result.error)
+        log.warning("Delivery of upload %s failed: %s.", manifest.id, result.error)
         if result.outcome is DeliveryOutcome.CRASHED:
             await self._record_crash(current, result)
             return
@@ -295,7 +305,7 @@
         await self._update(current, change)
 
     async def _record_crash(self, current: VersionedManifest, result: DeliveryResult) -> None:
-        """Commit that an upstream died of it, also if another VM holds the lease by now."""
+        """Commit that an upstream crashed on it, whichever VM holds the lease."""
         uploads, upload = self.uploads, current.manifest.id
         while current is not None and current.manifest.state in DELIVERABLE_STATES:
             stamp, delay = uploads.new_stamp(), retry_delay(current.manifest.attempts, self.random)
--- a/sequoiabridge/store/upload_index.py
+++ b/sequoiabridge/store/upload_index.py
@@ -1,7 +1,7 @@
-"""Rows and names of uploads: the manifest's row, its index entry, the names of its chunks.
+"""Rows and object names of uploads: manifests, index entries and chunks.
 
 The index has one entry for each manifest, under a prefix for its state, written by the same
-transaction. It spares deliverers and operators from reading manifests; it decides nothing.
+transaction. It serves to list uploads without reading manifests; decisions use the manifest.
 """
 
 import msgspec
@@ -33,11 +33,11 @@
 """Prefix of the names of all chunks."""
 
 DIGITS = 20
-"""Digits of the numbers in a chunk's name, so that names sort as numbers do."""
+"""Digits to which numbers in chunk names are padded, so that names sort numerically."""
 
 
 class UploadEntry(msgspec.Struct, frozen=True):
-    """An upload in the index and in lists for operators; see `Manifest` for the fields."""
+    """Index entry of an upload, also shown to operators; see `Manifest` for the fields."""
 
     id: str
     service: str
@@ -79,9 +79,9 @@
 
 
 def manifest_writes(before: Manifest | None, after: Manifest) -> list[Write]:
-    """Return the writes that take the store from one manifest to the next.
+    """Return the writes that replace manifest `before` by `after`, and its index entry.
 
-    The index entry of an open upload is not rewritten for each commit of chunks.
+    The index entry of an open upload is not rewritten when only chunks are added.
     """
     rows = [Write(MANIFEST_TABLE, after.id, msgspec.msgpack.encode(after))]
     key = index_key(after)
@@ -98,12 +98,12 @@
 
 
 def chunk_name(upload: str, chunk: Chunk) -> str:
-    """Return the object's name of a chunk: unique to one writer and its epoch."""
+    """Return the object name of a chunk, unique to one writer and its epoch."""
     return f"{CHUNK_PREFIX}{upload}/{chunk.epoch:0{DIGITS}}/{chunk.offset:0{DIGITS}}-{chunk.nonce}"
 
 
 def parse_chunk_name(name: str) -> tuple[str, int] | None:
-    """Return upload id and epoch of a chunk by its name, or None if it is no such name."""
+    """Return upload id and epoch from a chunk's name, or None if it is not a chunk name."""
     parts = name.removeprefix(CHUNK_PREFIX).split("/")
     if not name.startswith(CHUNK_PREFIX) or len(parts) != 3 or not parts[1].isdecimal():
         return None
@@ -111,11 +111,11 @@
 
 
 def is_orphan(name: str, epoch: int, manifest: Manifest | None) -> bool:
-    """Return whether a chunk can never become part of an upload, by fencing and not by age.
+    """Return whether a chunk is unused and can no longer be committed.
 
     `manifest` must have been read after the name was listed. A writer inserts its manifest before
-    its first chunk, so without a manifest the upload is gone. A chunk of the present epoch
-    of an open upload may be committed yet, however old it is.
+    its first chunk, so without a manifest the upload was removed. A chunk of the current epoch
+    of an open upload may still be committed, whatever its age.
     """
     if manifest is None or manifest.state is UploadState.DELIVERED:
         return True
--- a/sequoiabridge/store/upload_manifest.py
+++ b/sequoiabridge/store/upload_manifest.py
@@ -1,9 +1,8 @@
-"""The state machine of one spooled upload: its manifest and the changes that it allows.
+"""State machine of a spooled upload: its manifest and the allowed transitions.
 
-Pure: time, tokens and random numbers are arguments. Each change returns a new manifest, to be
-committed by a transaction on the version of the row that it was made from. Only that commit
-counts: a chunk in the object store means nothing until a manifest names it, and the chunks of a
-late writer are ignored (docs/design/uploads.md names the source).
+Pure functions: time, tokens and random numbers are arguments. Each transition returns a new
+manifest, to be committed on condition that the row's version has not changed. A chunk belongs to
+an upload only once a committed manifest refers to it (design: docs/design/uploads.md).
 """
 
 from __future__ import annotations
@@ -18,33 +17,33 @@
 from ..exceptions import SequoiaError
 
 MAX_CRASHED_UPSTREAMS = 2
-"""Upstreams that may die while they have an upload; then it is held for the operator."""
+"""Number of upstreams that crash on an upload after which it is held for the operator."""
 
 BACKOFF_BASE = 1.0
-"""Seconds until the second attempt at a delivery; doubled for each one after it."""
+"""Delay in seconds before the second delivery attempt; doubled for each further one."""
 
 BACKOFF_CAP = 300.0
-"""Seconds that a delivery waits at most between two attempts."""
+"""Maximum delay in seconds between delivery attempts."""
 
 
 class UploadConflict(SequoiaError):
-    """Another writer, deliverer or request came first, or the offset does not fit."""
+    """The upload was changed concurrently, or the request does not fit its offset or state."""
 
 
 class UploadKeyReused(SequoiaError):
-    """The key names an upload with other content, length or target."""
+    """The key or id belongs to an upload with other content, length, method or target."""
 
 
 class UploadUnknown(SequoiaError):
-    """There is no upload of this id for this caller."""
+    """The caller has no upload of this id."""
 
 
 class UploadTooLarge(SequoiaError):
-    """The upload is larger than its rule allows."""
+    """The upload exceeds the size limit of its rule."""
 
 
 class UploadState(Enum):
-    """How far an upload has come; `FAILED` is held with its content for the operator."""
+    """State of an upload; in `FAILED` it is held with its content for the operator."""
 
     OPEN = "open"
     ACCEPTED = "accepted"
@@ -55,11 +54,11 @@
 
 
 DELIVERABLE_STATES = (UploadState.ACCEPTED, UploadState.DELIVERING)
-"""States of an upload that is to be delivered."""
+"""States of an upload that is still to be delivered."""
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True):
-    """A stored piece of an upload; `digest` is its SHA-256, `nonce` makes its name unique."""
+    """A stored part of an upload; `digest` is its SHA-256, `nonce` makes its name unique."""
 
     epoch: int
     offset: int
@@ -69,19 +68,20 @@
 
 
 class Manifest(msgspec.Struct, frozen=True):
-    """One upload as the table service knows it; times are wall time in seconds.
+    """Row of one upload in the table service; times are wall time in seconds.
 
     Attributes:
-        headers: Fields that are passed on to the upstream.
-        length: Size that the caller announced, or None if it did not.
-        token: Unique to the change that wrote this row; settles a lost answer.
-        epoch: Counts the writers; only the newest can commit.
-        digest: SHA-256 of the whole in hexadecimal, or "" while it is not known.
-        holder: VM that accepted it or delivers it.
-        due: When the lease of the holder lapses, or the next attempt or clean-up is due.
-        sent: Bytes that the present delivery has sent, as last recorded.
-        error: Why the last delivery failed.
-        crashed: Upstreams that died while they had it, since it was accepted or last released.
+        headers: Header fields forwarded to the upstream.
+        length: Size in bytes announced by the caller, or None.
+        token: Unique to the change that wrote this row; identifies it after a lost answer.
+        epoch: Number of the current writer; commits of earlier writers fail.
+        digest: SHA-256 of the content in hexadecimal, or "" while it is not known.
+        holder: VM that accepted or delivers the upload.
+        due: When the holder's lease expires, or the next attempt or the clean-up is due.
+        attempts: Number of delivery attempts so far.
+        sent: Bytes sent by the current delivery attempt, as last recorded.
+        error: Why the last delivery attempt failed, or why the upload is held.
+        crashed: Upstreams that crashed during its delivery since it was accepted or released.
     """
 
     id: str
@@ -107,12 +107,12 @@
 
     @property
     def size(self) -> int:
-        """Bytes that are committed; the offset at which a writer goes on."""
+        """Number of committed bytes, which is the offset to resume at."""
         return self.chunks[-1].offset + self.chunks[-1].length if self.chunks else 0
 
 
 class Stamp:
-    """When and under which token a change is made."""
+    """Wall time in seconds and token of one change."""
 
     __slots__ = ("now", "token")
 
@@ -122,20 +122,20 @@
 
 
 def keyed_id(service: str, caller: str, key: str) -> str:
-    """Return the id of the upload that `caller` names by `key`; the same on every VM."""
+    """Return the id of a caller's upload with an idempotency key; the same on every VM."""
     scope = msgspec.msgpack.encode((service, caller, key))
     return hashlib.sha256(scope).hexdigest()[:32]
 
 
 def take_over(manifest: Manifest, stamp: Stamp) -> Manifest:
-    """Begin a new epoch for a new writer; commits of the older writers fail from then on."""
+    """Start a new epoch for a new writer, so that commits of earlier writers fail."""
     _require_state(manifest, UploadState.OPEN, UploadState.ABANDONED)
     epoch = manifest.epoch + 1
     return _change(manifest, stamp, epoch=epoch, state=UploadState.OPEN, due=0.0)
 
 
 def append_chunks(manifest: Manifest, chunks: list[Chunk], stamp: Stamp) -> Manifest:
-    """Add chunks of the present epoch that are in the object store and follow on."""
+    """Append stored chunks of the current epoch, which must be contiguous."""
     _require_state(manifest, UploadState.OPEN)
     offset = manifest.size
     for chunk in chunks:
@@ -153,7 +153,10 @@
     exclusive_seconds: float,
     stamp: Stamp,
 ) -> Manifest:
-    """Add the last chunks and accept; `vm` may deliver at once, others after `head_start`."""
+    """Append the last chunks and accept the upload.
+
+    `vm` may deliver it at once, other VMs only after `exclusive_seconds`.
+    """
     complete = append_chunks(manifest, chunks, stamp)
     if manifest.length is not None and complete.size != manifest.length:
         raise UploadConflict(f"{complete.size} of {manifest.length} bytes came; resume the upload")
@@ -162,14 +165,14 @@
 
 
 def is_claimable(manifest: Manifest, vm: str, now: float) -> bool:
-    """Return whether `vm` should deliver: a hint that saves work, never a proof."""
+    """Return whether `vm` may claim the delivery; the commit of the claim decides."""
     if manifest.state is UploadState.ACCEPTED:
         return manifest.due <= now or (manifest.holder == vm and manifest.attempts == 0)
     return manifest.state is UploadState.DELIVERING and manifest.due <= now
 
 
 def claim(manifest: Manifest, vm: str, lease: float, stamp: Stamp) -> Manifest:
-    """Take the delivery for `lease` seconds."""
+    """Claim the delivery with a lease of `lease` seconds."""
     if not is_claimable(manifest, vm, stamp.now):
         raise UploadConflict(f"upload {manifest.id} is not due; leave it to {manifest.holder}")
     return _change(
@@ -184,13 +187,13 @@
 
 
 def renew_lease(manifest: Manifest, lease: float, sent: int, digest: str, stamp: Stamp) -> Manifest:
-    """Keep the delivery for `lease` seconds more and record its progress."""
+    """Extend the lease to `lease` seconds from now and record the progress."""
     _require_state(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, due=stamp.now + lease, sent=sent, digest=digest)
 
 
 def postpone(manifest: Manifest, error: str, delay: float, stamp: Stamp) -> Manifest:
-    """Give the delivery back, to be tried again after `delay` seconds."""
+    """End the delivery attempt; the next one is due after `delay` seconds."""
     _require_state(manifest, UploadState.DELIVERING)
     due = stamp.now + delay
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=due, sent=0, error=error)
@@ -199,9 +202,10 @@
 def record_crash(
     manifest: Manifest, vm: str, upstream: str, error: str, delay: float, stamp: Stamp
 ) -> Manifest:
-    """Record that `upstream` died while `vm` delivered to it: true whoever holds the lease.
+    """Record that `upstream` crashed while `vm` delivered to it, whichever VM holds the lease.
 
-    Held after `MOST_CRASHED` upstreams. Else given back as by `postponed`, if it is still `vm`'s.
+    After `MAX_CRASHED_UPSTREAMS` the upload is held. Otherwise it is postponed if `vm` still holds
+    the lease.
     """
     _require_state(manifest, *DELIVERABLE_STATES)
     names = tuple(dict.fromkeys((*manifest.crashed, upstream)))
@@ -216,19 +220,19 @@
 
 
 def mark_failed(manifest: Manifest, error: str, stamp: Stamp) -> Manifest:
-    """Hold an upload that its upstream refuses for good; its content stays."""
+    """Hold an upload that its upstream rejected permanently; its content is kept."""
     _require_state(manifest, UploadState.DELIVERING)
     return _change(manifest, stamp, state=UploadState.FAILED, error=error, due=0.0)
 
 
 def release_failed(manifest: Manifest, stamp: Stamp) -> Manifest:
-    """Let a held upload be delivered again, by the operator's word."""
+    """Make a held upload due for delivery again, on the operator's command."""
     _require_state(manifest, UploadState.FAILED)
     return _change(manifest, stamp, state=UploadState.ACCEPTED, due=stamp.now, crashed=())
 
 
 def mark_delivered(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
-    """Record that an upstream confirmed id and digest: true whoever holds the lease."""
+    """Record that an upstream confirmed id and digest, whichever VM holds the lease."""
     _require_state(manifest, UploadState.ACCEPTED, UploadState.DELIVERING, UploadState.FAILED)
     return _change(
         manifest,
@@ -242,14 +246,14 @@
 
 
 def abandon(manifest: Manifest, retention: float, stamp: Stamp) -> Manifest:
-    """Give up an upload that was never accepted; fences a writer that is still there."""
+    """Abandon an upload that was never accepted; commits of its writer fail from then on."""
     _require_state(manifest, UploadState.OPEN)
     due = stamp.now + retention
     return _change(manifest, stamp, state=UploadState.ABANDONED, chunks=(), due=due)
 
 
 def retry_delay(attempts: int, random: Random) -> float:
-    """Return the seconds to wait after so many attempts, with jitter of a half."""
+    """Return the delay in seconds after `attempts` attempts, less a jitter of up to half."""
     delay = min(BACKOFF_CAP, BACKOFF_BASE * 2.0 ** min(attempts - 1, 16))
     return delay * random.uniform(0.5, 1.0)
 
--- a/sequoiabridge/store/upload_orphans.py
+++ b/sequoiabridge/store/upload_orphans.py
@@ -1,8 +1,8 @@
-"""Clean-up of uploads: abandoned ones, remembered ones past their time, chunks of no use.
+"""Cleans up abandoned uploads, expired records of finished ones, and orphaned chunks.
 
-A chunk is removed only when fencing proves that no commit can name it any more (`is_dead`). Age
-decides only when an upload that was never accepted is given up, and when a finished one is
-forgotten; both are conditional commits that a live writer wins or notices.
+A chunk is deleted only when no commit can refer to it any more (`is_orphan`), whatever its age.
+Age decides when an unaccepted upload is abandoned and when a finished one is removed; both are
+conditional commits, so they conflict with a concurrent writer.
 """
 
 from ..component import Component
@@ -23,14 +23,14 @@
 log = get_log("orphans")
 
 BATCH_SIZE = 50
-"""Names and entries looked at in one step."""
+"""Maximum number of chunk names, and of index entries of each prefix, processed in one step."""
 
 ABANDON_AFTER_SECONDS = 86400.0
-"""Seconds without a commit after which an upload that was not accepted is given up."""
+"""Seconds without a commit after which an unaccepted upload is abandoned."""
 
 
 class UploadCleaner(Component):
-    """Removes what no upload needs, a bounded batch at a time."""
+    """Abandons stale uploads and removes finished ones and orphaned chunks, a batch at a time."""
 
     name = "orphans"
 
@@ -51,16 +51,16 @@
         self.abandoned_uploads = 0
 
     async def step(self, now: float) -> None:
-        """Look at the next batch of each kind; `now` is wall time. Called each minute or so."""
+        """Process the next batch of each kind. Called periodically; `now` is wall time."""
         try:
             await self._abandon_stale(now)
             await self._remove_finished(now)
             await self._delete_orphan_chunks()
         except StoreUnavailable as error:
-            log.debug("Clean-up waits: %s.", error)
+            log.debug("Clean-up of uploads is postponed: %s.", error)
 
     def dump(self) -> dict:
-        """Describe what was cleaned up since the start."""
+        """Return counts of what was cleaned up since the start."""
         return {"chunks_removed": self.deleted_chunks, "uploads_abandoned": self.abandoned_uploads}
 
     async def _abandon_stale(self, now: float) -> None:
@@ -76,7 +76,7 @@
             except UploadConflict:
                 continue
             self.abandoned_uploads += 1
-            log.info("Upload %s was never finished and is given up.", entry.id)
+            log.info("Upload %s was never completed and is abandoned.", entry.id)
 
     def _is_stale(self, manifest: Manifest, now: float) -> bool:
         return manifest.state is UploadState.OPEN and manifest.updated + self.abandon_after <= now
@@ -95,7 +95,7 @@
 
     async def _delete_orphan_chunks(self) -> None:
         names = await self._next_names()
-        # The manifests are read after the names were listed: `is_dead` depends on it.
+        # `is_orphan` requires that manifests are read after the names were listed.
         manifests: dict[str, Manifest | None] = {}
         for name in names:
             owner = parse_chunk_name(name)
--- a/sequoiabridge/store/upload_table.py
+++ b/sequoiabridge/store/upload_table.py
@@ -1,4 +1,8 @@
-"""Manifests in the table service: conditional commits, and lost answers settled by the token."""
+"""Reads and commits manifests in the table service.
+
+Each commit carries a unique token: after a lost answer, reading the row back tells by its token
+whether the commit took effect.
+"""
 
 from collections.abc import Awaitable, Callable
 from math import inf
@@ -14,28 +18,28 @@
 from .upload_manifest import Manifest, UploadConflict
 
 CALL_TIMEOUT = 5.0
-"""Seconds for one call to the table service."""
+"""Timeout in seconds of one call to the table service."""
 
 LATE_CALL_TIMEOUT = 1.0
-"""Seconds for a call that is made close to a caller's deadline, or after it."""
+"""Minimum timeout in seconds of a call, also close to the caller's deadline or after it."""
 
 MIN_RETRY_DELAY = 0.05
-"""Seconds before a call is tried again; doubled each time."""
+"""Delay in seconds before the first retry; doubled for each further one."""
 
 MAX_RETRY_DELAY = 2.0
-"""Seconds between two tries at most."""
+"""Maximum delay in seconds between retries."""
 
 
 class CommitUnknown(StoreUnavailable):
-    """A commit got no answer in time: it may have taken effect or take effect later."""
+    """A commit got no answer in time; it may have taken effect, or take effect later."""
 
 
 class AcceptanceUnknown(StoreUnavailable):
-    """The accepting commit is unsettled: the upload may be accepted now, or later, or never."""
+    """The accepting commit may have taken effect, may do so later, or never."""
 
 
 class VersionedManifest:
-    """A manifest and the version of its row as this VM last knew them."""
+    """A manifest and the version of its row, as last read or written by this VM."""
 
     __slots__ = ("manifest", "version")
 
@@ -45,10 +49,11 @@
 
 
 class RetryBackoff:
-    """Pauses between tries until the time is up: `seconds` from now, or the caller's deadline.
+    """Exponential backoff for calls to the store.
 
-    After the deadline there are no more tries, but a call that answers in `LATE_CALL` is still
-    good: an upload may take longer than its window while the store answers.
+    Retries end `seconds` from now or at the caller's deadline, whichever is first. A first call is
+    still made after the deadline, with `LATE_CALL_TIMEOUT`: the deadline limits waits for a store
+    that does not answer, not the duration of an upload.
     """
 
     __slots__ = ("clock", "sleep", "deadline", "retry_until", "delay")
@@ -63,11 +68,11 @@
         self.delay = MIN_RETRY_DELAY
 
     def timeout(self, limit: float) -> float:
-        """Return the seconds that the next call may take, at most `most`."""
+        """Return the timeout in seconds of the next call, at most `limit`."""
         return min(limit, max(LATE_CALL_TIMEOUT, self.deadline - self.clock.now()))
 
     async def wait(self) -> bool:
-        """Pause; return False, without a pause, if the time is up."""
+        """Wait before the next retry; return False at once if no time is left for it."""
         if self.clock.now() + self.delay > self.retry_until:
             return False
         await self.sleep(self.delay)
@@ -76,12 +81,14 @@
 
 
 class ManifestTable:
-    """Reads and advances manifests.
+    """Reads and updates manifests by conditional transactions.
 
     Raises `UploadConflict` when another change came first, `StoreUnavailable` when nothing was
-    written, and `Unsettled` when that is not known. A commit without an answer is sent again with
-    the same token and condition: at most one of the copies can take effect, whenever it lands.
-    `patience` is how long to try, in seconds, and `deadline` the time of the caller's own.
+    written, and `CommitUnknown` when that is not known. A commit without an answer is retried with
+    the same token and condition, so at most one of the copies takes effect.
+
+    `retry_timeout` is how long calls are retried, in seconds; `deadline` is the caller's, on the
+    monotonic clock.
     """
 
     def __init__(self, tables: TableService, clock: Clock, sleep=curio.sleep):
@@ -116,12 +123,12 @@
         retry_timeout: float = 0.0,
         deadline: float = inf,
     ) -> VersionedManifest:
-        """Replace the manifest that is held by the next one."""
+        """Replace the manifest `current` by `manifest`."""
         backoff = RetryBackoff(self.clock, self.sleep, retry_timeout, deadline)
         return await self._commit(current.manifest, current.version, manifest, backoff)
 
     async def remove(self, current: VersionedManifest) -> bool:
-        """Remove a manifest if it is still as held; return whether it is known to be gone."""
+        """Remove a manifest if its row is unchanged; return whether it is known to be removed."""
         conditions = [Condition(MANIFEST_TABLE, current.manifest.id, current.version)]
         result = await self.tables.transact(
             conditions, removal_writes(current.manifest), CALL_TIMEOUT
@@ -131,7 +138,7 @@
     async def list_entries(
         self, prefix: str, after: str, limit: int
     ) -> list[tuple[str, UploadEntry]]:
-        """Return up to `limit` index entries in order with their keys, which are over `after`."""
+        """Return up to `limit` index entries with their keys, in order, after the key `after`."""
         match await self.tables.scan(INDEX_TABLE, prefix, after, limit, CALL_TIMEOUT):
             case Result(tag="ok", ok=rows):
                 return [(r.key, msgspec.msgpack.decode(r.value, type=UploadEntry)) for r in rows]
@@ -165,7 +172,7 @@
     async def _read_back_once(
         self, before: Manifest | None, after: Manifest, deadline: float
     ) -> VersionedManifest:
-        """Settle by one more read when the time is up; it may be up after a pause of this VM."""
+        """Read the row once more after the last retry to see if the commit took effect."""
         no_retries = RetryBackoff(self.clock, self.sleep, 0.0, deadline)
         row = await self._read_back(after, no_retries, may_have_committed=True)
         if _is_written(row, after):
--- a/sequoiabridge/store/upload_writer.py
+++ b/sequoiabridge/store/upload_writer.py
@@ -1,4 +1,4 @@
-"""One caller's body on its way into one upload: compare, cut, put, commit, accept."""
+"""Writes the body of one request into an upload: stores and commits chunks, then accepts it."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     from .uploads import Uploads
 
 FINAL_COMMIT_TIMEOUT = 1.0
-"""Seconds to commit what is stored after the caller has left."""
+"""Seconds for which the commit of stored chunks is retried after the caller has left."""
 
 
 class IncomingUpload:
-    """A caller's request to start, resume or look up an upload.
+    """A request of a caller to start, resume or look up an upload.
 
     Attributes:
         key: The caller's `Idempotency-Key`, or None.
         length: Size of this body in bytes, or None if it is chunked.
-        upload_id: Set when the caller names an upload that exists.
-        offset: Where this body begins; None on a start, or to look up the offset.
-        digest: SHA-256 of the whole in hexadecimal if the caller gave it, or "".
-        max_size: Bytes that the whole may have, 0 for no limit.
-        deadline: When its caller wants an answer, on the daemon's monotonic clock. It bounds waits
-            for a store that does not answer, not the upload.
+        upload_id: Id of an existing upload, or None to start one.
+        offset: Offset in the upload at which this body begins; None to start or look up one.
+        digest: SHA-256 of the whole upload in hexadecimal if the caller sent it, or "".
+        max_size: Maximum size of the whole upload in bytes, 0 for no limit.
+        deadline: Deadline of the caller, on the daemon's monotonic clock. It limits waits for a
+            store that does not answer, not the duration of the upload.
     """
 
     __slots__ = (
@@ -92,12 +92,17 @@
 
     @property
     def total_length(self) -> int | None:
-        """Size of the whole upload as far as this request tells it."""
+        """Size in bytes of the whole upload, or None if this request does not say."""
         return None if self.length is None else (self.offset or 0) + self.length
 
 
 class UploadResult:
-    """What became of a request: `offset` is the next byte that is expected."""
+    """Result of a request for an upload.
+
+    Attributes:
+        offset: Offset of the next expected byte.
+        replayed: Whether the upload had been accepted by an earlier request.
+    """
 
     __slots__ = ("id", "state", "offset", "digest", "replayed", "error")
 
@@ -111,10 +116,10 @@
 
 
 class UploadWriter:
-    """Takes a caller's body into an upload of which it holds the newest epoch.
+    """Writes a caller's body into an upload, as the writer of its current epoch.
 
-    Holds one chunk in memory. Ends by accepting the upload, or by raising with everything that
-    was stored so far committed, so that the caller can resume.
+    Keeps one chunk in memory. Either accepts the upload or raises; chunks stored until then are
+    committed if possible, so that the caller can resume.
     """
 
     def __init__(self, uploads: Uploads, current: VersionedManifest, incoming: IncomingUpload):
@@ -128,17 +133,17 @@
 
     @property
     def offset(self) -> int:
-        """The next byte that is expected, counting chunks that are stored but not committed."""
+        """Offset of the next expected byte, after stored chunks that are not committed yet."""
         last = self.pending[-1] if self.pending else None
         return last.offset + last.length if last else self.current.manifest.size
 
     async def run(self) -> UploadResult:
-        """Take the whole body and accept the upload."""
+        """Write the whole body and accept the upload."""
         await compare_body(self.chunker, self.current.manifest, self.start_offset)
         try:
             return await self._write_all()
         except curio.CancelledError:
-            # The caller left while this task waited for the store.
+            # The caller disconnected while this task waited for the store.
             async with curio.disable_cancellation():
                 await self._try_commit(FINAL_COMMIT_TIMEOUT)
             raise
@@ -202,7 +207,7 @@
         try:
             await self._commit(retry_timeout)
         except (StoreUnavailable, UploadConflict):
-            # Nothing was promised: the caller resumes from what is committed.
+            # The caller resumes from what is committed.
             return
 
     async def _accept(self) -> UploadResult:
@@ -226,7 +231,7 @@
         return UploadResult(self.current.manifest)
 
     async def _content_digest(self) -> str:
-        """SHA-256 of the whole if it is known cheaply or was announced, else ""."""
+        """Return the SHA-256 of the upload, or "" for a resumed one without an announced digest."""
         announced = self.incoming.digest
         digest = self.chunker.body_hash.hexdigest() if self.start_offset == 0 else ""
         if announced and not digest:
@@ -240,7 +245,7 @@
         return digest
 
     async def _read_accepted(self, manifest: Manifest) -> VersionedManifest:
-        """Settle a lost answer to the accepting commit after a deliverer's change on top of it."""
+        """Return the manifest if it was accepted and a deliverer has changed it since."""
         retry_timeout, deadline = self.uploads.retry_timeout, self.incoming.deadline
         try:
             latest = await self.uploads.table.read(manifest.id, retry_timeout, deadline)
@@ -256,10 +261,10 @@
 
 
 async def compare_body(chunker: BodyChunker, manifest: Manifest, start: int) -> None:
-    """Compare the body, which begins at `start`, with the chunks that are committed from there.
+    """Compare a body that begins at offset `start` with the digests of the committed chunks.
 
-    Costs no call to the store. Raises `UploadKeyReused` if they differ. `start` must be where a
-    chunk begins or the last one ends.
+    Raises `UploadKeyReused` if they differ. `start` must be the start of a chunk or the end of the
+    last one.
     """
     for chunk in manifest.chunks:
         if chunk.offset < start:
--- a/sequoiabridge/store/uploads.py
+++ b/sequoiabridge/store/uploads.py
@@ -1,7 +1,7 @@
-"""Uploads that are spooled: received into the object store, accepted by one commit.
+"""Spools uploads: stores their bodies in chunks and accepts each by one commit.
 
-An upload is accepted when the transaction that says so is proven committed, and only then is the
-caller told. `store.upload_delivery` takes it to an upstream.
+The caller gets an acceptance only after the accepting transaction is known to be committed.
+`store.upload_delivery` delivers accepted uploads to upstreams.
 """
 
 import secrets
@@ -30,29 +30,29 @@
 from .upload_writer import IncomingUpload, UploadResult, UploadWriter, compare_body
 
 CHUNK_SIZE = 4 << 20
-"""Bytes of a chunk, by default."""
+"""Default size of a chunk in bytes."""
 
 CHUNKS_PER_COMMIT = 4
-"""Chunks that are committed together, by default."""
+"""Default number of chunks that are committed together."""
 
 COMMIT_INTERVAL = 10.0
-"""Seconds after which a stored chunk is committed even if it is alone."""
+"""Maximum seconds between commits while stored chunks are pending."""
 
 START_RETRY_TIMEOUT = 1.0
-"""Seconds to settle the insert of a manifest; a store that is known to be down costs none."""
+"""Seconds for which store calls outside of a running upload are retried."""
 
 RETRY_TIMEOUT = 30.0
-"""Seconds that a running upload waits for the store before it is refused, to be resumed.
+"""Seconds for which store calls of a running upload are retried before it is refused.
 
-Its caller's deadline ends the wait before that.
+The caller's deadline may end the retries earlier. The caller can resume the upload.
 """
 
 EXCLUSIVE_SECONDS = 5.0
-"""Seconds during which only the accepting VM delivers."""
+"""Seconds after the acceptance during which only the accepting VM may deliver."""
 
 
 NONCE_BYTES = 12
-"""Random bytes in tokens, in names of chunks and in generated ids."""
+"""Random bytes in tokens, names of chunks and generated ids."""
 
 
 def _random_token() -> str:
@@ -60,11 +60,12 @@
 
 
 class Uploads(Component):
-    """Receives uploads.
+    """Receives, looks up, lists and releases uploads.
 
     Attributes:
-        receiving: How many requests are being received now.
+        receiving_count: Number of requests in progress.
         progress: Bytes stored of each upload that is being received here, by id.
+        counts: Requests by result, and chunks stored.
     """
 
     name = "uploads"
@@ -100,11 +101,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no upload is being received: a planned stop waits for it."""
+        """Whether no upload is being received; a planned stop waits for it."""
         return self.receiving_count == 0
 
     def new_stamp(self) -> Stamp:
-        """Return the time and a fresh token for one change."""
+        """Return the wall time and a new token for one change."""
         return Stamp(self.clock.wall(), self.new_token())
 
     def _new_backoff(self, deadline: float) -> RetryBackoff:
@@ -115,11 +116,12 @@
 
         Raises:
             StoreUnavailable: Nothing was accepted; the caller may resume.
-            AcceptanceUnknown: Whether it was accepted is not known yet; the caller looks it up.
-            UploadConflict: Another writer came first, or the offset does not fit.
-            UploadKeyReused: The content differs from what the key or id names.
-            UploadUnknown: No such upload of this caller.
-            CallerGone: The body was cut short; what came is kept for a resume.
+            AcceptanceUnknown: The upload may or may not be accepted; the caller may look it up.
+            UploadConflict: The upload was changed concurrently, or the offset does not fit.
+            UploadKeyReused: The request differs from the upload of this key or id.
+            UploadUnknown: The caller has no such upload.
+            UploadTooLarge: The upload exceeds the size limit of its rule.
+            CallerGone: The body ended early; stored chunks are kept so that it can be resumed.
         """
         self.receiving_count += 1
         try:
@@ -130,7 +132,7 @@
         return received
 
     async def list_undelivered(self, limit: int) -> list[UploadEntry]:
-        """Return up to `limit` uploads that are not delivered: held, waiting, then open."""
+        """Return up to `limit` undelivered uploads: held, then accepted, then open ones."""
         found: list[UploadEntry] = []
         for prefix in (HELD_PREFIX, WORK_PREFIX, OPEN_PREFIX):
             rows = await self.table.list_entries(prefix, "", limit - len(found))
@@ -140,12 +142,12 @@
         return found
 
     async def get_manifest(self, upload: str) -> Manifest | None:
-        """Return one upload in full, or None."""
+        """Return the manifest of an upload, or None."""
         current = await self.table.read(upload)
         return current.manifest if current else None
 
     async def release(self, upload: str) -> Manifest:
-        """Let an upload that is held as failed be delivered again."""
+        """Make an upload that is held as failed due for delivery again."""
         current = await self.table.read(upload)
         if current is None:
             raise UploadUnknown(f"no upload {upload}; list the uploads for its id")
@@ -153,7 +155,7 @@
         return (await self.table.update(current, manifest, START_RETRY_TIMEOUT)).manifest
 
     def dump(self) -> dict:
-        """Describe what is being received here, and counts since the start."""
+        """Return the uploads that are being received here, and counts since the start."""
         progress = dict(list(self.progress.items())[:20])
         return {"receiving": self.receiving_count, "stored": progress, "counts": dict(self.counts)}
 
@@ -209,7 +211,7 @@
     async def _take_over(
         self, current: VersionedManifest, incoming: IncomingUpload
     ) -> VersionedManifest:
-        """Fence the older writers of an upload that is not accepted yet."""
+        """Make this request the writer of an unaccepted upload, so that earlier writers fail."""
         manifest = current.manifest
         check_offset(manifest, incoming.offset or 0)
         check_same_request(manifest, incoming)
@@ -221,7 +223,7 @@
         )
 
     async def _answer_replay(self, manifest: Manifest, incoming: IncomingUpload) -> UploadResult:
-        """Answer for an upload that is accepted already, after comparing the content."""
+        """Return the result for an upload that was accepted before, after comparing the content."""
         if not incoming.digest or incoming.digest != manifest.digest:
             chunker = BodyChunker(incoming.body, self.chunks.sleep)
             await compare_body(chunker, manifest, incoming.offset or 0)
@@ -234,7 +236,7 @@
 
 
 def check_same_request(manifest: Manifest, incoming: IncomingUpload) -> None:
-    """Raise `UploadKeyReused` if a request cannot mean this upload."""
+    """Raise `UploadKeyReused` if the method, target or length differ from the upload's."""
     same = (manifest.method, manifest.target) == (incoming.method, incoming.target)
     total = incoming.total_length
     if not same or (None not in (total, manifest.length) and total != manifest.length):
@@ -244,6 +246,6 @@
 
 
 def check_offset(manifest: Manifest, start: int) -> None:
-    """Raise `UploadConflict` unless `start` is where a committed chunk begins or the last ends."""
+    """Raise `UploadConflict` unless `start` is the start of a chunk or the end of the last one."""
     if start != manifest.size and all(chunk.offset != start for chunk in manifest.chunks):
         raise UploadConflict(f"the next byte of upload {manifest.id} is {manifest.size}; resume it")
