--- a/sequoiabridge/benchmarks/configuration.py
+++ b/sequoiabridge/benchmarks/configuration.py
@@ -81,7 +81,7 @@
 def main() -> None:
     """Measure and print."""
     change = content()
-    data = Document.empty().changed(change, 1, "benchmark", 0.0).ok.encode()
+    data = Document.empty().with_change(change, 1, "benchmark", 0.0).ok.encode()
     gc.collect()
     tracemalloc.start()
     document = Document.decode(data).ok
@@ -95,10 +95,12 @@
 
     def drain(number: int) -> None:
         one = Change([upstream_entry(number, SERVICES, "yes")])
-        document.changed(one, 2, "benchmark", 0.0).ok.upstreams_of(f"service-{number % SERVICES}")
+        document.with_change(one, 2, "benchmark", 0.0).ok.upstreams_of(
+            f"service-{number % SERVICES}"
+        )
 
     change_p50, change_p99 = median_ms(drain, ROUNDS)
-    whole, _ = median_ms(lambda _: Document.empty().changed(change, 1, "benchmark", 0.0), 5)
+    whole, _ = median_ms(lambda _: Document.empty().with_change(change, 1, "benchmark", 0.0), 5)
     decode, _ = median_ms(lambda _: Document.decode(data), 5)
     encoded = len(Change([upstream_entry(1, SERVICES, "yes")]).encode())
     print(f"{SERVICES} services, {UPSTREAMS} upstreams, {len(document.rules)} rules")
--- a/sequoiabridge/benchmarks/slopes.py
+++ b/sequoiabridge/benchmarks/slopes.py
@@ -63,7 +63,7 @@
 
 def document_of(services: int, upstreams: int) -> Document:
     """Return a document of the given size."""
-    return Document.empty().changed(content(services, upstreams), 1, "slopes", 0.0).ok
+    return Document.empty().with_change(content(services, upstreams), 1, "slopes", 0.0).ok
 
 
 def traced(make: Callable[[], object]) -> tuple[object, float]:
@@ -105,7 +105,7 @@
 def drain(services: Services, number: int, size: tuple[int, int]) -> None:
     """Apply one change of one upstream to document and policy."""
     change = Change([upstream_entry(number % size[1], size[0], "yes" if number % 2 else "no")])
-    services.update(services.document.changed(change, number + 2, "slopes", 0.0).ok)
+    services.update(services.document.with_change(change, number + 2, "slopes", 0.0).ok)
 
 
 def call_slopes() -> dict[int, float]:
--- a/sequoiabridge/config/document.py
+++ b/sequoiabridge/config/document.py
@@ -1,6 +1,6 @@
 """The fleet's configuration: services, pools, upstreams and rules, under one version.
 
-A document is never changed. `changed` makes a new one that shares all untouched entries and
+A document is never changed. `with_change` makes a new one that shares all untouched entries and
 indexes with the old, so that a change costs what it touches and not what there is.
 """
 
@@ -28,7 +28,7 @@
     Attributes:
         version: 0 for the empty document; each accepted change has a higher one.
         author: Who made the last change.
-        at: When, in seconds since 1970.
+        changed_at: When, in seconds since 1970.
         services, pools, upstreams, rules: Entries by name.
         unknown: Options of entries of a kind that this release does not know, by (kind, name).
         by_address: Upstream names by address.
@@ -38,7 +38,7 @@
     __slots__ = (
         "version",
         "author",
-        "at",
+        "changed_at",
         "services",
         "pools",
         "upstreams",
@@ -54,7 +54,7 @@
     def __init__(self, version: int, author: str, at: float):
         self.version = version
         self.author = author
-        self.at = at
+        self.changed_at = at
         self.services: dict[str, Service] = {}
         self.pools: dict[str, Pool] = {}
         self.upstreams: dict[str, Upstream] = {}
@@ -132,7 +132,7 @@
         """Return the name of an upstream's service."""
         return self.pools[upstream.pool].service
 
-    def changed(
+    def with_change(
         self,
         change: Change,
         version: int,
@@ -173,7 +173,7 @@
         for (kind, name), options in sorted(self.unknown.items()):
             yield SetEntry(kind, name, options)
 
-    def merged(self, kind: str, name: str, options: dict[str, str]) -> SetEntry:
+    def merge_options(self, kind: str, name: str, options: dict[str, str]) -> SetEntry:
         """Return an entry with only the given options changed against what is there."""
         present = self.entries(kind).get(name) if kind in KINDS else None
         return SetEntry(kind, name, {**(present.options() if present else {}), **options})
@@ -185,7 +185,7 @@
     def encode(self) -> bytes:
         """Return the document as MessagePack."""
         return ENCODER.encode(
-            Snapshot(self.version, self.author, self.at, list(self.set_entries()))
+            Snapshot(self.version, self.author, self.changed_at, list(self.set_entries()))
         )
 
     @classmethod
@@ -198,14 +198,14 @@
         if found.version == 0 and not found.entries:
             return Ok(cls.empty())
         change = Change(list(found.entries))
-        return cls.empty().changed(
+        return cls.empty().with_change(
             change, found.version, found.author, found.at, committed=True, source=source
         )
 
     def dump(self) -> dict:
         """Return what the document is, in short, for the state dump."""
         counts = {kind + "s": len(self.entries(kind)) for kind in KINDS}
-        return {"version": self.version, "author": self.author, "at": self.at, **counts}
+        return {"version": self.version, "author": self.author, "at": self.changed_at, **counts}
 
 
 def covered_rules(rules: list[Rule], source: str) -> list[Problem]:
--- a/sequoiabridge/config/loading.py
+++ b/sequoiabridge/config/loading.py
@@ -36,7 +36,7 @@
         else:
             entries[kind, name] = SetEntry(kind, name, options)
     change = Change(list(entries.values()))
-    read = Document.empty().changed(change, 1, source, 0.0, source=source)
+    read = Document.empty().with_change(change, 1, source, 0.0, source=source)
     if read.is_error():
         return Error(problems + read.error)
     return Error(problems) if problems else read
--- a/sequoiabridge/configuration.py
+++ b/sequoiabridge/configuration.py
@@ -256,7 +256,7 @@
 
 def _with_change(document: Document, row: ChangeRow) -> Document:
     change = Change.decode(row.change).ok
-    changed = document.changed(change, row.version, row.author, row.at, committed=True)
+    changed = document.with_change(change, row.version, row.author, row.at, committed=True)
     return changed.ok
 
 
--- a/sequoiabridge/operators/changes.py
+++ b/sequoiabridge/operators/changes.py
@@ -66,7 +66,7 @@
     if expect > document.version:
         message = f"This VM has version {document.version} and not heard of {expect} yet; "
         return Error(ConfigurationBehind(message + "ask again in some seconds, or ask another VM."))
-    when = datetime.fromtimestamp(document.at, UTC).isoformat(timespec="seconds")
+    when = datetime.fromtimestamp(document.changed_at, UTC).isoformat(timespec="seconds")
     message = f"Version {expect} is not the newest: {document.author} set version "
     message += f"{document.version} at {when}. Look at it with "
     message += f"diff {expect} {document.version}, then give the command again."
@@ -92,14 +92,14 @@
         return Error(NotFound(f"There is no {kind} {command.name}; see show {kind}s."))
     if isinstance(command, Remove):
         return Ok(RemoveEntry(kind, command.name))
-    return Ok(document.merged(kind, command.name, options))
+    return Ok(document.merge_options(kind, command.name, options))
 
 
 def validate_change(
     document: Document, change: Change, author: str, at: float, source: str
 ) -> Result[Proposal, SequoiaError]:
     """Return the proposal if the document that it leads to is valid."""
-    new = document.changed(change, document.version + 1, author, at, source=source)
+    new = document.with_change(change, document.version + 1, author, at, source=source)
     if new.is_error():
         return Error(invalid_change(new.error))
     return Ok(Proposal(document, new.ok, diff(document, new.ok)))
--- a/sequoiabridge/tests/config/fleet.py
+++ b/sequoiabridge/tests/config/fleet.py
@@ -47,4 +47,4 @@
 
 def change(document, *entries, **more):
     """Apply one change by anna, with the next version."""
-    return document.changed(Change(list(entries)), document.version + 1, "anna", 5.0, **more)
+    return document.with_change(Change(list(entries)), document.version + 1, "anna", 5.0, **more)
--- a/sequoiabridge/tests/config/test_document.py
+++ b/sequoiabridge/tests/config/test_document.py
@@ -22,7 +22,7 @@
     assert [u.drained for u in new.upstreams_of("reports")] == [True, False]
     assert document.upstreams_of("reports") is before and not before[0].drained
     assert new.upstreams["fast-2"] is document.upstreams["fast-2"]
-    assert (new.version, new.author, new.at) == (2, "anna", 5.0)
+    assert (new.version, new.author, new.changed_at) == (2, "anna", 5.0)
     assert [new.slots_of(u) for u in before] == [3, 1]
 
 
@@ -59,7 +59,7 @@
 
 
 def test_an_older_version_is_never_made(document):
-    refused = document.changed(Change([]), document.version, "anna", 0.0)
+    refused = document.with_change(Change([]), document.version, "anna", 0.0)
     assert "not newer" in refused.error[0].wrong
 
 
@@ -97,7 +97,7 @@
     assert again.unknown == {("quota", "q"): {"calls": "7"}}
     kept = {p.key for p in again.warnings() if "understand" in p.wrong}
     assert kept == {"key", "colour", ""}
-    assert again.merged("rule", "new", {"order": "3"}).options == {**options, "order": "3"}
+    assert again.merge_options("rule", "new", {"order": "3"}).options == {**options, "order": "3"}
 
 
 def test_a_hedge_is_not_made_where_idempotence_is_not_understood(document):
--- a/sequoiabridge/tests/operators/fakes.py
+++ b/sequoiabridge/tests/operators/fakes.py
@@ -69,7 +69,7 @@
         newest = self.documents[max(self.documents)]
         if expect != newest.version:
             return Error(ConflictError(f"{newest.author} set version {newest.version}."))
-        made = newest.changed(change, newest.version + 1, author, 1_700_000_000.0)
+        made = newest.with_change(change, newest.version + 1, author, 1_700_000_000.0)
         return made.map(self._keep)
 
     def count_in_force(self, version):
