--- a/sequoiabridge/tests/store/test_upload_deliveries.py
+++ b/sequoiabridge/tests/store/test_upload_deliveries.py
@@ -16,7 +16,7 @@
     vm = world.vm("a")
     finish(vm.receive(incoming(DATA, key="k")))
     late, second = world.deliveries(vm), world.deliveries(world.vm("b"))
-    late.send, second.send = crashing("u1"), crashing("u2")
+    late.send, second.send = crash_of("u1"), crash_of("u2")
     paused = late.deliver(ID)
     while world.manifests()[0].attempts == 0:
         paused.send(None)
@@ -29,7 +29,7 @@
     world.check({ID: DATA})
 
 
-def crashing(name):
+def crash_of(name):
     async def send(manifest, body):
         return DeliveryResult(DeliveryOutcome.CRASHED, f"{name} died", name)
 
@@ -43,11 +43,11 @@
     stored, timeouts = len(world.objects.objects), []
     delete = world.objects.delete
 
-    async def busy(name, timeout):
+    async def reject_delete(name, timeout):
         timeouts.append(timeout)
         return Error(StoreError(StoreErrorKind.NOT_SENT, "no room in the share"))
 
-    world.objects.delete = busy
+    world.objects.delete = reject_delete
     finish(world.deliveries(vm).deliver(ID))
     assert world.manifests()[0].state is UploadState.DELIVERED
     assert len(timeouts) == 1 and timeouts[0] <= 5.0 and len(world.objects.objects) == stored
--- a/sequoiabridge/tests/store/test_uploads.py
+++ b/sequoiabridge/tests/store/test_uploads.py
@@ -1,4 +1,4 @@
-"""Uploads under faults at each step, judged by the store's content and the upstream's record."""
+"""Uploads with faults at each step, checked against the contents of the store and the upstream."""
 
 import curio
 import pytest
@@ -25,22 +25,22 @@
     return vm.receive(incoming(data, cut, key="k", **options))
 
 
-def test_a_vm_killed_at_each_step_of_receiving_loses_nothing():
+def test_vm_killed_at_each_step_of_receiving_loses_no_data():
     steps = 0
     while True:
         world = World()
         if not killed_after(receive(world.vm("a")), steps):
             break
         world.check(CONTENTS)
-        told = finish(receive(world.vm("b")))
-        assert told.state in (UploadState.ACCEPTED, UploadState.DELIVERING)
+        result = finish(receive(world.vm("b")))
+        assert result.state in (UploadState.ACCEPTED, UploadState.DELIVERING)
         world.recover()
         assert world.upstream.kept == CONTENTS
         steps += 1
     assert steps > 20
 
 
-def test_a_vm_killed_at_each_step_of_delivering_loses_and_halves_nothing():
+def test_vm_killed_at_each_step_of_delivering_loses_no_data():
     steps = 0
     while True:
         world = World()
@@ -57,35 +57,35 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_one_lost_answer_at_each_write_is_settled(fault):
+def test_one_store_fault_at_each_write_is_recovered(fault):
     writes = 0
     while True:
         world = World()
         vm = world.vm("a")
         tasks = [receive(vm), world.deliveries(vm).deliver(ID)]
-        hit = drive_with_fault(world, tasks, fault, writes)
+        fault_used = run_with_fault(world, tasks, fault, writes)
         world.tables.land_late()
         world.objects.land_late()
         world.check(CONTENTS)
-        if not hit:
+        if not fault_used:
             break
         assert world.upstream.kept == CONTENTS
         writes += 1
     assert writes > 10
 
 
-def drive_with_fault(world, tasks, fault, writes) -> bool:
-    """Run tasks one after the other; the fault hits the write of the given number."""
+def run_with_fault(world, tasks, fault, writes) -> bool:
+    """Run the tasks in order with a fault at the given write; return whether it took effect."""
     seen = 0
     for task in tasks:
         while True:
-            # One write at most is made between two pauses, so logs count the writes.
+            # At most one write is made between two pauses, so the logs count the writes.
             done = len(world.tables.log) + len(world.objects.tables.log)
             if done >= writes and not seen:
                 setattr(world.tables.faults, fault, 1)
                 setattr(world.objects.faults, fault, 1)
                 seen = 1
-            if seen == 1 and used(world, fault):
+            if seen == 1 and is_used_up(world, fault):
                 setattr(world.tables.faults, fault, 0)
                 setattr(world.objects.faults, fault, 0)
                 seen = 2
@@ -96,11 +96,11 @@
     return seen == 2
 
 
-def used(world, fault):
+def is_used_up(world, fault):
     return not getattr(world.tables.faults, fault) or not getattr(world.objects.faults, fault)
 
 
-def test_an_accepting_commit_that_stays_unsettled_is_not_called_not_run():
+def test_accepting_commit_without_answer_raises_acceptance_unknown():
     world = World()
     task = receive(world.vm("a", retry_timeout=1.0, chunks_per_commit=99))
     while len(world.objects.objects) < 6:
@@ -114,7 +114,7 @@
     assert world.upstream.kept == CONTENTS
 
 
-def test_a_store_that_is_down_refuses_at_once():
+def test_unavailable_store_refuses_the_upload_at_once():
     world = World()
     world.tables.faults.down = True
     vm = world.vm("a", retry_timeout=0.0)
@@ -125,19 +125,19 @@
 
 
 @pytest.mark.parametrize("chunks_per_commit", [2, 99])
-def test_a_paused_writer_wakes_at_each_step_of_the_next_one(chunks_per_commit):
-    steps, fenced, last = 0, 0, False
+def test_paused_writer_conflicts_at_each_step_of_its_successor(chunks_per_commit):
+    steps, conflicts, last = 0, 0, False
     while not last:
         world = World()
         paused = receive(world.vm("a", chunks_per_commit=chunks_per_commit), length=None)
         while len(world.objects.objects) < (3 if chunks_per_commit == 2 else 6):
             paused.send(None)
         new = receive(world.vm("b"), length=None)
-        last = not driven(new, steps)
+        last = not run_steps(new, steps)
         if len(world.manifests()[0].chunks) > 0 and world.manifests()[0].epoch == 2:
             with pytest.raises(UploadConflict):
                 finish(paused)
-            fenced += 1
+            conflicts += 1
             finish(world.orphans(world.vm("c")).step(world.clock.wall()))
             stale = [name for name in world.objects.objects if "/00000000000000000001/" in name]
             assert len(stale) == (2 if chunks_per_commit == 2 else 0)
@@ -147,11 +147,11 @@
         world.recover()
         assert world.upstream.kept == CONTENTS
         steps += 1
-    assert fenced > 5
+    assert conflicts > 5
 
 
-def driven(task, steps):
-    """Drive a task over some pauses; false if it ended."""
+def run_steps(task, steps):
+    """Run a task for `steps` pauses; return False if it ended before."""
     try:
         for _ in range(steps):
             task.send(None)
@@ -160,7 +160,7 @@
     return True
 
 
-def test_a_lost_answer_to_the_accepting_commit_is_settled_after_the_delivery():
+def test_lost_answer_to_the_accepting_commit_is_resolved_after_the_delivery():
     world = World()
     task = receive(world.vm("a", chunks_per_commit=99))
     while len(world.objects.objects) < 6:
@@ -210,14 +210,14 @@
     assert offset == 13
     resume = incoming(DATA[offset:], upload_id=ID, offset=offset)
     assert finish(other.receive(resume)).state is UploadState.ACCEPTED
-    # The answer was lost: the same resume again learns that it is accepted.
+    # After a lost answer, the same resume again is answered as accepted.
     again = finish(other.receive(incoming(DATA[offset:], upload_id=ID, offset=offset)))
     assert again.replayed
     world.recover()
     assert world.upstream.kept == CONTENTS
 
 
-def test_two_deliverers_at_once_and_one_that_wakes_up_late():
+def test_delivery_that_outlives_its_lease_does_no_harm():
     world = World()
     vm = world.vm("a")
     finish(receive(vm))
@@ -252,7 +252,7 @@
     assert world.manifests()[0].sent > 0
 
 
-def test_a_chunk_that_the_object_store_changed_is_never_sent():
+def test_corrupted_chunk_is_never_sent():
     world = World()
     vm = world.vm("a")
     finish(receive(vm))
@@ -260,9 +260,9 @@
     finish(vm.chunks.discard(name))
     finish(world.objects.put(name, b"XXXX", 1.0))
     finish(world.deliveries(vm).deliver(ID))
-    waiting = finish(vm.list_undelivered(10))[0]
-    assert world.upstream.kept == {} and waiting.state is UploadState.ACCEPTED
-    assert "damaged" in waiting.error
+    entry = finish(vm.list_undelivered(10))[0]
+    assert world.upstream.kept == {} and entry.state is UploadState.ACCEPTED
+    assert "damaged" in entry.error
 
 
 def test_a_key_and_an_id_belong_to_one_caller():
@@ -277,15 +277,15 @@
         finish(vm.receive(other))
 
 
-def test_an_upstream_that_is_down_then_loses_its_answer_gets_it_once_and_whole():
+def test_refused_connection_and_lost_answer_are_retried_without_duplicates():
     world = World()
     vm = world.vm("a")
     finish(receive(vm))
     world.upstream.down = True
     finish(world.deliveries(vm).deliver(ID))
-    waiting = finish(vm.list_undelivered(10))[0]
-    assert waiting.state is UploadState.ACCEPTED and waiting.error == "connection refused"
-    assert waiting.due > world.clock.wall()
+    entry = finish(vm.list_undelivered(10))[0]
+    assert entry.state is UploadState.ACCEPTED and entry.error == "connection refused"
+    assert entry.due > world.clock.wall()
     world.upstream.down, world.upstream.lose_answers = False, 1
     world.clock.advance(100.0)
     finish(world.deliveries(vm).deliver(ID))
@@ -294,7 +294,7 @@
     assert world.upstream.kept == CONTENTS and finish(vm.list_undelivered(10)) == []
 
 
-def test_a_refused_upload_is_held_with_its_content_until_released():
+def test_rejected_upload_is_held_with_its_content_until_released():
     world = World()
     vm = world.vm("a")
     finish(receive(vm))
@@ -322,29 +322,31 @@
 
 @pytest.mark.parametrize("before", [0, 2, 3, 5, 7, 9, 99])
 @pytest.mark.parametrize("abandon_after", [0.0, 100.0])
-def test_a_clean_up_at_any_moment_takes_nothing_from_a_live_writer(before, abandon_after):
+def test_clean_up_at_any_step_removes_nothing_of_an_active_writer(before, abandon_after):
     steps, last = 0, False
     while not last:
         world = World()
         task = receive(world.vm("a"))
-        sweep = world.orphans(world.vm("c"), abandon_after=abandon_after).step(world.clock.wall())
-        last = not driven(task, steps)
-        swept = not driven(sweep, before)
+        clean_up = world.orphans(world.vm("c"), abandon_after=abandon_after).step(
+            world.clock.wall()
+        )
+        last = not run_steps(task, steps)
+        cleaned = not run_steps(clean_up, before)
         try:
             if not last:
                 finish(task)
         except UploadConflict:
             assert abandon_after == 0.0
             finish(receive(world.vm("b")))
-        if not swept:
-            finish(sweep)
+        if not cleaned:
+            finish(clean_up)
         world.check(CONTENTS)
         world.recover()
         assert world.upstream.kept == CONTENTS
         steps += 1
 
 
-def test_an_abandoned_upload_is_given_up_its_late_writer_fenced_and_all_removed():
+def test_abandoned_upload_is_removed_and_its_late_writer_conflicts():
     world = World()
     vm = world.vm("a")
     late = receive(vm)
@@ -361,22 +363,22 @@
     assert world.objects.objects == {} and world.upstream.kept == {}
 
 
-def test_a_caller_that_leaves_while_the_store_is_slow_finds_its_chunks_again():
+def test_chunks_stored_before_the_caller_disconnects_are_kept():
     world = World()
     vm = world.vm("a", chunks_per_commit=99)
 
-    async def left():
+    async def disconnect():
         task = await curio.spawn(receive(vm))
         while len(world.objects.objects) < 3:
             await curio.sleep(0)
         await task.cancel()
 
-    curio.run(left)
+    curio.run(disconnect)
     assert finish(vm.receive(incoming(b"", upload_id=ID))).offset >= 2 * CHUNK
     assert vm.idle
 
 
-def test_a_step_delivers_several_and_one_fault_does_not_stop_the_others():
+def test_error_in_one_delivery_does_not_stop_the_others():
     world = World()
     vm = world.vm("a")
     other = finish(vm.receive(incoming(b"other", key="o"))).id
@@ -384,12 +386,12 @@
     deliveries = world.deliveries(vm)
     send = world.upstream.send
 
-    async def broken(manifest, body):
+    async def raise_for_other(manifest, body):
         if manifest.id == other:
             raise ZeroDivisionError
         return await send(manifest, body)
 
-    deliveries.send = broken
+    deliveries.send = raise_for_other
     curio.run(deliveries.step, world.clock.wall())
     assert world.upstream.kept == CONTENTS and deliveries.idle
     deliveries.send = send
--- a/sequoiabridge/tests/store/test_uploads_random.py
+++ b/sequoiabridge/tests/store/test_uploads_random.py
@@ -1,4 +1,4 @@
-"""Random interleavings of VMs, callers, deliverers, clean-ups and faults; one oracle."""
+"""Random interleavings of writers, deliverers, clean-ups and faults on several VMs."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -15,40 +15,40 @@
 STEPS = st.integers(0, 40)
 
 
-class Uploading(RuleBasedStateMachine):
-    """Tasks are driven a few pauses at a time, left for as long as chance has it, or dropped."""
+class UploadMachine(RuleBasedStateMachine):
+    """Runs tasks a few steps at a time, pauses them, or closes them as a killed VM would."""
 
     @initialize()
     def build(self):
         self.world = World()
         self.tasks = []
-        self.told = set()
+        self.accepted_ids = set()
 
     @rule(vm=VMS, key=KEYS, cut=st.one_of(st.none(), st.integers(0, 17)), steps=STEPS)
     def start(self, vm, key, cut, steps):
         data = CONTENTS[key]
         cut = None if cut is None or cut >= len(data) else cut
-        self.begin(self.told_by(self.world.vm(vm), incoming(data, cut, key=key)), steps)
+        self.start_task(self.receive(self.world.vm(vm), incoming(data, cut, key=key)), steps)
 
     @rule(vm=VMS, key=KEYS, steps=STEPS)
     def resume(self, vm, key, steps):
-        self.begin(self.resumed(self.world.vm(vm), key), steps)
+        self.start_task(self.resume_upload(self.world.vm(vm), key), steps)
 
     @rule(vm=VMS, key=KEYS, steps=STEPS)
     def deliver(self, vm, key, steps):
         upload = keyed_id("lataus", "uni", key)
-        self.begin(self.world.deliveries(self.world.vm(vm)).deliver(upload), steps)
+        self.start_task(self.world.deliveries(self.world.vm(vm)).deliver(upload), steps)
 
     @rule(vm=VMS, abandon_after=st.sampled_from([0.0, 50.0, 1e9]), steps=STEPS)
     def clean_up(self, vm, abandon_after, steps):
         orphans = self.world.orphans(self.world.vm(vm), abandon_after=abandon_after, retention=1e9)
-        self.begin(orphans.step(self.world.clock.wall()), steps)
+        self.start_task(orphans.step(self.world.clock.wall()), steps)
 
-    def begin(self, task, steps):
+    def start_task(self, task, steps):
         self.tasks.append(task)
-        self.advance(task, steps)
+        self.run_steps(task, steps)
 
-    def advance(self, task, steps):
+    def run_steps(self, task, steps):
         try:
             for _ in range(steps):
                 task.send(None)
@@ -58,12 +58,12 @@
     @rule(data=st.data(), steps=STEPS)
     def drive(self, data, steps):
         if self.tasks:
-            self.advance(data.draw(st.sampled_from(self.tasks)), steps)
+            self.run_steps(data.draw(st.sampled_from(self.tasks)), steps)
 
     @rule(data=st.data())
     def drive_to_the_end(self, data):
         if self.tasks:
-            self.advance(data.draw(st.sampled_from(self.tasks)), 10_000)
+            self.run_steps(data.draw(st.sampled_from(self.tasks)), 10_000)
 
     @rule(data=st.data())
     def kill(self, data):
@@ -92,7 +92,7 @@
         self.world.objects.land_late()
 
     @invariant()
-    def nothing_half_and_nothing_missing(self):
+    def contents_are_complete(self):
         self.world.check(BY_ID)
 
     def teardown(self):
@@ -103,8 +103,8 @@
         self.late_writes_land()
         self.world.recover()
         self.world.check(BY_ID)
-        assert self.told <= set(self.world.upstream.kept)
-        # Tasks that were paused wake up after all is over, and change nothing.
+        assert self.accepted_ids <= set(self.world.upstream.kept)
+        # Paused tasks that go on after the recovery change nothing.
         for task in self.tasks:
             try:
                 finish(task)
@@ -112,21 +112,21 @@
                 pass
         self.world.recover()
         self.world.check(BY_ID)
-        assert self.told <= set(self.world.upstream.kept)
+        assert self.accepted_ids <= set(self.world.upstream.kept)
 
-    async def told_by(self, vm, request):
+    async def receive(self, vm, request):
         received = await vm.receive(request)
         if received.state not in (UploadState.OPEN, UploadState.ABANDONED):
-            self.told.add(received.id)
+            self.accepted_ids.add(received.id)
 
-    async def resumed(self, vm, key):
+    async def resume_upload(self, vm, key):
         upload = keyed_id("lataus", "uni", key)
         found = await vm.receive(incoming(b"", upload_id=upload))
         rest = CONTENTS[key][found.offset :]
-        await self.told_by(vm, incoming(rest, upload_id=upload, offset=found.offset))
+        await self.receive(vm, incoming(rest, upload_id=upload, offset=found.offset))
 
 
-TestUploading = Uploading.TestCase
+TestUploading = UploadMachine.TestCase
 TestUploading.settings = settings(
     derandomize=True,
     max_examples=150,
