--- a/sequoiabridge/fleet/__init__.py
+++ b/sequoiabridge/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Membership and what daemons tell each other."""
+"""Fleet membership, and the exchange of state between daemons."""
--- a/sequoiabridge/fleet/base.py
+++ b/sequoiabridge/fleet/base.py
@@ -1,8 +1,8 @@
-"""What daemons tell each other, and how parts of a daemon take part in it.
+"""Items exchanged between daemons, and the interface of the fleet to other components.
 
-Messages are `msgspec` structs, encoded as MessagePack by `fleet.wire`. Unknown fields are ignored
-and unknown kinds of item are counted and dropped, so that an older daemon meets a newer one
-without harm: add fields with defaults, never change the meaning of one.
+Items are `msgspec` structs, encoded as MessagePack by `fleet.wire`. For compatibility between
+versions, unknown fields are ignored and unknown kinds of item are counted and dropped: add fields
+with defaults, and never change the meaning of a field.
 """
 
 from abc import ABC, abstractmethod
@@ -13,7 +13,7 @@
 
 
 class Urgency(IntEnum):
-    """Order in which items are paid from the daemon's byte bucket; the lowest goes first."""
+    """Send priority of an item; the lowest value is sent first."""
 
     CONFIGURATION = 0
     DRAIN = 1
@@ -24,14 +24,14 @@
 
 
 class Item(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Base of everything that is spread through the fleet."""
+    """Base class of the data that is disseminated through the fleet."""
 
 
 class ConfigurationItem(Item, frozen=True, tag="configuration"):
-    """Version `version` of the fleet's configuration is committed; `change` is its encoding.
+    """A committed version of the fleet's configuration, with its encoded change.
 
-    A large change is not spread: `change` is empty then. A VM that can't read the table fetches it
-    as `packed`, compressed; see `fleet.packing`.
+    `change` is empty for a large change, which is not disseminated. A VM that cannot read it from
+    the table fetches the compressed form, `packed`, from a peer; see `fleet.packing`.
     """
 
     version: int
@@ -40,7 +40,7 @@
 
 
 class DrainItem(Item, frozen=True, tag="drain"):
-    """An upstream is leaving (or back, if not `leaving`), by its own `incarnation`."""
+    """An `incarnation` of an upstream is draining or, if not `leaving`, accepts calls again."""
 
     upstream: str
     incarnation: int
@@ -48,10 +48,10 @@
 
 
 class CrashItem(Item, frozen=True, tag="crash"):
-    """A request with `fingerprint` was with `upstream` when that crashed, seen by one VM.
+    """A request with `fingerprint` was running on `upstream` when it crashed, as seen by one VM.
 
-    `released` marks the word that the fingerprint may run again: an operator's, or that of a VM
-    which saw such a request answered whole. `at` is the wall time of the event.
+    With `released`, the fingerprint may run again: an operator released it, or a VM received a
+    complete answer to such a request. `at` is the wall time of the event.
     """
 
     fingerprint: str
@@ -61,7 +61,7 @@
 
 
 class RetryItem(Item, frozen=True, tag="retry"):
-    """One VM's retries and successes of a service in its last counting period."""
+    """Number of a VM's retries and successes for a service in its last counting period."""
 
     vm: str
     service: str
@@ -71,9 +71,11 @@
 
 
 class LoadItem(Item, frozen=True, tag="load"):
-    """One VM's evidence on an upstream: work in flight as last reported, mean time, failures.
+    """One VM's measurements of an upstream.
 
-    `age_ms` is the report's age when the item was made.
+    `in_flight` is the number of running requests in the last load report, `latency_us` the mean
+    latency, and `suspect` whether it is suspected to have failed. `age_ms` is the age of the
+    load report when the item was created.
     """
 
     upstream: str
@@ -87,7 +89,7 @@
 
 
 class MemberState(IntEnum):
-    """What a daemon believes of another VM."""
+    """State of a VM in the membership list of a daemon."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -96,7 +98,7 @@
 
 
 class MemberView:
-    """Another VM as this one knows it; times on this daemon's clock."""
+    """Entry of a VM in the membership list; times are on the local clock."""
 
     __slots__ = ("name", "address", "data_centre", "incarnation", "state", "since", "version")
 
@@ -120,23 +122,23 @@
 
 
 class Fleet(ABC):
-    """The fleet as the other parts of a daemon see it."""
+    """Interface of the fleet to the other components of a daemon."""
 
     @abstractmethod
     def publish(self, item: AnyItem, urgency: Urgency) -> None:
-        """Spread an item through the fleet as the byte bucket allows; never blocks.
+        """Queue an item for dissemination, subject to the byte bucket; never blocks.
 
-        A newer item about the same thing takes the place of one that still waits.
+        The item replaces a queued item on the same subject.
         """
 
     @abstractmethod
     def subscribe(self, kind: type[Item], callback: Callable[[AnyItem, str], None]) -> None:
-        """Call `callback(item, sender)` for each new item of `kind` heard from another VM."""
+        """Call `callback(item, sender)` for each new item of `kind` received from another VM."""
 
     @abstractmethod
     def members(self) -> list[MemberView]:
-        """Return this VM first, then all others known."""
+        """Return all known VMs, this VM first."""
 
     @abstractmethod
     def live_count(self) -> int:
-        """Return how many VMs share the load now, this one included; at least 1."""
+        """Return the number of live VMs, including this one; at least 1."""
--- a/sequoiabridge/fleet/channel.py
+++ b/sequoiabridge/fleet/channel.py
@@ -1,9 +1,9 @@
-"""Frames between daemons over pynng, on curio.
+"""Transport of frames between daemons: pynng sockets on curio.
 
-Each daemon listens with one pull socket and dials a push socket for each VM that it sends to. A
-push socket has one peer, so a slow or silent one holds up nobody else, and a new connection to one
-VM is a matter of closing one socket. At most `MAX_CONNECTIONS` are kept, the least used goes first.
-pynng knows asyncio and trio; here the pull socket's descriptor is waited on by curio.
+Each daemon listens on one pull socket and dials one push socket per receiving VM, so that a slow
+peer does not delay the others and one connection can be replaced alone. The least recently used
+of more than `MAX_CONNECTIONS` connections is closed. pynng does not support curio, so curio waits
+on the file descriptor of the pull socket.
 """
 
 from abc import ABC, abstractmethod
@@ -21,29 +21,29 @@
 log = get_log("fleet")
 
 MAX_CONNECTIONS = 64
-"""Connections kept for sending; at 18 VMs that is all of them."""
+"""Maximum number of open outgoing connections."""
 SEND_BUFFER_FRAMES = 32
-"""Frames that wait for a connection; more are dropped."""
+"""Maximum number of frames queued per connection; further frames are dropped."""
 RECONNECT_MIN_MS, RECONNECT_MAX_MS = 100, 2_000
-"""Milliseconds between nng's attempts to connect."""
+"""Bounds of nng's reconnect backoff, in milliseconds."""
 RECEIVE_BATCH_FRAMES = 64
-"""Frames taken before other tasks get a turn."""
+"""Maximum number of frames received before yielding to other tasks."""
 FLUSH_SECONDS = 0.2
-"""Seconds given to nng to write what was sent last before the sockets are closed."""
+"""Seconds for nng to flush queued frames before the sockets are closed."""
 
 FrameHandler = Callable[[bytes], None]
 
 
 class Channel(ABC):
-    """Sends frames to addresses (IP:port) and hands over those that come in."""
+    """Sends frames to addresses (IP:port) and receives frames."""
 
     @abstractmethod
     def listen(self) -> None:
-        """Bind the address; raises `ConfigurationError` if that fails."""
+        """Bind the address; raise `ConfigurationError` if that fails."""
 
     @abstractmethod
     def send(self, address: str, frame: bytes) -> bool:
-        """Send a frame without waiting; return False if it had to be dropped."""
+        """Send a frame without blocking; return False if it was dropped."""
 
     @abstractmethod
     def redial(self, address: str) -> None:
@@ -51,22 +51,22 @@
 
     @abstractmethod
     async def run(self, receive: FrameHandler) -> None:
-        """Listen and call `receive` with each frame until cancelled."""
+        """Call `receive` with each received frame until cancelled."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Close everything after what was sent has had time to leave."""
+        """Flush sent frames for a limited time, then close all sockets."""
 
     def connections(self) -> int:
-        """Return how many connections are open for sending."""
+        """Return the number of open outgoing connections."""
         return 0
 
 
 class NngChannel(Channel):
-    """The channel over TCP by pynng.
+    """Channel over TCP, using pynng.
 
     Args:
-        address: IP and port to listen on, as the other VMs dial it.
+        address: IP:port to listen on, which the other VMs dial.
     """
 
     def __init__(self, address: str):
@@ -94,7 +94,7 @@
         except pynng.TryAgain:
             return False
         except pynng.NNGException as error:
-            log.warning("Sending to %s failed (%s); dialing again.", address, error)
+            log.warning("cannot send to peer %s (%s); reconnecting", address, error)
             self.redial(address)
             return False
         return True
@@ -126,7 +126,7 @@
         return len(self.push_sockets)
 
     def _receive_batch(self, receive: FrameHandler) -> bool:
-        """Take up to a batch of frames; return True if there may be more."""
+        """Receive up to one batch of frames; return True if more may be available."""
         for _ in range(RECEIVE_BATCH_FRAMES):
             try:
                 frame = self.pull_socket.recv(block=False)
@@ -150,7 +150,7 @@
         try:
             push.dial(f"tcp://{address}", block=False)
         except pynng.NNGException as error:
-            log.warning("Cannot dial %s (%s).", address, error)
+            log.warning("cannot connect to peer %s (%s)", address, error)
             push.close()
             return None
         self.push_sockets[address] = push
--- a/sequoiabridge/fleet/counters.py
+++ b/sequoiabridge/fleet/counters.py
@@ -1,4 +1,4 @@
-"""What the fleet's part of a daemon counts."""
+"""Traffic counters of the fleet component."""
 
 from collections import Counter
 
@@ -8,10 +8,12 @@
 
 
 class Counters:
-    """Totals since the start; bytes include the estimate of transport overhead.
+    """Totals since start; byte counts include estimated transport overhead.
 
     Attributes:
-        bytes_by_urgency: Bytes of items and updates sent, without frames and overhead.
+        not_sent: Messages that the byte bucket or the channel rejected.
+        bytes_by_urgency: Bytes of items and updates sent, excluding frames and overhead.
+        dropped: Received messages and items that were dropped, by reason.
     """
 
     __slots__ = (
@@ -34,17 +36,17 @@
         self.dropped: Counter[DropReason] = Counter()
 
     def record_sent(self, frame: bytes) -> None:
-        """Count a frame that leaves."""
+        """Count a sent frame."""
         self.messages_sent += 1
         self.bytes_sent += len(frame) + TRANSPORT_OVERHEAD
 
     def record_received(self, frame: bytes) -> None:
-        """Count a frame that came in."""
+        """Count a received frame."""
         self.messages_received += 1
         self.bytes_received += len(frame) + TRANSPORT_OVERHEAD
 
     def dump(self) -> dict:
-        """Describe the totals for the state dump and the metrics."""
+        """Return the totals for the state dump."""
         return {
             "bytes_sent": self.bytes_sent,
             "bytes_received": self.bytes_received,
--- a/sequoiabridge/fleet/fleet.py
+++ b/sequoiabridge/fleet/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet's part of the daemon: joins the state machines to the channel and the timers.
+"""Fleet component of the daemon: connects the state machines to the channel and the timers.
 
-Only the channel does I/O. With a channel of a test's own, a manual clock and a seeded random
-source, whole fleets of nodes run in one process and in virtual time.
+Only the channel does I/O. With a simulated channel, a manual clock and a seeded random source,
+tests run whole fleets in one process and in virtual time.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -30,24 +30,24 @@
 log = get_log("fleet")
 
 TICK_INTERVAL = 0.2
-"""Seconds between two ticks of the state machines."""
+"""Seconds between ticks of the state machines."""
 URGENT_FANOUT = 2
-"""Members that get urgent items at once, and again in each tick."""
+"""Maximum number of messages with urgent items per publication, received message or tick."""
 LOAD_MESSAGE_INTERVAL = 0.5
-"""Seconds between two messages that carry only what is not urgent."""
+"""Minimum seconds between messages that are sent for items of low urgency."""
 
 ItemListener = Callable[[AnyItem, str], None]
 EventListener = Callable[[Event], None]
 
 
 class FleetNode(Fleet, Component):
-    """Membership and exchange with the other daemons.
+    """Membership of this VM in the fleet, and exchange with the other daemons.
 
     Args:
-        address: IP:port to listen on, and under which the others reach this VM.
-        seeds: IP:port of some VMs of the fleet; this VM's own may be among them.
+        address: IP:port to listen on, at which the other VMs reach this one.
+        seeds: IP:port of some VMs of the fleet; may include this VM's own.
         keys: One or two keys, see `wire.parse_keys`.
-        bytes_per_second: What all messages together may take.
+        bytes_per_second: Limit for all messages to other VMs.
     """
 
     name = "fleet"
@@ -99,7 +99,7 @@
         self.subscription: Subscription | None = None
         self.receiver: curio.Task | None = None
 
-    # The interface of `Fleet`, and what else other parts ask.
+    # Interface to other components.
 
     def publish(self, item: AnyItem, urgency: Urgency) -> None:
         now = self.clock.now()
@@ -116,40 +116,40 @@
         return len(self.membership.roster.live_names) + 1
 
     def on_event(self, listener: EventListener) -> None:
-        """Call `listener` when a VM joins, is suspected, dies or leaves, and on own pauses."""
+        """Call `listener` with each membership event."""
         self.event_listeners.append(listener)
 
     def set_listed_addresses(self, addresses: Iterable[str]) -> None:
-        """Take the fleet addresses (IP:port) of the platform's VM list as read just now."""
+        """Set the fleet addresses (IP:port) of the platform's current VM list."""
         self.membership.roster.set_listed_addresses(addresses)
 
     def record_applied(self, version: int) -> bool:
-        """Note that a version is in force here; False if it is older than the one in force."""
+        """Record that a version is in force here; return False if a newer one already is."""
         if not self.version_tracker.record_applied(version, self.clock.now()):
             return False
         self.own_member.version = version
         return True
 
     def set_document_handlers(self, provider: Provider, consumer: Consumer) -> None:
-        """Let whole configurations be given to, and taken from, other VMs.
+        """Enable the transfer of whole configurations to and from other VMs.
 
         Args:
             provider: Returns the version in force and its encoding.
-            consumer: Called with a newer version and its encoding; puts it in force and calls
+            consumer: Called with a newer version and its encoding; applies it and calls
                 `record_applied`.
         """
         self.snapshots.provider, self.snapshots.consumer = provider, consumer
 
     def track(self, version: int) -> SpreadTracker:
-        """Count from now on which VMs confirm that a version is in force there."""
+        """Track which VMs confirm that a version is in force there."""
         return self.repair.track(version, self.clock.now())
 
     def count_in_force(self, version: int) -> tuple[int, int]:
-        """Return (n, m): the version is known to be in force on n of m live VMs."""
+        """Return (n, m): the version, or a newer one, is in force on n of m live VMs."""
         views = [self.own_member, *self.membership.live()]
         return sum(view.version >= version for view in views), len(views)
 
-    # Life.
+    # Life cycle.
 
     async def start(self) -> None:
         """Listen, and subscribe to the timers."""
@@ -158,7 +158,7 @@
         self.subscription = self.timers.every(TICK_INTERVAL, "fleet", self.tick)
 
     async def leave(self) -> None:
-        """Tell the others that this VM leaves on purpose, and close the channel."""
+        """Leave the fleet and close the channel."""
         self.send_leave()
         if self.subscription is not None:
             self.subscription.cancel()
@@ -167,13 +167,13 @@
         await self.channel.close()
 
     def send_leave(self) -> None:
-        """Tell some members that this VM leaves; it answers nobody from then on."""
+        """Notify some members that this VM leaves; further messages are not answered."""
         now = self.clock.now()
         for outgoing in self.membership.leave(now):
             self.sender.send(outgoing, now)
 
     def tick(self) -> None:
-        """Do what is due; the timers call this."""
+        """Run the periodic work; called by the timers."""
         now = self.clock.now()
         if self.membership.leaving:
             return
@@ -181,7 +181,7 @@
             self.sender.send(outgoing, now)
         self._process_membership_changes(now)
         roster = self.membership.roster
-        # A suspect may be on the other side of a cut, so it does not count towards a majority.
+        # A suspect may be across a network partition, so it does not count towards a majority.
         self.version_tracker.set_fleet_size(
             self.live_count() - len(roster.suspects), len(roster.expected) + 1
         )
@@ -191,7 +191,7 @@
         self._send_background(now)
 
     def receive(self, frame: bytes) -> None:
-        """Take in one frame; the channel calls this."""
+        """Process a received frame; called by the channel."""
         now = self.clock.now()
         self.counters.record_received(frame)
         result = self.codec.decode(frame)
@@ -246,7 +246,7 @@
         return False
 
     def _apply_message(self, message: Message, has_updates: bool, now: float) -> None:
-        """Take in the version and the items of a message that is no replay."""
+        """Process the version and the items of a message that passed the replay check."""
         self.version_tracker.record_peer_version(message.version, now)
         items = self.spreader.handle_message(message, now)
         for item, origin in items:
@@ -266,7 +266,7 @@
                 listener(item, origin)
 
     def _process_membership_changes(self, now: float) -> None:
-        """Queue and tell what the last step of the membership changed."""
+        """Queue the updates and publish the events of the last membership step."""
         merger = self.membership.merger
         updates, merger.pending_updates = merger.pending_updates, []
         self.spreader.queue_updates(updates, now)
@@ -286,10 +286,10 @@
         for listener in self.event_listeners:
             listener(event)
 
-    # Spreading.
+    # Dissemination.
 
     def _send_urgent(self, now: float) -> None:
-        """Send what is urgent to members that lack it, as long as the bucket pays for it."""
+        """Send urgent items to members that lack them, within the byte bucket."""
         self.bucket.refill(now)
         for _ in range(URGENT_FANOUT):
             found = self.spreader.next_target(Urgency.CRASH)
@@ -302,7 +302,7 @@
             self.sender.send(message_to(target, Kind.GOSSIP), now)
 
     def _send_background(self, now: float) -> None:
-        """Use what the bucket leaves for items that are not urgent."""
+        """Send items of low urgency if the byte bucket has room."""
         if now < self.next_background_send or self.bucket.room(Urgency.LOAD) < PACKET_BYTES:
             return
         self.next_background_send = now + LOAD_MESSAGE_INTERVAL
@@ -315,7 +315,7 @@
 
 
 def describe_member(member: MemberView, now: float) -> dict:
-    """Return a member as shown in the dump."""
+    """Return the dump entry of a member."""
     return {
         "name": member.name,
         "address": member.address,
--- a/sequoiabridge/fleet/members.py
+++ b/sequoiabridge/fleet/members.py
@@ -1,4 +1,4 @@
-"""What the membership state machine keeps and returns: options, messages, events."""
+"""Data types of the membership protocol: options, outgoing messages and events."""
 
 from enum import Enum
 
@@ -7,7 +7,19 @@
 
 
 class MembershipOptions:
-    """Times in seconds and counts of the membership protocol."""
+    """Options of the membership protocol; times are in seconds.
+
+    Attributes:
+        ping_interval: Interval between pings, and timeout of a ping.
+        ack_timeout: Time without an answer after which indirect pings are requested.
+        indirect_pings: Number of members asked to ping on behalf of this VM.
+        suspicion_timeout: Time in which a suspect can refute, before scaling with fleet size.
+        tombstone_lifetime: Time for which members that died or left are remembered.
+        unreachable_ping_interval: Interval between pings of addresses without a live member.
+        pause_threshold: Gap between ticks that counts as a pause of this process.
+        isolation_timeout: Time without any message after which unanswered pings again make
+            members suspects.
+    """
 
     __slots__ = (
         "ping_interval",
@@ -42,7 +54,7 @@
 
 
 class EventKind(Enum):
-    """What happened in the fleet, for logs and other parts."""
+    """Kind of a membership event."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -56,7 +68,7 @@
 
 
 class Event:
-    """Something that happened to the VM `name`; `detail` is for people."""
+    """Membership event of the VM `name`; `detail` is a text for the log."""
 
     __slots__ = ("kind", "name", "at", "detail")
 
@@ -68,9 +80,9 @@
 
 
 class Outgoing:
-    """A message to be sent; the edge adds sequence, version and what waits to be spread.
+    """Message to be sent; the sender adds sequence number, version, queued updates and items.
 
-    `redial` asks for a new connection, because the last message on the old one went unanswered.
+    `redial` requests a new connection, because a message on the old one was not answered.
     """
 
     __slots__ = (
@@ -112,18 +124,18 @@
     MemberState.DEAD: 2,
     MemberState.LEFT: 3,
 }
-"""Which of two words on the same incarnation wins: the higher."""
+"""Precedence of states of the same incarnation; the highest wins."""
 
 
 def update_of(member: MemberView) -> Update:
-    """Return what is told to others of a member."""
+    """Return the update that announces a member's state."""
     return Update(
         member.name, member.address, member.data_centre, member.incarnation, int(member.state)
     )
 
 
 def state_of(update: Update) -> MemberState | None:
-    """Return the state that an update names, or None if this version does not know it."""
+    """Return the state in an update, or None if this version does not define it."""
     try:
         return MemberState(update.state)
     except ValueError:
--- a/sequoiabridge/fleet/membership.py
+++ b/sequoiabridge/fleet/membership.py
@@ -1,13 +1,13 @@
-"""Membership: who shares the load now, by heartbeats, suspicion and incarnation numbers.
+"""Fleet membership: failure detection by pings, suspicion and incarnation numbers.
 
-A pure state machine after SWIM (Das, Gupta, Motivala, 2002): each period it pings one member, asks
-others to ping one that stays silent, suspects it if they fail too, and declares it dead if it
-does not contradict in time. Time, messages and the random source are arguments. Two rules differ:
+A state machine without I/O that follows SWIM (Das, Gupta, Motivala, 2002): each interval it pings
+one member, requests indirect pings if no answer arrives, marks the member as suspect if these fail
+too, and declares it dead unless it refutes in time. It differs from SWIM in two rules:
 
-- Nobody is believed alive on words that may be a recording: a message counts only if it names the
-  receiver's present incarnation. A first contact is answered, and asked back, before it counts.
-- A VM that hears from nobody suspects itself first: for a while it suspects nobody, and what it
-  concludes later it tells nobody.
+- Replay protection: a message counts as a sign of life only if it names the receiver's current
+  incarnation. A first contact is answered and pinged back before it counts.
+- Self-suspicion: a VM that receives no messages marks no member as suspect for a limited time,
+  and does not disseminate the failures that it detects later.
 """
 
 from collections.abc import Iterable
@@ -21,30 +21,30 @@
 from .wire import Kind, Message, Update
 
 LEAVE_FANOUT = 8
-"""VMs that a leaving VM tells itself; the others hear it from them."""
+"""Number of members that a leaving VM notifies directly."""
 CONTACT_FANOUT = 3
-"""VMs pinged at once after a pause, or while no live member is known."""
+"""Number of members pinged at once after a pause, or while no live member is known."""
 MASS_SUSPICION_DIVISOR = 6
-"""If one in this many live members is suspected, the cause is larger than one VM."""
+"""A mass failure is assumed if at least one in this many live members is a suspect."""
 FAST_PING_FACTOR = 3
-"""How much faster members are then pinged, to find out soon who else is gone."""
+"""Factor by which the ping interval is shortened during a mass failure."""
 ISOLATION_PERIODS = 2.0
-"""Periods without any message after which a VM tells nobody what it concludes of others."""
+"""Ping intervals without any message after which detected failures are not disseminated."""
 
 
 class Membership:
-    """The state machine.
+    """State machine of the membership protocol.
 
     Args:
         own_member: This VM; its incarnation is that of `replay.first_incarnation`.
-        seeds: Addresses (IP:port) from the settings.
+        seeds: Seed addresses (IP:port) from the settings.
 
     Attributes:
-        merger: What is believed of whom; its `changed` and `events` are taken by the owner.
-        round_trips: Names of members that answered a ping, with the time at which it was sent;
-            the owner takes and clears them.
-        stale_count: How many messages were dropped because they name none of our incarnations.
-        last_pause_seconds: Length in seconds of the last pause that this process noticed, or 0.
+        merger: Applies updates; the owner takes its `pending_updates` and `events`.
+        round_trips: Members that answered a ping, with the time the ping was sent; the owner
+            takes and clears them.
+        stale_count: Messages dropped because they name no incarnation of this session.
+        last_pause_seconds: Duration of the last detected pause of this process, or 0.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
 
     @property
     def leaving(self) -> bool:
-        """True once this VM has left on purpose."""
+        """Whether this VM has left the fleet."""
         return self.merger.leaving
 
     def live(self) -> list[MemberView]:
-        """Return the other VMs that are not known to be gone."""
+        """Return the other members that are alive or suspected."""
         return self.roster.live()
 
     def names_own_incarnation(self, message: Message) -> bool:
-        """Return True if the message names an incarnation that this process has had."""
+        """Return True if the message names an incarnation of this session."""
         return (
             self.merger.initial_incarnation <= message.to_incarnation <= self.own_member.incarnation
         )
@@ -85,7 +85,7 @@
     # Time.
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due; call this several times a period."""
+        """Return the messages that are due; call this several times per ping interval."""
         gap, self.last_tick = now - self.last_tick, now
         if self.leaving:
             return []
@@ -109,7 +109,7 @@
         return out
 
     def _ping_interval(self) -> float:
-        """Return the seconds to the next ping: fewer while many are suspected at once."""
+        """Return the seconds to the next ping, shorter during a mass failure."""
         is_mass_failure = (
             len(self.roster.suspects) * MASS_SUSPICION_DIVISOR >= len(self.roster.live_names) > 0
         )
@@ -120,7 +120,7 @@
         )
 
     def leave(self, now: float) -> list[Outgoing]:
-        """Leave on purpose: tell some members, who tell the others; ticks then do nothing."""
+        """Leave the fleet; return the messages that notify some members."""
         self.merger.leaving = True
         self.own_member.state, self.own_member.since = MemberState.LEFT, now
         update = update_of(self.own_member)
@@ -131,7 +131,10 @@
     # Messages.
 
     def handle_message(self, message: Message, now: float) -> list[Outgoing]:
-        """Take in a message whose HMAC and sequence were checked."""
+        """Process an authenticated message, and return the answers.
+
+        A message that names a current incarnation must have passed the replay check.
+        """
         if message.sender == self.own_member.name or self.leaving:
             return []
         if not self.names_own_incarnation(message):
@@ -150,14 +153,14 @@
         return out + self._handle_answer(message, now)
 
     def correct_outdated(self, message: Message) -> list[Outgoing]:
-        """Answer a process whose session is over; one whose clock is behind learns so from it."""
+        """Send a process with an outdated session its known state, so that it can advance."""
         known = self.roster.get(message.sender)
         if known is None or not self.names_own_incarnation(message) or self.leaving:
             return []
         return [reply_to(message, Kind.GOSSIP, updates=[update_of(known)])]
 
     def _handle_first_contact(self, message: Message, now: float) -> list[Outgoing]:
-        """Answer a VM that does not know our incarnation, and ask it to prove that it is live."""
+        """Answer a VM that does not know the current incarnation, and ping it back."""
         if message.kind != Kind.PING:
             self.stale_count += 1
             return []
@@ -167,7 +170,7 @@
         ]
 
     def _record_live(self, message: Message, now: float) -> None:
-        """Note that the sender is live."""
+        """Record that the sender is alive."""
         self.merger.replace_predecessor(message.address, message.sender, message.incarnation, now)
         update = Update(
             message.sender,
@@ -194,7 +197,7 @@
         out.target = message.address
         return [out]
 
-    # Silence.
+    # Failure detection.
 
     def _handle_timeout(self, pending: PendingPing, now: float) -> None:
         member = self.roster.get(pending.name)
@@ -208,7 +211,7 @@
             self.last_received_at < pending.sent_at
             and now - self.last_received_at < self.options.isolation_timeout
         ):
-            return  # Nobody was heard since: the fault may be on this side.
+            return  # No message since the ping: the fault may be local.
         self.merger.set_state(member, MemberState.SUSPECT, now, local_only=self._is_isolated(now))
 
     def _is_isolated(self, now: float) -> bool:
@@ -226,7 +229,7 @@
                 )
 
     def _ping_unreachable(self, now: float) -> list[Outgoing]:
-        """Try an address of a dead member, a seed or a listed VM, in case one is back."""
+        """Ping addresses of dead members, seeds or listed VMs, which may be up again."""
         alone = not self.roster.live_names
         self.next_unreachable_ping = now + (
             self.options.ping_interval if alone else self.options.unreachable_ping_interval
@@ -244,7 +247,7 @@
         return out
 
     def _handle_pause(self, gap: float, now: float) -> list[Outgoing]:
-        """After a pause of this process: nobody is blamed for it, and some are asked for news."""
+        """Extend suspicions by a pause of this process, and ping some members for updates."""
         self.last_pause_seconds = gap
         self.merger.record_event(EventKind.PAUSED, self.own_member.name, now, f"{gap:.1f} s")
         self.pinger.pending.clear()
--- a/sequoiabridge/fleet/packing.py
+++ b/sequoiabridge/fleet/packing.py
@@ -1,7 +1,8 @@
-"""Large changes: only their version is spread; who can't read the table fetches them compressed.
+"""Compression of large configuration changes.
 
-An older daemon does not know the field of a compressed change: to it, only the version came, and
-it reads the table.
+Only the version of a large change is disseminated. A VM that cannot read the change from the
+table fetches it compressed from a peer. Older daemons ignore the compressed field and read the
+table.
 """
 
 from bz2 import BZ2Decompressor, compress
@@ -9,15 +10,15 @@
 from .base import ConfigurationItem
 
 MAX_CHANGE_BYTES = 12_000
-"""Bytes of the largest change that is spread, and of the largest that is kept compressed."""
+"""Maximum size of a change that is disseminated, and of a compressed change that is kept."""
 COMPRESSION_LEVEL = 1
-"""Of bz2: blocks of 100 kB, which hold most changes, and little memory."""
+"""bz2 level: blocks of 100 kB, for low memory use."""
 MAX_UNPACKED_BYTES = 4_000_000
-"""Bytes of the largest change that is taken out of a compressed one."""
+"""Maximum size of a decompressed change."""
 
 
 def pack_change(item: ConfigurationItem) -> ConfigurationItem:
-    """Return an item as it is kept: whole, compressed, or only its version if that is too large."""
+    """Return an item as stored: with its change, compressed, or only its version if too large."""
     if len(item.change) <= MAX_CHANGE_BYTES:
         return item
     compressed = compress(item.change, COMPRESSION_LEVEL)
@@ -27,17 +28,17 @@
 
 
 def to_announcement(item: ConfigurationItem) -> ConfigurationItem:
-    """Return a kept item as it is spread: only the version of one that is compressed."""
+    """Return a stored item as disseminated: without its change if that is compressed."""
     return ConfigurationItem(item.version, b"") if item.packed else item
 
 
 def has_change(item: ConfigurationItem) -> bool:
-    """Return True if an item has more than its version."""
+    """Return True if an item contains its change, compressed or not."""
     return bool(item.change or item.packed)
 
 
 def unpack_change(item: ConfigurationItem) -> bytes:
-    """Return the encoded change, b"" if only the version is spread or it can't be read."""
+    """Return the encoded change, or b"" if the item has none or it cannot be decompressed."""
     if not item.packed:
         return item.change
     decompressor = BZ2Decompressor()
--- a/sequoiabridge/fleet/pinger.py
+++ b/sequoiabridge/fleet/pinger.py
@@ -1,7 +1,7 @@
-"""Pings: which member is next, which answers are awaited, and for whom.
+"""Schedules pings and matches their answers.
 
-Each live member is pinged once a round, in an order drawn anew for each round, so that a dead one
-is found within one round for certain and within about one period on average.
+Each live member is pinged once per round, in an order that is shuffled for each round, so that a
+failed member is detected in bounded time.
 """
 
 from random import Random
@@ -13,7 +13,13 @@
 
 
 class PendingPing:
-    """A ping that waits for its answer."""
+    """Ping that waits for its answer.
+
+    Attributes:
+        indirect_requested: Whether other members were asked to ping as well.
+        suspect_on_timeout: Whether the member becomes a suspect if the ping times out.
+        request: The ping request of another VM that this ping serves, if any.
+    """
 
     __slots__ = (
         "number",
@@ -49,7 +55,7 @@
         self.last_number = 0
 
     def next_member(self) -> MemberView | None:
-        """Return the live member whose turn it is."""
+        """Return the next live member of the round, or None if there is none."""
         for _ in range(2):
             while self.order:
                 member = self.roster.get(self.order.pop())
@@ -60,7 +66,7 @@
         return None
 
     def ping(self, member: MemberView, now: float, suspect_on_timeout: bool = False) -> Outgoing:
-        """Ping a known member; one that is not believed alive is told so, and can contradict."""
+        """Ping a known member; if it is not alive here, include its state so that it can refute."""
         out = self.ping_address(member.name, member.address, member.incarnation, now)
         self.pending[out.number].suspect_on_timeout = suspect_on_timeout
         if member.state is not MemberState.ALIVE:
@@ -69,7 +75,7 @@
         return out
 
     def ping_address(self, name: str, address: str, incarnation: int, now: float) -> Outgoing:
-        """Ping whoever is at an address; `name` and `incarnation` are "" and 0 if unknown."""
+        """Ping an address; `name` is "" and `incarnation` 0 if the VM there is unknown."""
         self.last_number += 1
         self.pending[self.last_number] = PendingPing(
             self.last_number, name, address, now, suspect_on_timeout=False
@@ -77,7 +83,7 @@
         return Outgoing(address, name, incarnation, Kind.PING, self.last_number)
 
     def ping_on_request(self, request: Message, now: float) -> list[Outgoing]:
-        """Ping the target of a ping request on its sender's behalf."""
+        """Ping the target of a ping request on behalf of the sender."""
         member = self.roster.find_by_address(request.target)
         if member is None:
             return []
@@ -86,7 +92,7 @@
         return [out]
 
     def match_answer(self, message: Message) -> PendingPing | None:
-        """Return the ping that a message answers and await it no more, or None."""
+        """Remove and return the pending ping that a message answers, or None."""
         pending = self.pending.get(message.number)
         if pending is None:
             return None
@@ -97,7 +103,7 @@
         return self.pending.pop(message.number)
 
     def expire(self, now: float) -> tuple[list[Outgoing], list[PendingPing]]:
-        """Return what to send for pings that are late, and those that are given up."""
+        """Return the messages for late pings, and the pings that timed out."""
         out: list[Outgoing] = []
         expired: list[PendingPing] = []
         for pending in list(self.pending.values()):
@@ -114,7 +120,7 @@
         return out, expired
 
     def _request_indirect_pings(self, pending: PendingPing) -> list[Outgoing]:
-        """Ping it again on a new connection, and ask others to ping it."""
+        """Retry a ping on a new connection, and request indirect pings from other members."""
         member = self.roster.get(pending.name)
         if member is None:
             return []
@@ -135,7 +141,7 @@
     target: str = "",
     updates: list[Update] | None = None,
 ) -> Outgoing:
-    """Return a message for a known member."""
+    """Return a message to a known member."""
     incarnation = member.incarnation
     return Outgoing(member.address, member.name, incarnation, kind, number, target, updates)
 
@@ -143,7 +149,7 @@
 def reply_to(
     message: Message, kind: Kind, number: int = 0, updates: list[Update] | None = None
 ) -> Outgoing:
-    """Return an answer to a message; on a new connection if its sender missed the last one."""
+    """Return an answer to a message, on a new connection if the message is a retry."""
     out = Outgoing(message.address, message.sender, message.incarnation, kind, number)
     out.updates = updates or []
     out.redial = message.retry
--- a/sequoiabridge/fleet/replay.py
+++ b/sequoiabridge/fleet/replay.py
@@ -1,19 +1,20 @@
-"""Incarnation numbers, and the window that drops a message that was seen before.
+"""Incarnation numbers, and replay protection by a sliding window of sequence numbers.
 
-An incarnation is the wall time of the process's start in milliseconds, shifted left, plus one for
-each time that the process had to contradict a rumour of its death. So a replacement counts higher
-than the process it replaces, without a disk. The upper part is called the session.
+The upper bits of an incarnation, the session, are the start time of the process in milliseconds;
+the lower bits count its refutations. A replacement thus gets a higher incarnation than its
+predecessor without stored state.
 """
 
 from collections import OrderedDict
 from enum import Enum
 
 COUNT_BITS = 10
-"""Bits of an incarnation that count refutations within one session."""
+"""Bits of an incarnation that count the refutations in one session."""
 REPLAY_WINDOW = 1_024
-"""How many sequence numbers below the highest are still told apart."""
+"""Sequence numbers below the highest that are tracked; lower ones count as replayed."""
 REPLAY_WINDOW_MASK = (1 << REPLAY_WINDOW) - 1
 MAX_SENDERS = 4_096
+"""Maximum number of senders that are tracked."""
 
 
 def first_incarnation(wall: float) -> int:
@@ -22,26 +23,26 @@
 
 
 def session_of(incarnation: int) -> int:
-    """Return the part of an incarnation that is fixed for a process."""
+    """Return the session of an incarnation."""
     return incarnation >> COUNT_BITS
 
 
 def next_session(incarnation: int) -> int:
-    """Return the lowest incarnation of a session above that of `incarnation`."""
+    """Return the first incarnation of the session after that of `incarnation`."""
     return (session_of(incarnation) + 1) << COUNT_BITS
 
 
 class Admission(Enum):
-    """What a sequence number says of a message."""
+    """Result of the replay check of a message."""
 
     NEW = "new"
     REPLAYED = "replayed"
     OLD_SESSION = "old-session"
-    """From a process that a younger one has replaced, or from one whose clock is behind."""
+    """From a replaced process, or from a new process whose clock is behind."""
 
 
 class ReplayGuard:
-    """Remembers for each sender which sequence numbers of its session were seen."""
+    """Tracks the sequence numbers received in the latest session of each sender."""
 
     __slots__ = ("senders",)
 
@@ -49,7 +50,7 @@
         self.senders: OrderedDict[str, tuple[int, int, int]] = OrderedDict()
 
     def admit(self, sender: str, incarnation: int, sequence: int) -> Admission:
-        """Return `NEW` the first time that a message is seen, and note it."""
+        """Record a sequence number; return `NEW` if it was not received before."""
         session = session_of(incarnation)
         known, highest, seen = self.senders.get(sender, (-1, 0, 0))
         if session < known:
--- a/sequoiabridge/fleet/roster.py
+++ b/sequoiabridge/fleet/roster.py
@@ -1,7 +1,7 @@
-"""The table of known VMs, with the addresses at which lost ones are looked for.
+"""Table of known VMs, and the addresses of VMs that are expected in the fleet.
 
-It also keeps how many VMs there should be. A VM counts until it left, or until it is dead and a
-VM list read since then omits it: a part that was cut off must not take itself for the whole.
+A VM is expected until it leaves, or until it is dead and the platform's VM list omits it, so that
+one side of a network partition does not count as the whole fleet.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 
 class Roster:
-    """Members by name, with what is derived from them kept up to date."""
+    """Members by name, with indexes by address and state."""
 
     def __init__(self, own_member: MemberView, seeds: Iterable[str], options: MembershipOptions):
         self.own_member = own_member
@@ -27,7 +27,7 @@
         self.expected: set[str] = set(self.seeds)
 
     def get(self, name: str) -> MemberView | None:
-        """Return the member of that name, live or gone."""
+        """Return the member with a name, in any state."""
         return self.members.get(name)
 
     def find_by_address(self, address: str) -> MemberView | None:
@@ -39,11 +39,11 @@
         return [self.members[name] for name in self.live_names]
 
     def suspicion_timeout(self) -> float:
-        """Return the seconds that a suspect has to contradict, longer in a larger fleet."""
+        """Return the seconds in which a suspect can refute; grows with fleet size."""
         return self.options.suspicion_timeout * max(1.0, math.log10(len(self.live_names) + 2))
 
     def update(self, update: Update, state: MemberState, now: float) -> None:
-        """Set what is known of a member."""
+        """Add or replace a member; its configuration version is kept."""
         known = self.members.get(update.name)
         if known is not None and known.address != update.address:
             self._remove_address(known)
@@ -61,7 +61,7 @@
         self._index(member)
 
     def set_listed_addresses(self, addresses: Iterable[str]) -> None:
-        """Take the platform's VM list as places to look; it neither kills nor keeps anyone."""
+        """Set the addresses of the platform's VM list; this changes no member's state."""
         self.listed_addresses = {
             address for address in addresses if address != self.own_member.address
         }
@@ -72,14 +72,14 @@
                 self.expected.discard(address)
 
     def unreachable_addresses(self) -> list[str]:
-        """Return where no live member is known but one may be, in a fixed order."""
+        """Return the known addresses without a live member, sorted."""
         dead = {m.address for m in self.members.values() if m.state is MemberState.DEAD}
         candidates = self.seeds | self.listed_addresses | dead | self.expected
         live = {self.members[name].address for name in self.live_names}
         return sorted(candidates - live - {self.own_member.address})
 
     def remove_expired(self, now: float) -> None:
-        """Drop tombstones that are older than their time."""
+        """Remove dead and left members whose tombstone has expired."""
         for name, member in list(self.members.items()):
             if member.state in LIVE_STATES or now - member.since < self.options.tombstone_lifetime:
                 continue
--- a/sequoiabridge/fleet/sender.py
+++ b/sequoiabridge/fleet/sender.py
@@ -1,4 +1,4 @@
-"""Builds, pays for, signs and sends messages; what waits for their receiver rides on them."""
+"""Builds, signs and sends messages, with queued updates and items, within the byte bucket."""
 
 from .base import MemberView
 from .bucket import HEARTBEAT, TRANSPORT_OVERHEAD, ByteBucket
@@ -10,11 +10,11 @@
 from .wire import HEADER_BYTES, PACKET_BYTES, Codec, Message
 
 EMPTY_MESSAGE_BYTES = 130
-"""Bytes of a message that carries nothing, an estimate."""
+"""Estimated size of a message without updates and items."""
 
 
 class Sender:
-    """The way out of this daemon for all control messages."""
+    """Sends all messages to other daemons."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.sequence = 0
 
     def message(self, outgoing: Outgoing) -> Message:
-        """Return the message to be sent, with this VM's name, incarnation and version."""
+        """Return the message for `outgoing`, with the next sequence number."""
         own_member = self.own_member
         self.sequence += 1
         return Message(
@@ -55,10 +55,10 @@
         )
 
     def send(self, outgoing: Outgoing, now: float, message: Message | None = None) -> None:
-        """Send a message with what waits for its receiver, as the bucket allows.
+        """Send a message, with queued updates and items for its receiver.
 
-        What was taken from the queue counts as sent even if the channel drops the frame:
-        the other members, and the comparison of state, make up for it.
+        Queued entries count as sent even if the channel drops the frame; dissemination by other
+        members and the comparison of state repair the loss.
         """
         self.bucket.refill(now)
         if self.bucket.room(HEARTBEAT) <= 0:
--- a/sequoiabridge/fleet/update_merger.py
+++ b/sequoiabridge/fleet/update_merger.py
@@ -1,7 +1,7 @@
-"""What is believed of each VM, and which of two words about one wins.
+"""Merges membership updates by precedence.
 
-A higher incarnation wins; on the same one, left wins over dead, dead over suspected, suspected
-over alive. Only a VM itself counts its incarnation up, so only it can contradict its death.
+A higher incarnation wins; within one incarnation, left wins over dead, dead over suspect, and
+suspect over alive. Only the VM itself increments its incarnation, so only it can refute its death.
 """
 
 from .base import MemberState, MemberView
@@ -12,12 +12,12 @@
 
 
 class UpdateMerger:
-    """Takes in words about VMs and notes what they change.
+    """Applies updates to the roster and collects the resulting updates and events.
 
     Attributes:
-        initial_incarnation: First incarnation of this process.
-        pending_updates: Updates to be spread; the owner takes and clears them.
-        events: What happened; the owner takes and clears them.
+        initial_incarnation: First incarnation of the current session of this process.
+        pending_updates: Updates to be disseminated; the owner takes and clears them.
+        events: Membership events; the owner takes and clears them.
     """
 
     def __init__(self, own_member: MemberView, roster: Roster):
@@ -30,7 +30,7 @@
         self.events: list[Event] = []
 
     def merge(self, update: Update, now: float) -> None:
-        """Take in a word about any VM."""
+        """Apply an update about any VM."""
         state = state_of(update)
         if state is None:
             return
@@ -43,19 +43,19 @@
         if known is None or supersedes(update, state, known):
             self._set(update, state, now)
         elif known.state not in LIVE_STATES and state in LIVE_STATES:
-            self.pending_updates.append(update_of(known))  # Its sender may have missed the end.
+            self.pending_updates.append(update_of(known))  # Corrects the sender.
 
     def set_state(
         self, member: MemberView, state: MemberState, now: float, local_only: bool
     ) -> None:
-        """Set the state of a member on this VM's own judgement; `local_only` tells nobody."""
+        """Set the state that this VM detected; with `local_only`, do not disseminate it."""
         before = list(self.pending_updates)
         self._set(update_of(member), state, now)
         if local_only:
             self.pending_updates = before
 
     def find_outdated(self, name: str, incarnation: int) -> MemberView | None:
-        """Return the member if a VM that speaks as this incarnation of it must be corrected."""
+        """Return the member if a sender with this incarnation must be sent its known state."""
         known = self.roster.get(name)
         if known is None or incarnation > known.incarnation:
             return None
@@ -64,7 +64,7 @@
         return known
 
     def find_restored(self, name: str, incarnation: int) -> MemberView | None:
-        """Return what is known of a process that was declared dead and has contradicted it."""
+        """Return the known entry of a process that was declared dead and refuted it, or None."""
         known = self.roster.get(name)
         if known is None or known.state is not MemberState.DEAD:
             return None
@@ -73,7 +73,7 @@
         return known if session_of(incarnation) == session_of(known.incarnation) else None
 
     def replace_predecessor(self, address: str, name: str, incarnation: int, now: float) -> None:
-        """End the VM that had this address before, if the one that has it now is the younger."""
+        """Declare the previous VM at this address dead if its session is older."""
         old = self.roster.find_by_address(address)
         if old is None or old.name == name or old.state not in LIVE_STATES:
             return
@@ -83,17 +83,17 @@
         self.record_event(EventKind.REPLACED, old.name, now, f"by {name}")
 
     def record_event(self, kind: EventKind, name: str, now: float, detail: str = "") -> None:
-        """Note that something happened."""
+        """Record a membership event."""
         self.events.append(Event(kind, name, now, detail))
 
     def _is_from_predecessor(self, update: Update) -> bool:
-        """Return True for an older word about the VM that had our address before us."""
+        """Return True if an update is about an earlier VM at this VM's address."""
         if update.address != self.own_member.address:
             return False
         return session_of(update.incarnation) < session_of(self.own_member.incarnation)
 
     def _merge_own(self, update: Update, state: MemberState, now: float) -> None:
-        """Contradict a word that would have this process gone, or that an older one left over."""
+        """Refute an update that declares this process gone, or that a predecessor left."""
         own_incarnation = self.own_member.incarnation
         if self.leaving:
             return
@@ -115,7 +115,7 @@
         self.pending_updates.append(update_of(self.own_member))
 
     def _record_declared_dead(self, update: Update, now: float) -> None:
-        """This process was declared dead; once for each incarnation of it."""
+        """Record that this process was declared dead, once per incarnation."""
         if (
             update.incarnation > self.last_dead_incarnation
             and update.incarnation >= self.initial_incarnation
@@ -134,14 +134,14 @@
 
 
 def supersedes(update: Update, state: MemberState, known: MemberView) -> bool:
-    """Return True if a word says more than what is known of the VM."""
+    """Return True if an update takes precedence over the known entry."""
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return STATE_RANK[state] > STATE_RANK[known.state]
 
 
 def event_of(before: MemberState | None, state: MemberState) -> EventKind | None:
-    """Return what a change of state means to others, or None if nothing."""
+    """Return the event for a state change, or None if there is none."""
     if state is MemberState.ALIVE:
         if before is MemberState.SUSPECT:
             return EventKind.REFUTED
--- a/sequoiabridge/fleet/wire.py
+++ b/sequoiabridge/fleet/wire.py
@@ -1,8 +1,8 @@
-"""The wire format between daemons: typed, versioned, size-limited, authenticated messages.
+"""Wire format of the messages between daemons.
 
 A frame is one byte of format version, a truncated HMAC-SHA256 and the message in MessagePack. The
-HMAC also covers the receiver's address, which is not sent: a message recorded on its way to one
-VM is worthless at another. Structs are arrays on the wire; a newer daemon may append fields.
+HMAC also covers the receiver's address, which is not sent, so that a recorded message cannot be
+replayed to another VM. Structs are encoded as arrays; newer versions may append fields.
 """
 
 import hashlib
@@ -18,42 +18,42 @@
 
 WIRE_VERSION = 1
 MAC_BYTES = 16
-"""Bytes of the HMAC that are kept; half of SHA-256, the shortest length that RFC 2104 advises."""
+"""Length of the truncated HMAC: half of SHA-256, the minimum of RFC 2104."""
 HEADER_BYTES = 1 + MAC_BYTES
 PACKET_BYTES = 1_200
-"""Bytes up to which a frame is filled, so that it fits one TCP segment."""
+"""Size up to which frames are filled, to fit one TCP segment."""
 MAX_FRAME_BYTES = 16_384
-"""Bytes of the largest frame; only a single large configuration change comes near it."""
+"""Maximum size of a frame, for example with a large configuration change."""
 MAX_KEYS = 2
 MIN_KEY_BYTES = 16
-"""Bytes of the shortest key that is accepted."""
+"""Minimum length of a key."""
 
 
 class Kind(IntEnum):
-    """What a message asks for or answers."""
+    """Kind of a message."""
 
     PING = 0
     ACK = 1
     PING_REQUEST = 2
-    """Ping the VM at `target` for me."""
+    """Requests a ping of the VM at `target` on behalf of the sender."""
     INDIRECT_ACK = 3
-    """The VM at `target` answered me."""
+    """Answers `PING_REQUEST`: the VM at `target` answered."""
     GOSSIP = 4
-    """Carries updates and items; wants no answer."""
+    """Carries updates and items; needs no answer."""
     DIGEST = 5
-    """Compare your state with `digest` and send what differs."""
+    """Requests the state that differs from `digest`."""
     STATE = 6
-    """What differs; with a `digest`, the receiver sends its part back."""
+    """Carries differing state; with a `digest`, requests the receiver's differing state."""
     FETCH = 7
-    """Send the configuration changes from version `number` up to and with `until`."""
+    """Requests the configuration changes from version `number` to `until`, inclusive."""
     SNAPSHOT_REQUEST = 8
-    """Send the whole configuration in force, from byte `number` on."""
+    """Requests a piece of the configuration in force, from byte `number`."""
     SNAPSHOT = 9
-    """One `piece` of it."""
+    """Answers `SNAPSHOT_REQUEST` with one `piece`."""
 
 
 class DropReason(Enum):
-    """Why a message was dropped."""
+    """Reason why a message or an item was dropped."""
 
     TRUNCATED = "truncated"
     OVERSIZE = "oversize"
@@ -67,7 +67,7 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """What the sender believes of a VM; `state` is a `MemberState`."""
+    """State of a VM as known to the sender; `state` is a `MemberState`."""
 
     name: str
     address: str
@@ -77,7 +77,7 @@
 
 
 class Parcel(msgspec.Struct, array_like=True, frozen=True):
-    """An encoded item, the VM that published it, and its age in milliseconds when sent."""
+    """Encoded item with the VM that published it and its age when sent."""
 
     item: msgspec.Raw
     origin: str
@@ -85,7 +85,7 @@
 
 
 class Piece(msgspec.Struct, array_like=True, frozen=True):
-    """A part of a compressed configuration; `checksum` is the CRC-32 of the whole."""
+    """Part of a compressed configuration; `checksum` is the CRC-32 of the whole."""
 
     version: int
     offset: int
@@ -95,13 +95,17 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """One message; `to_incarnation` is the receiver's as its sender knows it, 0 if it does not.
+    """Message between daemons.
 
     Attributes:
-        sequence: Counts up with each message of the sending process.
-        version: The configuration version in force at the sender.
-        number: Number of the ping that this is, answers or asks for.
-        retry: True if the last ping to this receiver went unanswered.
+        sequence: Sequence number, unique in the sending process.
+        to_incarnation: Incarnation of the receiver as known to the sender, 0 if unknown.
+        version: Configuration version in force at the sender.
+        number: Number of the ping that is sent, answered or requested; first version or byte
+            offset of other requests.
+        target: Address (IP:port) of the VM of an indirect ping.
+        until: Last version of a `FETCH`.
+        retry: Whether the message retries on a new connection after an unanswered one.
     """
 
     kind: int
@@ -123,14 +127,14 @@
 
 
 def parse_keys(text: str) -> list[bytes]:
-    """Return the keys of a setting: one, or two separated by white space while keys are changed."""
+    """Return the keys of the setting: one, or two separated by white space during key rotation."""
     keys = [word.encode() for word in text.split()]
     check_keys(keys)
     return keys
 
 
 def check_keys(keys: Sequence[bytes]) -> None:
-    """Raise `ConfigurationError` unless there are one or two keys of a safe length."""
+    """Raise `ConfigurationError` unless there are one or two keys of sufficient length."""
     if not 1 <= len(keys) <= MAX_KEYS:
         raise ConfigurationError(
             f"[fleet] key: give one key, or two while changing it: {len(keys)}"
@@ -142,10 +146,10 @@
 
 
 class Codec:
-    """Encodes and checks frames under the fleet's keys.
+    """Encodes, signs, verifies and decodes frames.
 
-    The first key signs; any of them is accepted. To change keys, add the new one second on every
-    VM, then put it first on every VM, then drop the old one.
+    The first key signs; any key is accepted. To rotate keys, add the new key second on every VM,
+    then put it first on every VM, then remove the old key.
     """
 
     __slots__ = ("keys", "address", "encoder", "decoder", "item_decoder")
@@ -159,12 +163,12 @@
         self.item_decoder = msgspec.msgpack.Decoder(AnyItem)
 
     def encode(self, message: Message, to: str) -> bytes:
-        """Return the frame of a message for the VM that listens on `to`."""
+        """Return the signed frame of a message for the VM that listens on `to`."""
         body = self.encoder.encode(message)
         return bytes([WIRE_VERSION]) + sign(self.keys[0], to, body) + body
 
     def decode(self, frame: bytes) -> Result[Message, DropReason]:
-        """Return the message of a frame, or why it must be dropped."""
+        """Return the message of a frame, or the reason to drop it."""
         if len(frame) > MAX_FRAME_BYTES:
             return Error(DropReason.OVERSIZE)
         if len(frame) <= HEADER_BYTES:
@@ -180,11 +184,11 @@
             return Error(DropReason.MALFORMED)
 
     def encode_item(self, item: Item) -> msgspec.Raw:
-        """Return the encoding of an item, to be put into a `Parcel`."""
+        """Return the encoding of an item for a `Parcel`."""
         return msgspec.Raw(self.encoder.encode(item))
 
     def decode_item(self, raw: msgspec.Raw) -> Result[AnyItem, DropReason]:
-        """Return the item of a parcel; kinds that this version does not know are an error."""
+        """Return the item of a `Parcel`; unknown kinds of item are an error."""
         try:
             return Ok(self.item_decoder.decode(raw))
         except msgspec.MsgspecError:
@@ -201,7 +205,7 @@
 
 
 def urgency_of(item: Item) -> Urgency:
-    """Return the urgency at which a daemon forwards an item of this kind."""
+    """Return the urgency with which an item is forwarded."""
     return URGENCIES[type(item).__name__]
 
 
--- a/sequoiabridge/tests/fleet/simulation.py
+++ b/sequoiabridge/tests/fleet/simulation.py
@@ -12,7 +12,7 @@
 
 
 class SimulatedChannel(Channel):
-    """Hands frames to the simulation."""
+    """Channel that passes frames to the simulation."""
 
     def __init__(self, simulation, address):
         self.simulation, self.address = simulation, address
@@ -28,14 +28,18 @@
         pass
 
     async def run(self, receive):
-        raise AssertionError("the simulation delivers")
+        raise AssertionError("the simulation delivers frames")
 
     async def close(self):
         pass
 
 
 class FleetSimulation:
-    """Nodes by address; `cuts` are one-way dead links, `silent` connections die until redialed."""
+    """Nodes by address, connected by simulated links.
+
+    Frames are lost on the one-way links in `cuts`, on the connections in `silent` until these are
+    redialed, and at random with probability `loss`.
+    """
 
     def __init__(self, count=0, seed=1, loss=0.0, seeds=3, rate=3000):
         self.clock = ManualClock(100.0)
@@ -48,7 +52,7 @@
             self.add(i)
 
     def add(self, number, name=None, offset=None):
-        """Start a VM, in place of one under the same address if there is one."""
+        """Start a VM; it replaces a VM at the same address."""
         address = f"10.0.0.{number}:7000"
         clock = self.clock
         if offset is not None:
@@ -74,7 +78,7 @@
         self.nodes.pop(node.own_member.address)
 
     def leave(self, node):
-        """Leave on purpose and stop."""
+        """Leave the fleet and stop."""
         node.send_leave()
         self.kill(node)
 
@@ -101,7 +105,7 @@
         self.frames.append((self.clock.now() + 0.001, target, frame))
 
     def run(self, seconds):
-        """Let time pass in small steps."""
+        """Advance the time in small steps."""
         end = self.clock.now() + seconds
         while self.clock.now() < end:
             self.clock.advance(STEP)
@@ -113,7 +117,7 @@
                 node.tick()
 
     def run_until(self, condition, limit):
-        """Run until the condition holds; return the seconds it took, or None."""
+        """Run until the condition holds; return the elapsed seconds, or None after `limit`."""
         start = self.clock.now()
         while not condition():
             if self.clock.now() - start >= limit:
@@ -125,7 +129,7 @@
         return list(self.nodes.values())
 
     def complete(self):
-        """True if every running VM knows exactly the running VMs as live."""
+        """Return True if every running VM sees exactly the running VMs as live."""
         names = {n.own_member.name for n in self.all()}
         return all(set(live_names(n)) | {n.own_member.name} == names for n in self.all())
 
--- a/sequoiabridge/tests/fleet/test_channel.py
+++ b/sequoiabridge/tests/fleet/test_channel.py
@@ -1,4 +1,4 @@
-"""Two nodes over real sockets: they hear each other, and a planned leave is heard as such."""
+"""Two nodes over real sockets: exchange of messages, leaving, and replacement of connections."""
 
 import socket
 from random import Random
@@ -54,7 +54,7 @@
 
 
 class Relay:
-    """A TCP relay between two nodes; `forget` makes the connections of now silent for good."""
+    """TCP relay; discards the data of its first `forgotten` connections."""
 
     def __init__(self, target):
         host, port = target.split(":")
--- a/sequoiabridge/tests/fleet/test_membership.py
+++ b/sequoiabridge/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, cuts, pauses, replacement and mass failure, in virtual time."""
+"""Membership under message loss, partitions, pauses, replacement and mass failure."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from .simulation import GONE, FleetSimulation, incarnation, live_names, state
 
 DETECT = 15
-"""Seconds within which every VM must know that another one died."""
+"""Seconds within which every VM must detect the failure of another."""
 
 
 def gone_everywhere(simulation, *names):
@@ -129,7 +129,9 @@
     simulation.cut(others, [deaf], both=False)
     simulation.run(40)
     assert set(deaths) == {"vm1"}
-    assert len(doubted - {"vm1"}) <= 1, "a ping under way when the cut came may cost one doubt"
+    assert (
+        len(doubted - {"vm1"}) <= 1
+    ), "only the ping in flight when the link failed may cause a suspicion"
     simulation.cuts.clear()
     assert simulation.run_until(simulation.complete, 20) is not None
 
@@ -141,7 +143,7 @@
     node.on_event(lambda e: doubted.add(e.name) if e.kind is EventKind.SUSPECTED else None)
     simulation.cut([node], others)
     simulation.run(7)
-    assert len(doubted) <= 1, "a ping under way when the cut came may cost one doubt"
+    assert len(doubted) <= 1, "only the ping in flight when the link failed may cause a suspicion"
     assert node.live_count() == 8
 
 
--- a/sequoiabridge/tests/fleet/test_stateful.py
+++ b/sequoiabridge/tests/fleet/test_stateful.py
@@ -1,4 +1,4 @@
-"""Random sequences of faults: who is reachable comes back, who left stays away."""
+"""Random faults: reachable VMs become live again, and VMs that left stay removed."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -15,12 +15,12 @@
 
 COUNT = 6
 HEAL = 30
-"""Seconds after which all reachable VMs must know each other as live."""
+"""Seconds within which all reachable VMs must see each other as live."""
 NUMBERS = st.integers(min_value=1, max_value=COUNT)
 
 
 class FleetFaults(RuleBasedStateMachine):
-    """Six VMs that are killed, replaced, paused, cut off and asked to leave in any order."""
+    """VMs that are killed, replaced, paused, partitioned and leave in any order."""
 
     @initialize(seed=st.integers(min_value=0, max_value=1000))
     def start(self, seed):
@@ -100,7 +100,7 @@
                 assert known or (name, view.incarnation) not in self.heard_left(node)
 
     def heard_left(self, node):
-        """What a VM once knew to have left; it must never forget that while it runs."""
+        """Return the incarnations that a node has ever recorded as left."""
         _, seen = self.seen.setdefault(id(node), (node, set()))
         for member in node.membership.roster.members.values():
             if member.state is MemberState.LEFT:
--- a/sequoiabridge/tests/fleet/test_wire.py
+++ b/sequoiabridge/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames of an attacker, of a broken link, and of a newer daemon."""
+"""Rejection of forged, damaged and replayed frames, and compatibility with newer daemons."""
 
 import msgspec
 import pytest
