--- a/sequoiabridge/fleet/bucket.py
+++ b/sequoiabridge/fleet/bucket.py
@@ -18,21 +18,21 @@
 TRANSPORT_OVERHEAD = 112
 """Bytes a frame costs besides its own, an estimate: 52 for TCP and IP headers with time stamps,
 8 for the length that nng puts before it, 52 for the TCP acknowledgement that it causes."""
-RETRANSMIT_FACTOR = 1.6
+MAX_SENDS_FACTOR = 1.6
 """Times the natural logarithm of the fleet's size: how often one daemon sends an item on."""
-QUEUE_LIMIT = 2_000
+MAX_QUEUED_ENTRIES = 2_000
 """Items that wait at most; beyond, the oldest of the lowest urgency is dropped."""
 
-RIDE = 480
+MEMBERSHIP_OVERDRAFT = 480
 """Bytes of words about members that a heartbeat may carry whatever the bucket holds. Without
 them, VMs that start together know only their seeds, whose answers to them all empty the bucket,
 so that nobody ever hears of anybody else."""
-SMALLEST = 24
+MIN_ENTRY_SIZE = 24
 """Bytes below which nothing fits a frame any more."""
 
 HEARTBEAT = "heartbeat"
 """The purse of bare heartbeats, answers to them and state exchange requests."""
-FLOORS = {
+MIN_FILL_SHARE = {
     HEARTBEAT: -10.0,
     Urgency.CONFIGURATION: -0.5,
     Urgency.DRAIN: 0.0,
@@ -47,44 +47,53 @@
 class ByteBucket:
     """A token bucket of bytes; `now` is in seconds."""
 
-    __slots__ = ("rate", "size", "tokens", "filled")
+    __slots__ = ("rate", "size", "tokens", "refilled_at")
 
     def __init__(self, rate: float, now: float):
         self.rate = rate
         self.size = rate * BURST_SECONDS
         self.tokens = self.size
-        self.filled = now
+        self.refilled_at = now
 
     def refill(self, now: float) -> None:
         """Add what has come in since the last call."""
-        self.tokens = min(self.size, self.tokens + (now - self.filled) * self.rate)
-        self.filled = now
+        self.tokens = min(self.size, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
     def room(self, urgency: Urgency | str) -> float:
         """Return how many bytes `urgency` may spend now."""
-        return self.tokens - FLOORS[urgency] * self.size
+        return self.tokens - MIN_FILL_SHARE[urgency] * self.size
 
     def spend(self, count: int) -> None:
         """Take `count` bytes; the caller has asked for `room` before."""
         self.tokens -= count
 
 
-def retransmits(size: int) -> int:
+def max_sends(size: int) -> int:
     """Return how often each daemon sends an item on, in a fleet of `size` VMs."""
-    return max(2, math.ceil(RETRANSMIT_FACTOR * math.log(size + 1)))
+    return max(2, math.ceil(MAX_SENDS_FACTOR * math.log(size + 1)))
 
 
-class Entry:
+class QueueEntry:
     """Something that waits to be spread.
 
     Attributes:
         content: An `Update`, or a `Parcel` whose age counts from `since`.
         size: Bytes it takes in a frame.
-        known: Names of VMs that have it; it is not sent to them.
+        known_by: Names of VMs that have it; it is not sent to them.
         sent: How often it was sent.
     """
 
-    __slots__ = ("subject", "urgency", "content", "size", "since", "known", "sent", "limit")
+    __slots__ = (
+        "subject",
+        "urgency",
+        "content",
+        "size",
+        "since",
+        "known_by",
+        "send_count",
+        "send_limit",
+    )
 
     def __init__(
         self,
@@ -93,16 +102,16 @@
         content: Update | Parcel,
         size: int,
         since: float,
-        limit: int | None = None,
+        send_limit: int | None = None,
     ):
         self.subject = subject
         self.urgency = urgency
         self.content = content
         self.size = size
         self.since = since
-        self.known: set[str] = set()
-        self.sent = 0
-        self.limit = limit
+        self.known_by: set[str] = set()
+        self.send_count = 0
+        self.send_limit = send_limit
 
 
 class SendQueue:
@@ -111,27 +120,27 @@
     __slots__ = ("queues", "count", "dropped")
 
     def __init__(self):
-        self.queues: dict[Urgency, dict[Hashable, Entry]] = {u: {} for u in Urgency}
+        self.queues: dict[Urgency, dict[Hashable, QueueEntry]] = {u: {} for u in Urgency}
         self.count = 0
         self.dropped = 0
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: QueueEntry) -> None:
         """Queue an entry in place of one about the same subject."""
         queue = self.queues[entry.urgency]
         if queue.pop(entry.subject, None) is None:
             self.count += 1
         queue[entry.subject] = entry
-        if self.count > QUEUE_LIMIT:
+        if self.count > MAX_QUEUED_ENTRIES:
             self._drop_lowest()
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, entry: QueueEntry) -> None:
         """Take an entry out, if it still waits."""
         queue = self.queues[entry.urgency]
         if queue.get(entry.subject) is entry:
             del queue[entry.subject]
             self.count -= 1
 
-    def waiting(self, lowest: Urgency = Urgency.LOAD) -> Iterator[Entry]:
+    def waiting(self, lowest: Urgency = Urgency.LOAD) -> Iterator[QueueEntry]:
         """Yield the entries, most urgent first, down to the urgency `lowest`."""
         for urgency in Urgency:
             if urgency <= lowest:
@@ -139,43 +148,43 @@
 
     def take(
         self, target: str, room: int, bucket: ByteBucket, fleet_size: int, heartbeat: bool = False
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         """Choose what goes to `target` in one frame with `room` bytes left, and note it as sent.
 
         The caller spends the bytes. An entry larger than the room goes only if it is the first
         and a configuration change, in a frame of its own. On a `heartbeat`, a few words about
-        members go even when the bucket does not pay for them; see `RIDE`.
+        members go even when the bucket does not pay for them; see `MEMBERSHIP_OVERDRAFT`.
         """
-        chosen: list[Entry] = []
-        used = riding = 0
-        limit = retransmits(fleet_size)
+        chosen: list[QueueEntry] = []
+        used = overdrawn = 0
+        send_limit = max_sends(fleet_size)
         for entry in self.waiting():
-            if room - used < SMALLEST:
+            if room - used < MIN_ENTRY_SIZE:
                 break
-            rides = False
+            overdraws = False
             if bucket.room(entry.urgency) < used + TRANSPORT_OVERHEAD:
-                rides = heartbeat and entry.urgency is Urgency.MEMBERSHIP
-                if not rides or riding + entry.size > RIDE:
+                overdraws = heartbeat and entry.urgency is Urgency.MEMBERSHIP
+                if not overdraws or overdrawn + entry.size > MEMBERSHIP_OVERDRAFT:
                     continue
-            if target in entry.known:
+            if target in entry.known_by:
                 continue
             if used + entry.size > room and (chosen or entry.urgency > Urgency.CONFIGURATION):
                 continue
             chosen.append(entry)
             used += entry.size
-            riding += rides * entry.size
-            self._sent(entry, target, limit)
+            overdrawn += overdraws * entry.size
+            self._record_send(entry, target, send_limit)
         return chosen
 
     def sizes(self) -> dict[str, int]:
         """Return how many entries wait at each urgency."""
         return {u.name.lower(): len(q) for u, q in self.queues.items()}
 
-    def _sent(self, entry: Entry, target: str, limit: int) -> None:
-        entry.sent += 1
-        entry.known.add(target)
+    def _record_send(self, entry: QueueEntry, target: str, send_limit: int) -> None:
+        entry.send_count += 1
+        entry.known_by.add(target)
         self.remove(entry)
-        if entry.sent < (entry.limit or limit):
+        if entry.send_count < (entry.send_limit or send_limit):
             self.put(entry)  # At the end, so that all entries of an urgency take turns.
 
     def _drop_lowest(self) -> None:
--- a/sequoiabridge/fleet/loads.py
+++ b/sequoiabridge/fleet/loads.py
@@ -9,11 +9,11 @@
 
 from .base import LoadItem
 
-ITEM_SIZE = 60
+LOAD_ITEM_SIZE = 60
 """Bytes of a load item in a frame, an estimate for names of usual length."""
-CHANGE = 0.5
+MIN_CHANGE_RATIO = 0.5
 """Share by which a value must have moved to be worth telling."""
-FEW = 2
+MIN_IN_FLIGHT_CHANGE = 2
 """A change of work in flight by less than this is noise: an instance has two slots."""
 SUSPECT_REPEAT_INTERVAL = 5.0
 """Seconds after which a suspect is named again."""
@@ -22,18 +22,18 @@
 
 
 class LocalLoad:
-    """This VM's evidence on one upstream; `measured` is on the daemon's clock, in seconds."""
+    """This VM's evidence on one upstream; `measured_at` is on the daemon's clock, in seconds."""
 
-    __slots__ = ("upstream", "in_flight", "latency_us", "suspect", "measured")
+    __slots__ = ("upstream", "in_flight", "latency_us", "suspect", "measured_at")
 
     def __init__(
-        self, upstream: str, in_flight: int, latency_us: int, suspect: bool, measured: float
+        self, upstream: str, in_flight: int, latency_us: int, suspect: bool, measured_at: float
     ):
         self.upstream = upstream
         self.in_flight = in_flight
         self.latency_us = latency_us
         self.suspect = suspect
-        self.measured = measured
+        self.measured_at = measured_at
 
 
 class PublishedLoad:
@@ -47,54 +47,58 @@
 
 
 def select_load_items(
-    loads: Iterable[LocalLoad], told: dict[str, PublishedLoad], room: float, now: float
+    loads: Iterable[LocalLoad], published: dict[str, PublishedLoad], room: float, now: float
 ) -> list[LoadItem]:
-    """Return the items to publish now, most useful first, and note them in `told`.
+    """Return the items to publish now, most useful first, and note them in `published`.
 
     Args:
         loads: Evidence on upstreams; what is older than `LOAD_TTL` is passed over.
         told: What was told before, by upstream; the caller keeps it between calls.
         room: Bytes that the byte bucket leaves for load.
     """
-    fresh = [load for load in loads if now - load.measured < LOAD_TTL]
-    scored = [(score(load, told.get(load.upstream), now), load) for load in fresh]
-    wanted = sorted((s for s in scored if s[0] > 0), key=lambda s: (-s[0], s[1].upstream))
-    chosen = [load for _, load in wanted[: max(0, int(room // ITEM_SIZE))]]
+    fresh = [load for load in loads if now - load.measured_at < LOAD_TTL]
+    scored = [(score(load, published.get(load.upstream), now), load) for load in fresh]
+    ranked = sorted((s for s in scored if s[0] > 0), key=lambda s: (-s[0], s[1].upstream))
+    chosen = [load for _, load in ranked[: max(0, int(room // LOAD_ITEM_SIZE))]]
     for load in chosen:
-        told[load.upstream] = PublishedLoad(load, now)
-    return [as_item(load, now) for load in chosen]
+        published[load.upstream] = PublishedLoad(load, now)
+    return [to_load_item(load, now) for load in chosen]
 
 
-def score(load: LocalLoad, told: PublishedLoad | None, now: float) -> float:
+def score(load: LocalLoad, published: PublishedLoad | None, now: float) -> float:
     """Return how much the others gain from a piece of evidence; 0 means not worth its bytes."""
-    last = told.load if told is not None and now - told.published_at < LOAD_TTL else None
-    was_suspect = last is not None and last.suspect
+    last_load = (
+        published.load
+        if published is not None and now - published.published_at < LOAD_TTL
+        else None
+    )
+    was_suspect = last_load is not None and last_load.suspect
     if load.suspect != was_suspect:
         return 1_000.0
-    if load.suspect and now - told.published_at >= SUSPECT_REPEAT_INTERVAL:
+    if load.suspect and now - published.published_at >= SUSPECT_REPEAT_INTERVAL:
         return 500.0
-    if last is None:
-        return 1.0 if load.in_flight >= FEW else 0.0
-    return max(in_flight_change(load, last), latency_change(load, last))
+    if last_load is None:
+        return 1.0 if load.in_flight >= MIN_IN_FLIGHT_CHANGE else 0.0
+    return max(in_flight_change(load, last_load), latency_change(load, last_load))
 
 
-def in_flight_change(load: LocalLoad, last: LocalLoad) -> float:
+def in_flight_change(load: LocalLoad, last_load: LocalLoad) -> float:
     """Return the change of work in flight relative to the last word, 0 if it is small."""
-    change = abs(load.in_flight - last.in_flight)
-    if change < FEW:
+    change = abs(load.in_flight - last_load.in_flight)
+    if change < MIN_IN_FLIGHT_CHANGE:
         return 0.0
-    share = change / max(FEW, last.in_flight)
-    return share if share >= CHANGE else 0.0
+    ratio = change / max(MIN_IN_FLIGHT_CHANGE, last_load.in_flight)
+    return ratio if ratio >= MIN_CHANGE_RATIO else 0.0
 
 
-def latency_change(load: LocalLoad, last: LocalLoad) -> float:
+def latency_change(load: LocalLoad, last_load: LocalLoad) -> float:
     """Return by how much the mean time has grown or shrunk, 0 if it is little."""
-    low, high = sorted((max(1, load.latency_us), max(1, last.latency_us)))
-    share = high / low - 1
-    return share if share >= CHANGE else 0.0
+    low, high = sorted((max(1, load.latency_us), max(1, last_load.latency_us)))
+    ratio = high / low - 1
+    return ratio if ratio >= MIN_CHANGE_RATIO else 0.0
 
 
-def as_item(load: LocalLoad, now: float) -> LoadItem:
+def to_load_item(load: LocalLoad, now: float) -> LoadItem:
     """Return the evidence as it is sent."""
-    age_ms = int((now - load.measured) * 1000)
+    age_ms = int((now - load.measured_at) * 1000)
     return LoadItem(load.upstream, load.in_flight, load.latency_us, load.suspect, age_ms)
--- a/sequoiabridge/fleet/marks.py
+++ b/sequoiabridge/fleet/marks.py
@@ -13,12 +13,12 @@
 from .base import AnyItem, ConfigurationItem, CrashItem, DrainItem, LoadItem, RetryItem
 from .wire import Parcel
 
-MARK_LIFE = 3_600.0
+MARK_TTL = 3_600.0
 """Seconds after which a mark is forgotten."""
-MARK_LIMIT = 4_096
-BUCKETS = 16
+MAX_MARKS = 4_096
+DIGEST_BUCKETS = 16
 """Digests are compared in this many parts, so that little is sent for a small difference."""
-LOG_BYTES = 262_144
+MAX_LOG_BYTES = 262_144
 """Bytes of recent configuration changes that are kept for VMs that missed them."""
 
 Subject = tuple
@@ -83,7 +83,7 @@
 
     def add(self, mark: Mark, now: float) -> bool:
         """Keep a mark if it says something newer; return whether it did."""
-        if now - mark.since >= MARK_LIFE:
+        if now - mark.since >= MARK_TTL:
             return False
         subject = subject_of(mark.item, mark.origin)
         known = self.marks.pop(subject, None)
@@ -91,14 +91,14 @@
             self.marks[subject] = known
             return False
         self.marks[subject] = mark
-        if len(self.marks) > MARK_LIMIT:
+        if len(self.marks) > MAX_MARKS:
             del self.marks[next(iter(self.marks))]
         return True
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop marks whose time is over."""
         for subject, mark in list(self.marks.items()):
-            if now - mark.since >= MARK_LIFE:
+            if now - mark.since >= MARK_TTL:
                 del self.marks[subject]
 
     def entries(self) -> Iterable[tuple[str, str, Mark]]:
@@ -111,28 +111,28 @@
     """Recent configuration changes by version, for VMs that missed one.
 
     Attributes:
-        bare: Versions of which nothing else is known: their changes are large.
+        version_only: Versions of which nothing else is known: their changes are large.
     """
 
-    __slots__ = ("parcels", "bytes", "bare")
+    __slots__ = ("parcels", "size", "version_only")
 
     def __init__(self):
         self.parcels: dict[int, Parcel] = {}
-        self.bytes = 0
-        self.bare: set[int] = set()
+        self.size = 0
+        self.version_only: set[int] = set()
 
-    def add(self, version: int, parcel: Parcel, whole: bool = True) -> bool:
-        """Keep a change, or its version if it is not `whole`; return False if that was known."""
-        if version in self.parcels and not (whole and version in self.bare):
+    def add(self, version: int, parcel: Parcel, is_complete: bool = True) -> bool:
+        """Keep a change, or its version if it is not `is_complete`; return False if that was known."""
+        if version in self.parcels and not (is_complete and version in self.version_only):
             return False
-        self.bare.discard(version) if whole else self.bare.add(version)
-        self.bytes -= len(self.parcels[version].item) if version in self.parcels else 0
+        self.version_only.discard(version) if is_complete else self.version_only.add(version)
+        self.size -= len(self.parcels[version].item) if version in self.parcels else 0
         self.parcels[version] = parcel
-        self.bytes += len(parcel.item)
-        while self.bytes > LOG_BYTES and len(self.parcels) > 1:
+        self.size += len(parcel.item)
+        while self.size > MAX_LOG_BYTES and len(self.parcels) > 1:
             oldest = min(self.parcels)
-            self.bare.discard(oldest)
-            self.bytes -= len(self.parcels.pop(oldest).item)
+            self.version_only.discard(oldest)
+            self.size -= len(self.parcels.pop(oldest).item)
         return True
 
     def origin(self, version: int) -> str:
@@ -156,19 +156,19 @@
 
 def bucket_of(subject: str) -> int:
     """Return the part of the digest that a subject belongs to."""
-    return crc32(subject.encode()) % BUCKETS
+    return crc32(subject.encode()) % DIGEST_BUCKETS
 
 
 def digest_of(entries: Iterable[tuple[str, str]]) -> list[int]:
     """Return one checksum for each bucket of subjects and ranks, in whatever order they come."""
-    sums = [0] * BUCKETS
+    sums = [0] * DIGEST_BUCKETS
     for subject, rank in entries:
         sums[bucket_of(subject)] ^= crc32(f"{subject}={rank}".encode())
     return sums
 
 
-def differing(mine: list[int], theirs: list[int]) -> set[int]:
+def differing_buckets(local: list[int], remote: list[int]) -> set[int]:
     """Return the buckets that differ; all if the other daemon divides differently."""
-    if len(theirs) != BUCKETS:
-        return set(range(BUCKETS))
-    return {i for i, (a, b) in enumerate(zip(mine, theirs, strict=True)) if a != b}
+    if len(remote) != DIGEST_BUCKETS:
+        return set(range(DIGEST_BUCKETS))
+    return {i for i, (a, b) in enumerate(zip(local, remote, strict=True)) if a != b}
--- a/sequoiabridge/fleet/repair.py
+++ b/sequoiabridge/fleet/repair.py
@@ -10,20 +10,20 @@
 from .version_tracker import SpreadTracker, VersionTracker
 from .wire import PACKET_BYTES, Kind, Message
 
-COMPARE_EVERY = 10.0
+COMPARE_INTERVAL = 10.0
 """Seconds between two comparisons of state, while nothing differs."""
-COMPARE_YOUNG = 2.0
+STARTUP_COMPARE_INTERVAL = 2.0
 STARTUP_SECONDS = 20.0
-"""For so many seconds a new VM compares every `COMPARE_YOUNG` seconds."""
-COMPARE_AGAIN = 1.0
+"""For so many seconds a new VM compares every `STARTUP_COMPARE_INTERVAL` seconds."""
+FOLLOW_UP_COMPARE_DELAY = 1.0
 """Seconds to the next comparison after one that brought something new."""
-CHASE_EVERY = 1.0
+CONFIRMATION_PING_INTERVAL = 1.0
 """Seconds between pings of VMs that have not confirmed a tracked version."""
-CHASE = 3
+MAX_CONFIRMATION_PINGS = 3
 """VMs pinged each time."""
-CHASE_FOR = 30.0
+MAX_TRACKING_SECONDS = 30.0
 """Seconds after which a version is tracked no more."""
-REPLY_ROOM = PACKET_BYTES - 200
+MAX_REPLY_CHANGES = PACKET_BYTES - 200
 """Bytes of changes in one answer."""
 
 
@@ -44,71 +44,71 @@
         self.version_tracker = version_tracker
         self.sender = sender
         self.random = random
-        self.acks: dict[int, SpreadTracker] = {}
-        self.noticed = 0
-        self.started = now
-        self.next_compare = self.next_chase = now
+        self.trackers: dict[int, SpreadTracker] = {}
+        self.announced_version = 0
+        self.started_at = now
+        self.next_compare = self.next_confirmation_ping = now
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        self._fetch(now)
-        self._notice(now)
+        self._fetch_missing(now)
+        self._announce_version(now)
         self._compare(now)
-        self._chase(now)
+        self._ping_unconfirmed(now)
 
     def handle_message(self, message: Message, learned: bool, now: float) -> None:
         """Answer requests for changes and comparisons; `learned` if the message brought news."""
-        for ack in self.acks.values():
-            ack.record_version(message.sender, message.version)
+        for tracker in self.trackers.values():
+            tracker.record_version(message.sender, message.version)
         if message.kind == Kind.FETCH:
-            self._give(message, now)
+            self._answer_fetch(message, now)
         elif message.kind in (Kind.DIGEST, Kind.STATE):
             self._answer_digest(message, learned, now)
 
     def track(self, version: int, now: float) -> SpreadTracker:
         """Count from now on which VMs confirm that a version is in force there."""
-        ack = SpreadTracker(version, now)
+        tracker = SpreadTracker(version, now)
         for member in self.membership.live():
-            ack.record_version(member.name, member.version)
-        self.acks[version] = ack
-        return ack
+            tracker.record_version(member.name, member.version)
+        self.trackers[version] = tracker
+        return tracker
 
-    def _notice(self, now: float) -> None:
+    def _announce_version(self, now: float) -> None:
         """Tell the publisher of the version in force that it is in force here."""
         version = self.version_tracker.in_force
-        if version <= self.noticed:
+        if version <= self.announced_version:
             return
-        self.noticed = version
+        self.announced_version = version
         origin = self.membership.roster.get(self.spreader.changes.origin(version))
         if origin is not None:
             self.sender.send(message_to(origin, Kind.GOSSIP), now)
 
-    def _chase(self, now: float) -> None:
-        if now < self.next_chase or not self.acks:
+    def _ping_unconfirmed(self, now: float) -> None:
+        if now < self.next_confirmation_ping or not self.trackers:
             return
-        self.next_chase = now + CHASE_EVERY
+        self.next_confirmation_ping = now + CONFIRMATION_PING_INTERVAL
         live = {member.name: member for member in self.membership.live()}
-        for version, ack in list(self.acks.items()):
-            if now - ack.since > CHASE_FOR:
-                del self.acks[version]
-            elif now - ack.since > CHASE_EVERY:
-                for name in ack.unconfirmed(live)[:CHASE]:
+        for version, tracker in list(self.trackers.items()):
+            if now - tracker.since > MAX_TRACKING_SECONDS:
+                del self.trackers[version]
+            elif now - tracker.since > CONFIRMATION_PING_INTERVAL:
+                for name in tracker.unconfirmed(live)[:MAX_CONFIRMATION_PINGS]:
                     self.sender.send(message_to(live[name], Kind.PING), now)
 
-    def _fetch(self, now: float) -> None:
-        wanted = self.version_tracker.next_fetch(now)
-        if wanted is None:
+    def _fetch_missing(self, now: float) -> None:
+        missing = self.version_tracker.next_fetch(now)
+        if missing is None:
             return
-        holders = [m for m in self.membership.live() if m.version >= wanted.start]
+        holders = [m for m in self.membership.live() if m.version >= missing.start]
         if not holders:
             return
-        outgoing = message_to(self.random.choice(holders), Kind.FETCH, wanted.start)
+        outgoing = message_to(self.random.choice(holders), Kind.FETCH, missing.start)
         message = self.sender.message(outgoing)
-        message.until = wanted.stop - 1
+        message.until = missing.stop - 1
         self.sender.send(outgoing, now, message)
 
-    def _give(self, request: Message, now: float) -> None:
-        parcels = self.spreader.changes.between(request.number, request.until, REPLY_ROOM)
+    def _answer_fetch(self, request: Message, now: float) -> None:
+        parcels = self.spreader.changes.between(request.number, request.until, MAX_REPLY_CHANGES)
         member = self.membership.roster.get(request.sender)
         if not parcels or member is None:
             return
@@ -124,9 +124,13 @@
         if now < self.next_compare or not self.membership.roster.live_names:
             return
         live = self.membership.live()
-        interval = COMPARE_YOUNG if now - self.started < STARTUP_SECONDS else COMPARE_EVERY
+        interval = (
+            STARTUP_COMPARE_INTERVAL
+            if now - self.started_at < STARTUP_SECONDS
+            else COMPARE_INTERVAL
+        )
         self.next_compare = now + interval * self.random.uniform(0.8, 1.2)
-        self.spreader.marks.forget(now)
+        self.spreader.marks.remove_expired(now)
         outgoing = message_to(self.random.choice(live), Kind.DIGEST)
         message = self.sender.message(outgoing)
         message.digest = self.spreader.digest()
@@ -134,7 +138,7 @@
 
     def _answer_digest(self, message: Message, learned: bool, now: float) -> None:
         if message.kind == Kind.STATE and learned:
-            self.next_compare = min(self.next_compare, now + COMPARE_AGAIN)
+            self.next_compare = min(self.next_compare, now + FOLLOW_UP_COMPARE_DELAY)
         member = self.membership.roster.get(message.sender)
         if not message.digest or member is None:
             return
--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -23,15 +23,15 @@
 
 PIECE_SIZE = 1_000
 """Bytes of the document in one message."""
-ASK_AGAIN = 0.6
+REQUEST_TIMEOUT = 0.6
 """Seconds after which a piece is asked for again; its sender may be short of bytes."""
-GIVE_UP = 5.0
+PROVIDER_TIMEOUT = 5.0
 """Seconds without a piece after which another VM is asked, from the start."""
-TAKERS = 2
+MAX_RECEIVERS = 2
 """VMs that take the document from one peer at a time; the others ask elsewhere, or later."""
-TAKER_IDLE = 2.0
+RECEIVER_TIMEOUT = 2.0
 """Seconds without a request after which a VM is no longer taking it."""
-MAX_SIZE = 16_000_000
+MAX_COMPRESSED_SIZE = 16_000_000
 """Bytes of the largest document that is put together, compressed."""
 
 Provider = Callable[[], tuple[int, bytes]]
@@ -59,82 +59,82 @@
         self.random = random
         self.provider: Provider | None = None
         self.consumer: Consumer | None = None
-        self.given: tuple[int, bytes] = (0, b"")
-        self.takers: dict[str, float] = {}
-        self.holder = ""
-        self.parts: list[Piece] = []
-        self.asked_at = self.heard_at = float("-inf")
+        self.provided: tuple[int, bytes] = (0, b"")
+        self.receivers: dict[str, float] = {}
+        self.source = ""
+        self.pieces: list[Piece] = []
+        self.requested_at = self.progress_at = float("-inf")
 
     def tick(self, now: float) -> None:
         """Ask for the document, or for the piece that did not come."""
         if self.consumer is None or not self.version_tracker.wants_snapshot(now):
-            self._start_over()
+            self._reset()
             return
-        if now - self.asked_at < ASK_AGAIN:
+        if now - self.requested_at < REQUEST_TIMEOUT:
             return
-        if self.holder and now - self.heard_at < GIVE_UP:
-            self._ask(now)
+        if self.source and now - self.progress_at < PROVIDER_TIMEOUT:
+            self._request_piece(now)
             return
-        self._start_over()
+        self._reset()
         first = self.version_tracker.in_force + 1
-        holders = [m for m in self.membership.live() if m.version >= first]
-        if holders:
-            self.holder, self.heard_at = self.random.choice(holders).name, now
-            self._ask(now)
+        candidates = [m for m in self.membership.live() if m.version >= first]
+        if candidates:
+            self.source, self.progress_at = self.random.choice(candidates).name, now
+            self._request_piece(now)
 
     def handle_message(self, message: Message, now: float) -> None:
         """Answer a request, or take in a piece."""
         if message.kind == Kind.SNAPSHOT_REQUEST:
-            self._give(message, now)
+            self._send_piece(message, now)
         elif message.kind == Kind.SNAPSHOT and message.piece is not None:
-            self._take(message.sender, message.piece, now)
+            self._add_piece(message.sender, message.piece, now)
 
-    def _ask(self, now: float) -> None:
-        member = self.membership.roster.get(self.holder)
+    def _request_piece(self, now: float) -> None:
+        member = self.membership.roster.get(self.source)
         if member is None:
             return
-        self.asked_at = now
-        offset = sum(len(piece.data) for piece in self.parts)
+        self.requested_at = now
+        offset = sum(len(piece.data) for piece in self.pieces)
         self.sender.send(message_to(member, Kind.SNAPSHOT_REQUEST, offset), now)
 
-    def _give(self, request: Message, now: float) -> None:
-        if self.provider is None or not self._has_turn(request.sender, now):
+    def _send_piece(self, request: Message, now: float) -> None:
+        if self.provider is None or not self._may_receive(request.sender, now):
             return
         room = self.sender.bucket.room(Urgency.CONFIGURATION)
         if room < PIECE_SIZE + EMPTY_MESSAGE_BYTES + TRANSPORT_OVERHEAD:
             return  # It asks again.
-        if request.number == 0 and self.given[0] != self.version_tracker.in_force:
+        if request.number == 0 and self.provided[0] != self.version_tracker.in_force:
             version, document = self.provider()
-            self.given = (version, compress(document))
-        version, data = self.given
-        part = data[request.number : request.number + PIECE_SIZE]
+            self.provided = (version, compress(document))
+        version, data = self.provided
+        chunk = data[request.number : request.number + PIECE_SIZE]
         outgoing = reply_to(request, Kind.SNAPSHOT)
         message = self.sender.message(outgoing)
-        message.piece = Piece(version, request.number, len(data), crc32(data), part)
+        message.piece = Piece(version, request.number, len(data), crc32(data), chunk)
         self.sender.send(outgoing, now, message)
 
-    def _has_turn(self, name: str, now: float) -> bool:
+    def _may_receive(self, name: str, now: float) -> bool:
         """Return True if a VM may take the document now: shared by all, it would come to none."""
-        self.takers = {n: at for n, at in self.takers.items() if now - at < TAKER_IDLE}
-        if name not in self.takers and len(self.takers) >= TAKERS:
+        self.receivers = {n: at for n, at in self.receivers.items() if now - at < RECEIVER_TIMEOUT}
+        if name not in self.receivers and len(self.receivers) >= MAX_RECEIVERS:
             return False
-        self.takers[name] = now
+        self.receivers[name] = now
         return True
 
-    def _take(self, name: str, piece: Piece, now: float) -> None:
-        offset = sum(len(part.data) for part in self.parts)
-        if name != self.holder or piece.offset != offset or piece.total > MAX_SIZE:
+    def _add_piece(self, name: str, piece: Piece, now: float) -> None:
+        offset = sum(len(chunk.data) for chunk in self.pieces)
+        if name != self.source or piece.offset != offset or piece.total > MAX_COMPRESSED_SIZE:
             return
-        if not piece.data or (self.parts and piece.checksum != self.parts[0].checksum):
-            self._start_over()
+        if not piece.data or (self.pieces and piece.checksum != self.pieces[0].checksum):
+            self._reset()
             return
-        self.parts.append(piece)
-        self.heard_at = now
+        self.pieces.append(piece)
+        self.progress_at = now
         if offset + len(piece.data) < piece.total:
-            self._ask(now)
+            self._request_piece(now)
             return
-        data = b"".join(part.data for part in self.parts)
-        self._start_over()
+        data = b"".join(chunk.data for chunk in self.pieces)
+        self._reset()
         self._finish(name, piece, data)
 
     def _finish(self, name: str, piece: Piece, data: bytes) -> None:
@@ -148,6 +148,6 @@
         log.info("Got configuration %d from VM %s.", piece.version, name)
         self.consumer(piece.version, document)
 
-    def _start_over(self) -> None:
-        self.holder, self.parts = "", []
-        self.asked_at = float("-inf")
+    def _reset(self) -> None:
+        self.source, self.pieces = "", []
+        self.requested_at = float("-inf")
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -4,13 +4,13 @@
 import pytest
 
 from ...fleet.base import ConfigurationItem, DrainItem, LoadItem, Urgency
-from ...fleet.bucket import HEARTBEAT, QUEUE_LIMIT, ByteBucket, Entry, SendQueue
+from ...fleet.bucket import HEARTBEAT, MAX_QUEUED_ENTRIES, ByteBucket, QueueEntry, SendQueue
 from ...fleet.wire import Parcel
 from .simulation import GONE, FleetSimulation, state
 
 
 def entry(subject, urgency, size=50):
-    return Entry(subject, urgency, Parcel(msgspec.Raw(b"\xc0"), "vm1"), size, 0.0)
+    return QueueEntry(subject, urgency, Parcel(msgspec.Raw(b"\xc0"), "vm1"), size, 0.0)
 
 
 def test_a_newer_item_takes_the_place_of_one_that_waits():
@@ -34,7 +34,7 @@
 
 def test_the_most_urgent_go_first_and_a_full_queue_drops_the_lowest():
     queue, bucket = SendQueue(), ByteBucket(3000, 0.0)
-    for i in range(QUEUE_LIMIT + 5):
+    for i in range(MAX_QUEUED_ENTRIES + 5):
         queue.put(entry(i, Urgency.LOAD))
     queue.put(entry("c", Urgency.CONFIGURATION))
     queue.put(entry("d", Urgency.DRAIN))
--- a/sequoiabridge/tests/fleet/test_spreading.py
+++ b/sequoiabridge/tests/fleet/test_spreading.py
@@ -208,9 +208,9 @@
         return holder.version_tracker.in_force
 
     holder.record_applied(40)
-    assert simulation.run_until(lambda: late.snapshots.parts, 10) is not None
+    assert simulation.run_until(lambda: late.snapshots.pieces, 10) is not None
     holder.record_applied(41)
-    holder.snapshots.given = (41, compress(documents[41]))
+    holder.snapshots.provided = (41, compress(documents[41]))
     assert simulation.run_until(lambda: late.version_tracker.in_force == 41, 30) is not None
     assert got == [41]
 
