--- a/sequoiabridge/fleet/bucket.py
+++ b/sequoiabridge/fleet/bucket.py
@@ -1,8 +1,8 @@
-"""The daemon's byte bucket, and the queues of what waits to be paid from it.
+"""The token bucket that limits control traffic between daemons, and the priority queue before it.
 
-All control traffic between daemons is drawn from one bucket. Each urgency may draw it down to a
-floor of its own: load stops first, configuration last, and bare heartbeats later still, so that
-no lower urgency can hold up a higher one and no flood can make a live VM look dead.
+All control messages share one bucket. Each urgency has its own minimum fill level: load items stop
+first, configuration changes last, and heartbeats after those. A flood of one urgency therefore
+never delays a higher one, and never makes a live VM appear dead.
 """
 
 import math
@@ -12,26 +12,26 @@
 from .wire import Parcel, Update
 
 DEFAULT_RATE = 3_000
-"""Bytes a second."""
+"""Default rate of control traffic, in bytes per second."""
 BURST_SECONDS = 1.0
-"""How many seconds' worth of bytes the bucket holds."""
+"""Capacity of the bucket, in seconds at its rate."""
 TRANSPORT_OVERHEAD = 112
-"""Bytes a frame costs besides its own, an estimate: 52 for TCP and IP headers with time stamps,
-8 for the length that nng puts before it, 52 for the TCP acknowledgement that it causes."""
+"""Estimated bytes that a frame costs in addition to its own: 52 for the TCP and IP headers, 8 for
+nng's length prefix, 52 for the TCP acknowledgement."""
 MAX_SENDS_FACTOR = 1.6
-"""Times the natural logarithm of the fleet's size: how often one daemon sends an item on."""
+"""Maximum number of sends per item and daemon, as a multiple of ln(fleet size + 1)."""
 MAX_QUEUED_ENTRIES = 2_000
-"""Items that wait at most; beyond, the oldest of the lowest urgency is dropped."""
+"""Maximum number of queued entries; beyond it, the oldest of the lowest urgency is dropped."""
 
 MEMBERSHIP_OVERDRAFT = 480
-"""Bytes of words about members that a heartbeat may carry whatever the bucket holds. Without
-them, VMs that start together know only their seeds, whose answers to them all empty the bucket,
-so that nobody ever hears of anybody else."""
+"""Maximum bytes of membership updates that a heartbeat carries when the bucket is exhausted.
+Without them, VMs that start together exhaust the buckets of their seeds and never discover each
+other."""
 MIN_ENTRY_SIZE = 24
-"""Bytes below which nothing fits a frame any more."""
+"""Size in bytes of the smallest entry; a frame with less room left is full."""
 
 HEARTBEAT = "heartbeat"
-"""The purse of bare heartbeats, answers to them and state exchange requests."""
+"""Key in `MIN_FILL_SHARE` of pings, their answers and requests to compare state."""
 MIN_FILL_SHARE = {
     HEARTBEAT: -10.0,
     Urgency.CONFIGURATION: -0.5,
@@ -41,11 +41,12 @@
     Urgency.RETRY: 0.3,
     Urgency.LOAD: 0.5,
 }
-"""Share of the bucket's size below which an urgency may not draw it."""
+"""Minimum fill level that each urgency must leave, as a share of the bucket's capacity; negative
+levels allow an overdraft."""
 
 
 class ByteBucket:
-    """A token bucket of bytes; `now` is in seconds."""
+    """A token bucket; `rate` is in bytes per second and `now` in seconds."""
 
     __slots__ = ("rate", "size", "tokens", "refilled_at")
 
@@ -56,32 +57,35 @@
         self.refilled_at = now
 
     def refill(self, now: float) -> None:
-        """Add what has come in since the last call."""
+        """Add the tokens accrued since the last call."""
         self.tokens = min(self.size, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
 
     def room(self, urgency: Urgency | str) -> float:
-        """Return how many bytes `urgency` may spend now."""
+        """Return how many bytes `urgency` may spend now; negative if none."""
         return self.tokens - MIN_FILL_SHARE[urgency] * self.size
 
     def spend(self, count: int) -> None:
-        """Take `count` bytes; the caller has asked for `room` before."""
+        """Remove `count` bytes, which may overdraw the bucket; check `room` first."""
         self.tokens -= count
 
 
 def max_sends(size: int) -> int:
-    """Return how often each daemon sends an item on, in a fleet of `size` VMs."""
+    """Return how often each daemon sends an item in a fleet of `size` VMs."""
     return max(2, math.ceil(MAX_SENDS_FACTOR * math.log(size + 1)))
 
 
 class QueueEntry:
-    """Something that waits to be spread.
+    """A queued item or membership update.
 
     Attributes:
+        subject: What the entry is about; a newer entry on the same subject replaces it.
         content: An `Update`, or a `Parcel` whose age counts from `since`.
-        size: Bytes it takes in a frame.
-        known_by: Names of VMs that have it; it is not sent to them.
-        sent: How often it was sent.
+        size: Size in a frame, in bytes.
+        since: Start of the content's age, in seconds on this daemon's clock.
+        known_by: Names of VMs that already have the content; it is not sent to them.
+        send_count: Number of times the entry was sent.
+        send_limit: Maximum number of sends; None for the default of the fleet's size.
     """
 
     __slots__ = (
@@ -115,7 +119,7 @@
 
 
 class SendQueue:
-    """What waits to be spread, by urgency and subject."""
+    """Entries that wait to be sent, by urgency and subject."""
 
     __slots__ = ("queues", "count", "dropped")
 
@@ -125,7 +129,7 @@
         self.dropped = 0
 
     def put(self, entry: QueueEntry) -> None:
-        """Queue an entry in place of one about the same subject."""
+        """Queue an entry, replacing one on the same subject."""
         queue = self.queues[entry.urgency]
         if queue.pop(entry.subject, None) is None:
             self.count += 1
@@ -134,14 +138,14 @@
             self._drop_lowest()
 
     def remove(self, entry: QueueEntry) -> None:
-        """Take an entry out, if it still waits."""
+        """Remove an entry if it is still queued."""
         queue = self.queues[entry.urgency]
         if queue.get(entry.subject) is entry:
             del queue[entry.subject]
             self.count -= 1
 
     def waiting(self, lowest: Urgency = Urgency.LOAD) -> Iterator[QueueEntry]:
-        """Yield the entries, most urgent first, down to the urgency `lowest`."""
+        """Yield the queued entries, most urgent first, down to the urgency `lowest`."""
         for urgency in Urgency:
             if urgency <= lowest:
                 yield from list(self.queues[urgency].values())
@@ -149,11 +153,14 @@
     def take(
         self, target: str, room: int, bucket: ByteBucket, fleet_size: int, heartbeat: bool = False
     ) -> list[QueueEntry]:
-        """Choose what goes to `target` in one frame with `room` bytes left, and note it as sent.
+        """Select the entries for one frame to `target` and record them as sent.
 
-        The caller spends the bytes. An entry larger than the room goes only if it is the first
-        and a configuration change, in a frame of its own. On a `heartbeat`, a few words about
-        members go even when the bucket does not pay for them; see `MEMBERSHIP_OVERDRAFT`.
+        The caller spends the bytes. An entry larger than `room` is selected only if it is a
+        configuration change and the first entry of the frame. A `heartbeat` also carries up to
+        `MEMBERSHIP_OVERDRAFT` bytes of membership updates that exceed the bucket's level.
+
+        Args:
+            room: Bytes left in the frame.
         """
         chosen: list[QueueEntry] = []
         used = overdrawn = 0
@@ -177,7 +184,7 @@
         return chosen
 
     def sizes(self) -> dict[str, int]:
-        """Return how many entries wait at each urgency."""
+        """Return the number of queued entries by urgency."""
         return {u.name.lower(): len(q) for u, q in self.queues.items()}
 
     def _record_send(self, entry: QueueEntry, target: str, send_limit: int) -> None:
@@ -185,7 +192,7 @@
         entry.known_by.add(target)
         self.remove(entry)
         if entry.send_count < (entry.send_limit or send_limit):
-            self.put(entry)  # At the end, so that all entries of an urgency take turns.
+            self.put(entry)  # At the end, for a round robin within an urgency.
 
     def _drop_lowest(self) -> None:
         for urgency in reversed(Urgency):
--- a/sequoiabridge/fleet/loads.py
+++ b/sequoiabridge/fleet/loads.py
@@ -1,8 +1,8 @@
-"""Which of this VM's evidence on upstreams is worth telling the others.
+"""Selects which of this VM's load figures of upstreams to publish to the other VMs.
 
-A suspect comes first, in both directions: that an upstream has become one, and that it is none any
-more. Then come the largest changes since the last word. What has hardly changed is not told, since
-the other VMs have evidence of their own; the room that the byte bucket leaves is the limit.
+Upstreams that became suspect or ceased to be come first, then the largest changes since the last
+publication, within the bytes left in the bucket. Small changes are not published, since the other
+VMs have measurements of their own.
 """
 
 from collections.abc import Iterable
@@ -10,19 +10,19 @@
 from .base import LoadItem
 
 LOAD_ITEM_SIZE = 60
-"""Bytes of a load item in a frame, an estimate for names of usual length."""
+"""Estimated size of a load item in a frame, in bytes."""
 MIN_CHANGE_RATIO = 0.5
-"""Share by which a value must have moved to be worth telling."""
+"""Minimum relative change of a figure to be published."""
 MIN_IN_FLIGHT_CHANGE = 2
-"""A change of work in flight by less than this is noise: an instance has two slots."""
+"""Minimum change of the number of calls in flight to be published."""
 SUSPECT_REPEAT_INTERVAL = 5.0
-"""Seconds after which a suspect is named again."""
+"""Seconds between publications of an upstream that stays suspect."""
 LOAD_TTL = 10.0
-"""Seconds after which a word no longer counts as told, and evidence is too old to tell."""
+"""Seconds after which published figures expire, and measured ones are too old to publish."""
 
 
 class LocalLoad:
-    """This VM's evidence on one upstream; `measured_at` is on the daemon's clock, in seconds."""
+    """This VM's load figures of one upstream; `measured_at` is in seconds on the daemon's clock."""
 
     __slots__ = ("upstream", "in_flight", "latency_us", "suspect", "measured_at")
 
@@ -37,7 +37,7 @@
 
 
 class PublishedLoad:
-    """The last word on one upstream."""
+    """The load figures last published for one upstream."""
 
     __slots__ = ("load", "published_at")
 
@@ -49,12 +49,12 @@
 def select_load_items(
     loads: Iterable[LocalLoad], published: dict[str, PublishedLoad], room: float, now: float
 ) -> list[LoadItem]:
-    """Return the items to publish now, most useful first, and note them in `published`.
+    """Return the items to publish now, most useful first, and record them in `published`.
 
     Args:
-        loads: Evidence on upstreams; what is older than `LOAD_TTL` is passed over.
-        told: What was told before, by upstream; the caller keeps it between calls.
-        room: Bytes that the byte bucket leaves for load.
+        loads: Current figures of upstreams; those older than `LOAD_TTL` are skipped.
+        published: Figures last published, by upstream; the caller keeps it between calls.
+        room: Bytes that the byte bucket leaves for load items.
     """
     fresh = [load for load in loads if now - load.measured_at < LOAD_TTL]
     scored = [(score(load, published.get(load.upstream), now), load) for load in fresh]
@@ -66,7 +66,7 @@
 
 
 def score(load: LocalLoad, published: PublishedLoad | None, now: float) -> float:
-    """Return how much the others gain from a piece of evidence; 0 means not worth its bytes."""
+    """Return the priority of publishing an upstream's figures; 0 if they need not be published."""
     last_load = (
         published.load
         if published is not None and now - published.published_at < LOAD_TTL
@@ -83,7 +83,7 @@
 
 
 def in_flight_change(load: LocalLoad, last_load: LocalLoad) -> float:
-    """Return the change of work in flight relative to the last word, 0 if it is small."""
+    """Return the relative change of the calls in flight since `last_load`, 0 if it is small."""
     change = abs(load.in_flight - last_load.in_flight)
     if change < MIN_IN_FLIGHT_CHANGE:
         return 0.0
@@ -92,13 +92,13 @@
 
 
 def latency_change(load: LocalLoad, last_load: LocalLoad) -> float:
-    """Return by how much the mean time has grown or shrunk, 0 if it is little."""
+    """Return the relative change of the mean latency since `last_load`, 0 if it is small."""
     low, high = sorted((max(1, load.latency_us), max(1, last_load.latency_us)))
     ratio = high / low - 1
     return ratio if ratio >= MIN_CHANGE_RATIO else 0.0
 
 
 def to_load_item(load: LocalLoad, now: float) -> LoadItem:
-    """Return the evidence as it is sent."""
+    """Return the load figures as an item with its age."""
     age_ms = int((now - load.measured_at) * 1000)
     return LoadItem(load.upstream, load.in_flight, load.latency_us, load.suspect, age_ms)
--- a/sequoiabridge/fleet/marks.py
+++ b/sequoiabridge/fleet/marks.py
@@ -1,8 +1,8 @@
-"""Marks that every VM should have, the log of recent changes, and digests to compare them.
+"""State replicated to every VM, the log of recent configuration changes, and digests of state.
 
-A mark is the last word on a subject: an upstream that drains, a request that crashed one. Marks
-are compared between VMs from time to time by digest, so that a lost message loses no mark. Their
-age goes with them, so that all VMs forget a mark at about the same time.
+A mark is the newest item on a subject, such as the drain of an upstream or a request that crashed
+one. VMs compare digests of their marks periodically, which repairs lost messages. A mark is sent
+with its age, so that it expires on all VMs at about the same time.
 """
 
 from collections.abc import Iterable
@@ -14,18 +14,19 @@
 from .wire import Parcel
 
 MARK_TTL = 3_600.0
-"""Seconds after which a mark is forgotten."""
+"""Seconds after which a mark expires."""
 MAX_MARKS = 4_096
+"""Maximum number of marks; beyond it, the oldest is dropped."""
 DIGEST_BUCKETS = 16
-"""Digests are compared in this many parts, so that little is sent for a small difference."""
+"""Number of buckets of a digest; only the contents of buckets that differ are sent."""
 MAX_LOG_BYTES = 262_144
-"""Bytes of recent configuration changes that are kept for VMs that missed them."""
+"""Maximum bytes of recent configuration changes kept for VMs that missed them."""
 
 Subject = tuple
 
 
 def subject_of(item: AnyItem, sender: str) -> Subject:
-    """Return what an item is about; a newer item takes the place of one on the same subject."""
+    """Return what an item is about; a newer item replaces one on the same subject."""
     match item:
         case ConfigurationItem():
             return ("configuration", item.version)
@@ -40,7 +41,7 @@
 
 
 def rank_of(item: AnyItem) -> tuple:
-    """Return what decides between two items on one subject: the higher rank is the newer."""
+    """Return the order of an item among those on its subject; the highest rank is the newest."""
     match item:
         case DrainItem():
             return (item.incarnation, item.leaving)
@@ -52,10 +53,13 @@
 
 
 class Mark:
-    """The last word on a subject; `since` is on this daemon's clock.
+    """The newest item on a subject.
 
     Attributes:
-        key, rank: Subject and rank as text for digests, made once.
+        raw: The encoded item.
+        origin: Name of the VM that published it.
+        since: Start of the item's age, in seconds on this daemon's clock.
+        key, rank: Subject and rank as text for digests.
     """
 
     __slots__ = ("item", "raw", "origin", "since", "key", "rank")
@@ -69,12 +73,12 @@
         self.rank = repr(rank_of(item))
 
     def parcel(self, now: float) -> Parcel:
-        """Return the mark as it is sent now."""
+        """Return the mark with its age at `now`."""
         return Parcel(self.raw, self.origin, int((now - self.since) * 1000))
 
 
 class Marks:
-    """All marks by subject."""
+    """The marks of this VM by subject."""
 
     __slots__ = ("marks",)
 
@@ -82,7 +86,7 @@
         self.marks: dict[Subject, Mark] = {}
 
     def add(self, mark: Mark, now: float) -> bool:
-        """Keep a mark if it says something newer; return whether it did."""
+        """Store a mark unless it is expired or not newer; return True if it was stored."""
         if now - mark.since >= MARK_TTL:
             return False
         subject = subject_of(mark.item, mark.origin)
@@ -96,13 +100,13 @@
         return True
 
     def remove_expired(self, now: float) -> None:
-        """Drop marks whose time is over."""
+        """Remove expired marks."""
         for subject, mark in list(self.marks.items()):
             if now - mark.since >= MARK_TTL:
                 del self.marks[subject]
 
     def entries(self) -> Iterable[tuple[str, str, Mark]]:
-        """Yield subject and rank as text for digests, and the mark."""
+        """Yield subject and rank as text for digests, with the mark."""
         for mark in self.marks.values():
             yield mark.key, mark.rank, mark
 
@@ -111,7 +115,7 @@
     """Recent configuration changes by version, for VMs that missed one.
 
     Attributes:
-        version_only: Versions of which nothing else is known: their changes are large.
+        version_only: Versions whose change is too large to be kept.
     """
 
     __slots__ = ("parcels", "size", "version_only")
@@ -122,7 +126,7 @@
         self.version_only: set[int] = set()
 
     def add(self, version: int, parcel: Parcel, is_complete: bool = True) -> bool:
-        """Keep a change, or its version if it is not `is_complete`; return False if that was known."""
+        """Store a change, or only its version unless `is_complete`; return False if known."""
         if version in self.parcels and not (is_complete and version in self.version_only):
             return False
         self.version_only.discard(version) if is_complete else self.version_only.add(version)
@@ -136,12 +140,15 @@
         return True
 
     def origin(self, version: int) -> str:
-        """Return the VM that published a version, or ""."""
+        """Return the name of the VM that published a version, or "" if unknown."""
         parcel = self.parcels.get(version)
         return parcel.origin if parcel is not None else ""
 
     def between(self, first: int, last: int, room: int) -> list[Parcel]:
-        """Return the changes from `first` in order, as many as fit, the first in any case."""
+        """Return consecutive changes from `first` to `last` that fit in `room` bytes.
+
+        The first change is returned even if it is larger.
+        """
         chosen: list[Parcel] = []
         for version in range(first, last + 1):
             parcel = self.parcels.get(version)
@@ -155,12 +162,12 @@
 
 
 def bucket_of(subject: str) -> int:
-    """Return the part of the digest that a subject belongs to."""
+    """Return the digest bucket of a subject."""
     return crc32(subject.encode()) % DIGEST_BUCKETS
 
 
 def digest_of(entries: Iterable[tuple[str, str]]) -> list[int]:
-    """Return one checksum for each bucket of subjects and ranks, in whatever order they come."""
+    """Return one checksum per bucket of subjects and ranks, independent of their order."""
     sums = [0] * DIGEST_BUCKETS
     for subject, rank in entries:
         sums[bucket_of(subject)] ^= crc32(f"{subject}={rank}".encode())
@@ -168,7 +175,7 @@
 
 
 def differing_buckets(local: list[int], remote: list[int]) -> set[int]:
-    """Return the buckets that differ; all if the other daemon divides differently."""
+    """Return the buckets that differ; all if the daemons use different numbers of buckets."""
     if len(remote) != DIGEST_BUCKETS:
         return set(range(DIGEST_BUCKETS))
     return {i for i, (a, b) in enumerate(zip(local, remote, strict=True)) if a != b}
--- a/sequoiabridge/fleet/repair.py
+++ b/sequoiabridge/fleet/repair.py
@@ -1,4 +1,4 @@
-"""Makes up for what spreading missed: fetches changes, compares state, collects confirmations."""
+"""Anti-entropy: fetches missed changes, compares state and collects confirmations of versions."""
 
 from random import Random
 
@@ -11,24 +11,25 @@
 from .wire import PACKET_BYTES, Kind, Message
 
 COMPARE_INTERVAL = 10.0
-"""Seconds between two comparisons of state, while nothing differs."""
+"""Mean seconds between two comparisons of state."""
 STARTUP_COMPARE_INTERVAL = 2.0
+"""Mean seconds between two comparisons of state during `STARTUP_SECONDS`."""
 STARTUP_SECONDS = 20.0
-"""For so many seconds a new VM compares every `STARTUP_COMPARE_INTERVAL` seconds."""
+"""Seconds after its start during which a VM compares state more often."""
 FOLLOW_UP_COMPARE_DELAY = 1.0
-"""Seconds to the next comparison after one that brought something new."""
+"""Maximum seconds to the next comparison after one that brought new state."""
 CONFIRMATION_PING_INTERVAL = 1.0
 """Seconds between pings of VMs that have not confirmed a tracked version."""
 MAX_CONFIRMATION_PINGS = 3
-"""VMs pinged each time."""
+"""Maximum number of unconfirmed VMs pinged per version and interval."""
 MAX_TRACKING_SECONDS = 30.0
-"""Seconds after which a version is tracked no more."""
+"""Seconds for which the spread of a version is tracked."""
 MAX_REPLY_CHANGES = PACKET_BYTES - 200
-"""Bytes of changes in one answer."""
+"""Maximum bytes of changes in one answer; a single larger change is sent alone."""
 
 
 class Repair:
-    """Works at a low rate beside the spreading of new items."""
+    """Repairs at a low rate what the spreading of new items missed."""
 
     def __init__(
         self,
@@ -50,14 +51,18 @@
         self.next_compare = self.next_confirmation_ping = now
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the periodic actions that are due."""
         self._fetch_missing(now)
         self._announce_version(now)
         self._compare(now)
         self._ping_unconfirmed(now)
 
     def handle_message(self, message: Message, learned: bool, now: float) -> None:
-        """Answer requests for changes and comparisons; `learned` if the message brought news."""
+        """Answer requests for changes and comparisons of state.
+
+        Args:
+            learned: Whether the message brought new items or membership updates.
+        """
         for tracker in self.trackers.values():
             tracker.record_version(message.sender, message.version)
         if message.kind == Kind.FETCH:
@@ -66,7 +71,7 @@
             self._answer_digest(message, learned, now)
 
     def track(self, version: int, now: float) -> SpreadTracker:
-        """Count from now on which VMs confirm that a version is in force there."""
+        """Track from now on which VMs confirm that a version is in force there."""
         tracker = SpreadTracker(version, now)
         for member in self.membership.live():
             tracker.record_version(member.name, member.version)
@@ -74,7 +79,7 @@
         return tracker
 
     def _announce_version(self, now: float) -> None:
-        """Tell the publisher of the version in force that it is in force here."""
+        """Confirm a new version in force to the VM that published it."""
         version = self.version_tracker.in_force
         if version <= self.announced_version:
             return
@@ -113,7 +118,7 @@
         if not parcels or member is None:
             return
         if self.sender.bucket.room(Urgency.CONFIGURATION) < PACKET_BYTES:
-            return  # It asks again, perhaps another VM.
+            return  # The requester retries, possibly with another VM.
         outgoing = message_to(member, Kind.GOSSIP)
         message = self.sender.message(outgoing)
         message.parcels = parcels
@@ -143,7 +148,7 @@
         if not message.digest or member is None:
             return
         updates, parcels = self.spreader.state_for(message.digest, now)
-        # A VM that differs has to hear so even if it is the one that knows more.
+        # Answered also if there is nothing to send: the other VM may hold the newer state.
         differs = self.spreader.differs(message.digest)
         if not differs or self.sender.bucket.room(Urgency.MEMBERSHIP) < PACKET_BYTES:
             return
--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -1,8 +1,8 @@
-"""The whole configuration from another VM, for one that can read it nowhere else.
+"""Transfers the whole configuration document between VMs while the table is unavailable.
 
-A new VM that finds the table service down, or one that missed more changes than its peers still
-hold, asks one peer for the document in pieces. Each piece is paid from the sender's byte bucket
-as configuration. A checksum over the whole ends a transfer whose pieces do not fit together.
+A new VM, or one that missed more changes than its peers keep, requests the compressed document
+from one peer in pieces. Pieces count as configuration in the sender's byte bucket. A checksum over
+the whole document detects pieces of different versions.
 """
 
 from collections.abc import Callable
@@ -22,28 +22,31 @@
 log = get_log("fleet")
 
 PIECE_SIZE = 1_000
-"""Bytes of the document in one message."""
+"""Maximum bytes of the compressed document in one message."""
 REQUEST_TIMEOUT = 0.6
-"""Seconds after which a piece is asked for again; its sender may be short of bytes."""
+"""Seconds after which a piece is requested again from the same VM."""
 PROVIDER_TIMEOUT = 5.0
-"""Seconds without a piece after which another VM is asked, from the start."""
+"""Seconds without progress after which the transfer restarts with another VM."""
 MAX_RECEIVERS = 2
-"""VMs that take the document from one peer at a time; the others ask elsewhere, or later."""
+"""Maximum number of VMs that receive the document from this one at the same time."""
 RECEIVER_TIMEOUT = 2.0
-"""Seconds without a request after which a VM is no longer taking it."""
+"""Seconds without a request after which a VM no longer counts as a receiver."""
 MAX_COMPRESSED_SIZE = 16_000_000
-"""Bytes of the largest document that is put together, compressed."""
+"""Maximum size of a compressed document that is accepted, in bytes."""
 
 Provider = Callable[[], tuple[int, bytes]]
 Consumer = Callable[[int, bytes], None]
 
 
 class SnapshotExchange:
-    """Gives and takes whole documents.
+    """Sends and receives whole configuration documents.
 
     Attributes:
-        provider: Returns the version in force and its encoding; set by the configuration's part.
-        consumer: Called with the version and the encoding that a peer sent.
+        provider: Returns the version in force and its encoded document; None before it is set.
+        consumer: Called with the version and the encoded document received from a peer.
+        provided: Version and compressed document that is being sent to other VMs.
+        receivers: Time of the last request of each VM that receives the document.
+        source: Name of the VM from which the document is being received, or "".
     """
 
     def __init__(
@@ -66,7 +69,7 @@
         self.requested_at = self.progress_at = float("-inf")
 
     def tick(self, now: float) -> None:
-        """Ask for the document, or for the piece that did not come."""
+        """Start a transfer, or request the next piece again after a timeout."""
         if self.consumer is None or not self.version_tracker.wants_snapshot(now):
             self._reset()
             return
@@ -83,7 +86,7 @@
             self._request_piece(now)
 
     def handle_message(self, message: Message, now: float) -> None:
-        """Answer a request, or take in a piece."""
+        """Answer a request for a piece, or process a received piece."""
         if message.kind == Kind.SNAPSHOT_REQUEST:
             self._send_piece(message, now)
         elif message.kind == Kind.SNAPSHOT and message.piece is not None:
@@ -102,7 +105,7 @@
             return
         room = self.sender.bucket.room(Urgency.CONFIGURATION)
         if room < PIECE_SIZE + EMPTY_MESSAGE_BYTES + TRANSPORT_OVERHEAD:
-            return  # It asks again.
+            return  # The requester retries.
         if request.number == 0 and self.provided[0] != self.version_tracker.in_force:
             version, document = self.provider()
             self.provided = (version, compress(document))
@@ -114,7 +117,7 @@
         self.sender.send(outgoing, now, message)
 
     def _may_receive(self, name: str, now: float) -> bool:
-        """Return True if a VM may take the document now: shared by all, it would come to none."""
+        """Return True if a VM is among the receivers, or there are fewer than `MAX_RECEIVERS`."""
         self.receivers = {n: at for n, at in self.receivers.items() if now - at < RECEIVER_TIMEOUT}
         if name not in self.receivers and len(self.receivers) >= MAX_RECEIVERS:
             return False
@@ -143,9 +146,9 @@
         try:
             document = decompress(data)
         except zlib_error:
-            log.warning("VM %s sent a configuration that can't be read; asking another.", name)
+            log.warning("cannot decompress the configuration from VM %s; trying another VM", name)
             return
-        log.info("Got configuration %d from VM %s.", piece.version, name)
+        log.info("received configuration version %d from VM %s", piece.version, name)
         self.consumer(piece.version, document)
 
     def _reset(self) -> None:
--- a/sequoiabridge/fleet/spreader.py
+++ b/sequoiabridge/fleet/spreader.py
@@ -1,8 +1,8 @@
-"""Spreads items and updates: what is queued, what is known, what is paid, what is compared.
+"""Gossip of items and membership updates: queues, deduplicates and compares them. No I/O.
 
-Pure but for the `transmit` function that it is given. Urgent items go at once to a few members
-that are not known to have them, and each that hears one for the first time does the same; the
-rest rides on heartbeats. Digests compared with one member at a time repair what was lost.
+A new item is queued and forwarded to members not known to have it. Urgent items are sent
+immediately to a few members, others are carried by heartbeats. Comparing digests with one member
+at a time repairs losses.
 """
 
 from collections.abc import Callable, Iterable
@@ -38,18 +38,24 @@
 from .wire import PACKET_BYTES, Codec, Kind, Message, Parcel, Update, urgency_of
 
 PARCEL_OVERHEAD = 8
+"""Estimated bytes of a parcel in a frame besides its item and origin."""
 MAX_LOAD_SENDS = 2
-"""Members that hear an ordinary load item; a suspect's goes to as many as any other item."""
+"""Maximum number of sends of a load item of an upstream that is not suspect."""
 MAX_PERIODS = 4_096
-"""VMs and services whose last counting period is remembered."""
+"""Maximum number of VM and service pairs whose last counting period is remembered."""
 UPDATE_SIZE = 48
-"""Bytes of an update with names of usual length, an estimate."""
+"""Estimated size of a membership update in a frame, in bytes."""
 
 ItemListener = Callable[[AnyItem, str], None]
 
 
 class Spreader:
-    """What this daemon knows and has yet to tell."""
+    """Replicated state of this daemon and the queue of items to send.
+
+    Attributes:
+        periods: Newest counting period received, by subject of the retry item.
+        spread_version: Newest version whose compressed change was spread here on request.
+    """
 
     def __init__(self, membership: Membership, codec: Codec, random: Random):
         self.membership = membership
@@ -64,7 +70,7 @@
     # Own items.
 
     def publish(self, item: AnyItem, urgency: Urgency, now: float) -> None:
-        """Queue an item of this VM."""
+        """Record and queue an item of this VM."""
         if isinstance(item, ConfigurationItem):
             self._publish_change(pack_change(item), urgency, now)
             return
@@ -74,7 +80,7 @@
             self._enqueue(item, Parcel(raw, me), urgency, now)
 
     def _publish_change(self, item: ConfigurationItem, urgency: Urgency, now: float) -> None:
-        """Keep a change, and spread it, or its version if it is large, unless that was heard."""
+        """Record a change and queue it, or its version if it is large, unless it is known."""
         me = self.membership.own_member.name
         is_known = item.version in self.changes.parcels
         if self._record(item, Parcel(self.codec.encode_item(item), me), now, now) and not is_known:
@@ -84,7 +90,10 @@
             )
 
     def spread_compressed(self, version: int, requester: str, now: float) -> None:
-        """Spread a compressed change: a VM had to ask for it, so others can't read it either."""
+        """Queue a compressed change for all VMs.
+
+        A VM requested it because it cannot read the table, so others may need it as well.
+        """
         parcel = self.changes.parcels.get(version)
         if parcel is None or version <= self.spread_version:
             return
@@ -97,17 +106,21 @@
         entry.known_by.update(m.name for m in self.membership.live() if m.version >= version)
 
     def queue_updates(self, updates: Iterable[Update], now: float) -> None:
-        """Queue words about members; a newer one replaces an older on the same VM."""
+        """Queue membership updates; a newer one replaces an older one on the same VM."""
         for update in updates:
             subject = ("member", update.name)
             entry = QueueEntry(subject, Urgency.MEMBERSHIP, update, UPDATE_SIZE, now)
             entry.known_by.add(update.name if update.state == MemberState.ALIVE else "")
             self.queue.put(entry)
 
-    # Items of others.
+    # Items of other VMs.
 
     def handle_message(self, message: Message, now: float) -> list[tuple[AnyItem | None, str]]:
-        """Take in a message's parcels; return the new items, None if unknown, with their origin."""
+        """Record a message's items and queue them for forwarding.
+
+        Returns:
+            The new items with their origin; None for an item of unknown type.
+        """
         new: list[tuple[AnyItem | None, str]] = []
         self._mark_version_known(message)
         for parcel in message.parcels:
@@ -128,7 +141,7 @@
     def fill(
         self, message: Message, target: str, room: int, bucket: ByteBucket, now: float
     ) -> list[QueueEntry]:
-        """Add to a message what waits for `target`; return what was added."""
+        """Add queued entries for `target` to a message, up to `room` bytes; return them."""
         size = len(self.membership.roster.live_names) + 1
         heartbeat = message.kind in (Kind.PING, Kind.ACK)
         entries = self.queue.take(target, room, bucket, size, heartbeat)
@@ -142,7 +155,10 @@
         return entries
 
     def next_target(self, lowest: Urgency) -> tuple[QueueEntry, MemberView] | None:
-        """Return the most urgent waiting item and a live member that lacks it, or None."""
+        """Return the most urgent entry and a random live member without it, or None.
+
+        Entries that all live members have are removed from the queue.
+        """
         for entry in self.queue.waiting(lowest):
             targets = [m for m in self.membership.live() if m.name not in entry.known_by]
             if targets:
@@ -154,15 +170,15 @@
     # Comparison of state.
 
     def digest(self) -> list[int]:
-        """Return the digest of live members and marks."""
+        """Return the digest of the live members and the marks."""
         return digest_of((subject, rank) for subject, rank, _ in self._entries())
 
     def differs(self, digest: list[int]) -> bool:
-        """Return True if another daemon's digest shows that it knows more, less or other."""
+        """Return True if another daemon's digest differs from the one here."""
         return bool(differing_buckets(self.digest(), digest))
 
     def state_for(self, digest: list[int], now: float) -> tuple[list[Update], list[Parcel]]:
-        """Return what is in the buckets that differ from `digest`, as much as fits one frame."""
+        """Return the contents of the buckets that differ from `digest`, up to one frame."""
         wanted = differing_buckets(self.digest(), digest)
         entries = [e for e in self._entries() if bucket_of(e[0]) in wanted]
         self.random.shuffle(entries)
@@ -185,10 +201,10 @@
         state = [(f"member {u.name}", str(u.incarnation), u) for u in updates]
         return state + list(self.marks.entries())
 
-    # Keeping.
+    # Recording.
 
     def _record(self, item: AnyItem, parcel: Parcel, since: float, now: float) -> bool:
-        """Note an item; return False if it, or a newer one, was known."""
+        """Record an item; return False if it, or a newer one, is known."""
         match item:
             case ConfigurationItem():
                 return self.changes.add(item.version, parcel, has_change(item))
@@ -214,14 +230,14 @@
         return entry
 
     def _mark_version_known(self, message: Message) -> None:
-        """A VM in which a version is in force needs no change up to it."""
+        """Mark queued changes up to a message's version as known by its sender."""
         for subject, entry in self.queue.queues[Urgency.CONFIGURATION].items():
             if subject[0] == "configuration" and subject[1] <= message.version:
                 entry.known_by.add(message.sender)
 
 
 def add_age(item: AnyItem, age_ms: int) -> AnyItem:
-    """Return an item with the time it spent on its way added to its age."""
+    """Return an item with its time in transit added to its age, if it has one."""
     if not isinstance(item, LoadItem):
         return item
     return msgspec.structs.replace(item, age_ms=item.age_ms + age_ms)
--- a/sequoiabridge/fleet/version_tracker.py
+++ b/sequoiabridge/fleet/version_tracker.py
@@ -1,7 +1,7 @@
-"""Whether this VM may know that its configuration is the newest, and how far a version has come.
+"""Decides whether this VM's configuration is the newest, and tracks how far a version has spread.
 
-Pure: versions read from the table, versions heard from other VMs and the size of the fleet are
-events. See docs/design/currency.md for what is proved and which gap remains.
+No I/O: versions read from the table, versions of other VMs and the size of the fleet are passed in
+as events. See docs/design/currency.md for the guarantees and their limits.
 """
 
 from collections.abc import Iterable
@@ -10,25 +10,32 @@
 from .packing import has_change
 
 CONFIRMATION_TTL = 6.0
-"""Seconds after which a confirmation no longer counts."""
+"""Seconds after which a confirmation by the table or a VM expires."""
 MIN_CONFIRMING_PEERS = 3
-"""Different VMs that must have been heard lately, so that a cut-off VM notices."""
+"""Minimum number of other VMs with a current confirmation while the table is unavailable, so that
+an isolated VM does not stay ready. All other live VMs suffice in a smaller fleet."""
 FETCH_DELAY = 0.3
-"""Seconds to wait for a change that is on its way before asking for it."""
+"""Seconds to wait for a missing change before requesting it from another VM."""
 INITIAL_SNAPSHOT_DELAY = 3.0
-"""Seconds after which a VM without any configuration asks another for all of it."""
+"""Seconds after which a VM without a configuration requests the whole document from another."""
 SNAPSHOT_DELAY = 15.0
-"""The same for one that is behind: changes cost less, and pieces would hold them up."""
+"""Seconds after which a VM that is behind requests the whole document; longer, since fetching the
+missing changes costs less."""
 FETCH_INTERVAL = 0.5
-"""Seconds between two requests for the same changes."""
+"""Minimum seconds between two requests for missing changes."""
 
 
 class VersionTracker:
     """Decides if the configuration in force is known to be the newest.
 
     Attributes:
-        in_force: Version in force here, 0 if none is.
-        newest: Newest version known to be committed, 0 if none is.
+        in_force: Version in force here, 0 if there is none.
+        newest: Newest version known to be committed, 0 if there is none.
+        pending: Changes by version that wait for those before them.
+        confirmed_at: When the last answered ping to each VM was sent.
+        table_read_at: When the last successful read of the table began, or None.
+        live: Number of live VMs, this one included.
+        expected: Number of VMs the fleet should have, this one included.
     """
 
     def __init__(self, now: float):
@@ -47,38 +54,38 @@
     # Events.
 
     def record_table_version(self, version: int, now: float) -> None:
-        """The table was read and names `version` as the newest; `now` is when the read began."""
+        """Record the newest version in the table; `now` is when the read began."""
         self.table_read_at = now
         self.table_unavailable = False
         self._record_newest(version, now)
 
     def record_table_failure(self) -> None:
-        """The table could not be read: large changes have to come from other VMs."""
+        """Record that the table could not be read: large changes are fetched from other VMs."""
         self.table_unavailable = True
 
     def record_peer_version(self, version: int, now: float) -> None:
-        """Another VM says, in a message that is no replay, that `version` is in force there."""
+        """Record the version in force on another VM, from a message that is not a replay."""
         self._record_newest(version, now)
 
     def record_confirmation(self, name: str, at: float) -> None:
-        """The VM `name` answered a ping that was sent at `at`, with its version.
+        """Record that the VM `name` answered a ping sent at `at` with its version.
 
-        Only such a round trip proves anything about the present: after a pause of this process,
-        old messages still come in.
+        Only a round trip confirms the current version: after a pause of this process, old
+        messages may still arrive.
         """
         self.confirmed_at[name] = max(at, self.confirmed_at.get(name, at))
 
     def set_fleet_size(self, live: int, expected: int) -> None:
-        """Set how many VMs are alive and how many there should be, this one included in both."""
+        """Set the number of live and of expected VMs, both including this one."""
         self.live, self.expected = live, expected
 
     def discard_confirmations(self) -> None:
-        """This process was paused: what it knew before proves nothing now."""
+        """Discard all confirmations after a pause of this process."""
         self.table_read_at = None
         self.confirmed_at.clear()
 
     def add_change(self, item: ConfigurationItem, now: float) -> bool:
-        """Hold a change until its turn; return False if it is old or held already."""
+        """Store a change until it can be applied; return False if it is old or already stored."""
         self._record_newest(item.version, now)
         pending = self.pending.get(item.version)
         known = pending is not None and (has_change(pending) or not has_change(item))
@@ -88,14 +95,14 @@
         return True
 
     def next_change(self) -> ConfigurationItem | None:
-        """Return the change that follows the version in force, if it is held.
+        """Return the change that follows the version in force, or None if it is missing.
 
-        One with its version only is too large to be spread: read it from the table.
+        A change without content is too large to be spread and must be read from the table.
         """
         return self.pending.get(self.in_force + 1)
 
     def record_applied(self, version: int, now: float) -> bool:
-        """Note that `version` is in force; return False, changing nothing, if it is older."""
+        """Record that `version` is in force; return False, changing nothing, if it is older."""
         if version < self.in_force:
             return False
         self.in_force = version
@@ -103,10 +110,13 @@
         self.pending = {v: item for v, item in self.pending.items() if v > version}
         return True
 
-    # Answers.
+    # Queries.
 
     def next_fetch(self, now: float) -> range | None:
-        """Return the versions to ask another VM for now, or None; at most one answer in a while."""
+        """Return the versions to request from another VM now, or None.
+
+        Returns a range at most once per `FETCH_INTERVAL`.
+        """
         first = self.in_force + 1
         while self._is_obtainable(first):
             first += 1
@@ -121,7 +131,7 @@
         return range(first, last + 1)
 
     def wants_snapshot(self, now: float) -> bool:
-        """Return True if changes alone have not brought the newest version for some time."""
+        """Return True if the whole document is needed: changes did not bring the newest version."""
         after = SNAPSHOT_DELAY if self.in_force else INITIAL_SNAPSHOT_DELAY
         return self.in_force < self.newest and now - self.behind_since >= after
 
@@ -130,17 +140,17 @@
         return self.why_not_ready(now) == ""
 
     def why_not_ready(self, now: float) -> str:
-        """Return in one sentence why the VM may not serve, or "" if it may."""
+        """Return why the VM is not ready to serve as a sentence, or "" if it is ready."""
         if self.newest == 0:
             return "No configuration is known yet; apply one, or wait for the table service."
         if self.in_force < self.newest:
-            return f"Version {self.in_force} is in force but {self.newest} is accepted; fetching."
+            return f"Version {self.in_force} is in force but {self.newest} is committed; fetching."
         if self._is_confirmed_by_table(now):
             return ""
         return self._why_not_confirmed_by_fleet(now)
 
     def confirmation_count(self, now: float) -> int:
-        """Return how many VMs were heard lately."""
+        """Remove expired confirmations and return the number of VMs with a current one."""
         for name, at in list(self.confirmed_at.items()):
             if now - at > CONFIRMATION_TTL:
                 del self.confirmed_at[name]
@@ -152,20 +162,20 @@
     def _why_not_confirmed_by_fleet(self, now: float) -> str:
         if self.live * 2 <= self.expected:
             return (
-                f"The table service is silent and only {self.live} of {self.expected} VMs are "
-                "heard, not a majority; check the network and the platform."
+                f"The table service is unavailable and only {self.live} of {self.expected} VMs are "
+                "live, not a majority; check the network and the platform."
             )
         required = min(MIN_CONFIRMING_PEERS, self.live - 1)
         confirmed = self.confirmation_count(now)
         if confirmed < required:
             return (
-                f"The table service is silent and {confirmed} VMs of {required} wanted were heard in "
-                f"{CONFIRMATION_TTL:.0f} s; check this VM's network."
+                f"The table service is unavailable and {confirmed} VMs of {required} required "
+                f"answered in the last {CONFIRMATION_TTL:.0f} s; check this VM's network."
             )
         return ""
 
     def _is_obtainable(self, version: int) -> bool:
-        """Return True if a change is held, or is to be read from the table."""
+        """Return True if a change is stored here or can be read from the table."""
         item = self.pending.get(version)
         return item is not None and (has_change(item) or not self.table_unavailable)
 
@@ -178,7 +188,7 @@
 
 
 class SpreadTracker:
-    """Counts the VMs that have said that a version, or a newer one, is in force there."""
+    """Tracks which VMs have confirmed that a version, or a newer one, is in force there."""
 
     __slots__ = ("version", "since", "confirmed")
 
@@ -188,7 +198,7 @@
         self.confirmed: set[str] = set()
 
     def record_version(self, name: str, version: int) -> None:
-        """Note the version that is in force at a VM."""
+        """Record the version in force on a VM."""
         if version >= self.version:
             self.confirmed.add(name)
 
@@ -198,5 +208,5 @@
         return len(names & self.confirmed), len(names)
 
     def unconfirmed(self, live: Iterable[str]) -> list[str]:
-        """Return the live VMs that have not confirmed, in order of name."""
+        """Return the VMs in `live` that have not confirmed the version, sorted by name."""
         return sorted(set(live) - self.confirmed)
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -1,4 +1,4 @@
-"""The byte bucket: its rate, who goes first, and that nobody above is starved."""
+"""The byte bucket and the send queue: rate, priorities and freedom from starvation."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
     return QueueEntry(subject, urgency, Parcel(msgspec.Raw(b"\xc0"), "vm1"), size, 0.0)
 
 
-def test_a_newer_item_takes_the_place_of_one_that_waits():
+def test_a_newer_item_replaces_a_queued_one():
     queue = SendQueue()
     old, new = entry("a", Urgency.LOAD), entry("a", Urgency.LOAD)
     queue.put(old)
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("above", list(Urgency)[:-1])
-def test_a_flood_of_one_urgency_leaves_the_bucket_to_those_above(above):
+def test_a_flood_of_one_urgency_leaves_bytes_for_higher_ones(above):
     bucket = ByteBucket(3000, 0.0)
     below = Urgency(above + 1)
     while bucket.room(below) > 0:
@@ -32,7 +32,7 @@
     assert bucket.room(HEARTBEAT) > bucket.room(Urgency.CONFIGURATION) > 0
 
 
-def test_the_most_urgent_go_first_and_a_full_queue_drops_the_lowest():
+def test_most_urgent_entries_go_first_and_a_full_queue_drops_the_lowest():
     queue, bucket = SendQueue(), ByteBucket(3000, 0.0)
     for i in range(MAX_QUEUED_ENTRIES + 5):
         queue.put(entry(i, Urgency.LOAD))
@@ -43,11 +43,13 @@
     assert [e.urgency for e in chosen] == [Urgency.CONFIGURATION, Urgency.DRAIN]
     assert queue.take("vm2", 130, bucket, 18)[0].urgency is Urgency.LOAD
     bucket.spend(1600)
-    assert queue.take("vm2", 130, bucket, 18) == [], "load stops while others may still spend"
+    assert (
+        queue.take("vm2", 130, bucket, 18) == []
+    ), "load stops while higher urgencies may still spend"
     assert len(queue.take("vm3", 130, bucket, 18)) == 2
 
 
-def test_each_item_goes_to_each_vm_once_and_only_so_often():
+def test_an_item_goes_to_each_vm_once_and_to_a_limited_number_of_vms():
     queue, bucket = SendQueue(), ByteBucket(3000, 0.0)
     queue.put(entry("c", Urgency.DRAIN))
     counts = [len(queue.take(f"vm{i // 2}", 1000, bucket, 18)) for i in range(40)]
@@ -55,7 +57,7 @@
     assert sum(counts) == 5
 
 
-def test_a_flood_keeps_the_rate_and_kills_nobody_and_configuration_still_gets_through():
+def test_a_flood_keeps_within_the_rate_and_delays_neither_heartbeats_nor_configuration():
     simulation = FleetSimulation(6)
     simulation.run(10)
     first, *others = simulation.all()
--- a/sequoiabridge/tests/fleet/test_loads.py
+++ b/sequoiabridge/tests/fleet/test_loads.py
@@ -1,4 +1,4 @@
-"""Which evidence on upstreams is told, and in which order."""
+"""Which load figures of upstreams are published, and in which order."""
 
 from ...fleet.loads import LOAD_ITEM_SIZE, SUSPECT_REPEAT_INTERVAL, LocalLoad, select_load_items
 
@@ -20,10 +20,10 @@
     assert names(select_load_items(current, published, 2 * LOAD_ITEM_SIZE, 0.5)) == ["c", "b"]
     assert names(select_load_items(current, published, AMPLE_ROOM, 0.6)) == [
         "a"
-    ], "the rest when there is room"
+    ], "the rest follows when there is room"
 
 
-def test_small_changes_and_old_evidence_are_not_told():
+def test_small_changes_and_old_figures_are_not_published():
     published = {}
     select_load_items([load("a", 4)], published, AMPLE_ROOM, 0.0)
     assert (
@@ -34,13 +34,13 @@
     )
 
 
-def test_no_room_means_no_items_and_nothing_counts_as_told():
+def test_without_room_no_items_are_sent_or_recorded_as_published():
     published = {}
     assert select_load_items([load("a", suspect=True)], published, -500.0, 0.0) == []
     assert names(select_load_items([load("a", suspect=True)], published, AMPLE_ROOM, 0.1)) == ["a"]
 
 
-def test_a_suspect_is_named_again_and_its_acquittal_is_told_at_once():
+def test_a_suspect_is_published_periodically_and_its_recovery_at_once():
     published = {}
     bad, good = load("a", suspect=True, measured_at=5.0), load("a", measured_at=5.0)
     select_load_items([bad], published, AMPLE_ROOM, 0.0)
--- a/sequoiabridge/tests/fleet/test_version_tracker.py
+++ b/sequoiabridge/tests/fleet/test_version_tracker.py
@@ -1,4 +1,4 @@
-"""When a VM may know that it is current, and how changes come in order."""
+"""When a VM is known to have the newest configuration, and the order of changes."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     return tracker
 
 
-def test_a_new_vm_is_not_ready_until_the_table_or_enough_peers_were_heard():
+def test_a_new_vm_is_not_ready_until_the_table_or_enough_peers_confirm_its_version():
     tracker = VersionTracker(0.0)
     tracker.set_fleet_size(18, 18)
     assert "No configuration" in tracker.why_not_ready(0.0)
@@ -38,7 +38,7 @@
     assert fresh.ready(1.0)
 
 
-def test_a_cut_off_vm_stops_being_ready_and_says_why():
+def test_an_isolated_vm_stops_being_ready_and_gives_the_reason():
     tracker = tracker_at(3)
     tracker.record_table_version(3, 0.0)
     tracker.set_fleet_size(1, 18)
@@ -47,14 +47,14 @@
 
 
 @pytest.mark.parametrize(("live", "ready"), [(9, False), (10, True), (12, True)])
-def test_with_the_store_down_only_a_majority_may_go_on(live, ready):
+def test_while_the_table_is_unavailable_only_a_majority_stays_ready(live, ready):
     tracker = tracker_at(3, live=live)
     for name in ("a", "b", "c"):
         tracker.record_confirmation(name, 10.0)
     assert tracker.ready(10.0) is ready
 
 
-def test_a_newer_version_heard_anywhere_ends_readiness_until_it_is_in_force():
+def test_a_newer_version_at_any_vm_ends_readiness_until_it_is_in_force():
     tracker = tracker_at(3)
     tracker.record_table_version(3, 0.0)
     tracker.record_peer_version(4, 0.1)
@@ -71,7 +71,7 @@
     assert (tracker.in_force, tracker.newest) == (5, 5)
 
 
-def test_words_from_before_a_pause_prove_nothing():
+def test_confirmations_from_before_a_pause_are_discarded():
     tracker = tracker_at(3)
     tracker.record_table_version(3, 1.0)
     for name in ("a", "b", "c"):
@@ -80,20 +80,20 @@
     assert not tracker.ready(1.5)
 
 
-def test_changes_are_taken_in_order_and_gaps_are_asked_for_now_and_then():
+def test_changes_are_applied_in_order_and_gaps_are_requested_periodically():
     tracker = tracker_at(1)
     tracker.add_change(change(2), 0.0)
     tracker.add_change(change(5), 0.0)
-    assert tracker.next_fetch(0.1) is None, "it may still be on its way"
+    assert tracker.next_fetch(0.1) is None, "the change may still arrive"
     assert tracker.next_fetch(1.0) == range(3, 5)
-    assert tracker.next_fetch(1.1) is None, "asked a moment ago"
-    taken = []
+    assert tracker.next_fetch(1.1) is None, "requested less than FETCH_INTERVAL ago"
+    applied = []
     for version in (4, 3):
         tracker.add_change(change(version), 1.2)
     while item := tracker.next_change():
-        taken.append(item.version)
+        applied.append(item.version)
         tracker.record_applied(item.version, 1.3)
-    assert taken == [2, 3, 4, 5]
+    assert applied == [2, 3, 4, 5]
     assert tracker.next_fetch(9.0) is None
 
 
