--- a/sequoiabridge/commands/apply.py
+++ b/sequoiabridge/commands/apply.py
@@ -4,10 +4,10 @@
 
 from ..config.ini import read_file
 from ..config.loading import parse_document
-from ..config.problem import sentence
+from ..config.problem import join_problems
 from ..exceptions import ConfigurationError
-from .client import NOT_ALL_HEARD, TIMEOUT, make_client
-from .tables import all_heard, show
+from .client import DEFAULT_TIMEOUT, EXIT_INCOMPLETE, make_client
+from .tables import is_complete, print_answer
 
 
 def apply(
@@ -17,7 +17,7 @@
     expect: int | None = None,
     dry_run: bool = False,
     token_file: Path | None = None,
-    timeout: float = TIMEOUT,
+    timeout: float = DEFAULT_TIMEOUT,
     json: bool = False,
     strict: bool = False,
 ) -> int:
@@ -38,10 +38,10 @@
     read = text.bind(lambda content: parse_document(content, str(file)))
     problems = read.error if read.is_error() else read.ok.warnings(str(file))
     if read.is_error() or (strict and problems):
-        raise ConfigurationError(f"Nothing was sent: {sentence(problems)}.")
+        raise ConfigurationError(f"Nothing was sent: {join_problems(problems)}.")
     query = {"dry_run": "1"} if dry_run else {}
     if expect is not None:
         query["expect"] = str(expect)
     answer = client.post("apply", body=text.ok, **query)
-    show(answer, json)
-    return 0 if all_heard(answer) or not strict else NOT_ALL_HEARD
+    print_answer(answer, json)
+    return 0 if is_complete(answer) or not strict else EXIT_INCOMPLETE
--- a/sequoiabridge/commands/ask.py
+++ b/sequoiabridge/commands/ask.py
@@ -3,10 +3,10 @@
 from pathlib import Path
 
 from ..exceptions import ConfigurationError
-from .client import NOT_ALL_HEARD, TIMEOUT, make_client
-from .tables import all_heard, show
+from .client import DEFAULT_TIMEOUT, EXIT_INCOMPLETE, make_client
+from .tables import is_complete, print_answer
 
-ASKING = frozenset({"show", "explain", "diff"})
+READ_ONLY_COMMANDS = frozenset({"show", "explain", "diff"})
 """First words of the commands that change nothing."""
 
 
@@ -14,7 +14,7 @@
     *command: str,
     admin: str,
     token_file: Path | None = None,
-    timeout: float = TIMEOUT,
+    timeout: float = DEFAULT_TIMEOUT,
     json: bool = False,
     strict: bool = False,
 ) -> int:
@@ -32,7 +32,7 @@
         raise ConfigurationError('There is nothing to ask: write a command, such as "show vms".')
     client = make_client(admin, token_file, timeout)
     text = " ".join(command)
-    changes = text.split(None, 1)[0].lower() not in ASKING
+    changes = text.split(None, 1)[0].lower() not in READ_ONLY_COMMANDS
     answer = client.post("ask", body=text, changes=changes)
-    show(answer, json)
-    return 0 if all_heard(answer) or not strict else NOT_ALL_HEARD
+    print_answer(answer, json)
+    return 0 if is_complete(answer) or not strict else EXIT_INCOMPLETE
--- a/sequoiabridge/commands/check.py
+++ b/sequoiabridge/commands/check.py
@@ -10,7 +10,7 @@
 from ..config.settings import SECTIONS, Settings
 from ..exceptions import ConfigurationError
 
-BAD_INPUT = ConfigurationError.exit_code
+EXIT_BAD_INPUT = ConfigurationError.exit_code
 
 
 def check(*file: Path, json: bool = False, strict: bool = False) -> int:
@@ -23,33 +23,35 @@
     """
     if not file:
         raise ConfigurationError("There is nothing to check: name one or more files.")
-    problems = [problem for path in file for problem in problems_of(path)]
+    problems = [problem for path in file for problem in find_problems(path)]
     warnings = sum(problem.warning for problem in problems)
     errors = len(problems) - warnings
     if json:
-        rows = [problem.row() for problem in problems]
+        rows = [problem.to_dict() for problem in problems]
         print(json_codec.dumps({"errors": errors, "warnings": warnings, "problems": rows}))
     else:
         for problem in problems:
             print(problem.text)
         print(f"files {len(file)}, errors {errors}, warnings {warnings}")
-    return BAD_INPUT if errors or (strict and warnings) else 0
+    return EXIT_BAD_INPUT if errors or (strict and warnings) else 0
 
 
-def problems_of(path: Path) -> list[Problem]:
+def find_problems(path: Path) -> list[Problem]:
     """Return the errors and warnings of one file."""
     source = str(path)
     text = read_file(path)
     if text.is_error():
         return text.error
-    written, _ = read_sections(text.ok, source)
-    words = [header.split()[0] for header in written if header.split()]
-    fleet, own = (sum(word in known for word in words) for known in (KINDS, SECTIONS))
-    if fleet == own == 0:
+    sections, _ = read_sections(text.ok, source)
+    words = [header.split()[0] for header in sections if header.split()]
+    fleet_sections, settings_sections = (
+        sum(word in known for word in words) for known in (KINDS, SECTIONS)
+    )
+    if fleet_sections == settings_sections == 0:
         wrong = "it has no section of a settings file or a fleet configuration"
         instead = "begin with [vm] or with [service NAME]"
         return [Problem(source, "", "", wrong, instead)]
-    if own > fleet:
+    if settings_sections > fleet_sections:
         settings = Settings.parse(text.ok, source)
         return settings.error if settings.is_error() else []
     document = parse_document(text.ok, source)
--- a/sequoiabridge/commands/client.py
+++ b/sequoiabridge/commands/client.py
@@ -22,13 +22,13 @@
 
 AUTHOR_VARIABLE = "SEQUOIA_AUTHOR"
 
-TIMEOUT = 30.0
+DEFAULT_TIMEOUT = 30.0
 """Seconds that one answer may take."""
 
-NOT_ALL_HEARD = 1
+EXIT_INCOMPLETE = 1
 """Exit code with `--strict` when a VM was not heard."""
 
-MAX_ANSWER = 100_000_000
+MAX_ANSWER_BYTES = 100_000_000
 """Bytes that one answer may have."""
 
 
@@ -42,7 +42,7 @@
     """The daemon knows nothing of the name that was asked for."""
 
 
-ERRORS: dict[int, type[SequoiaError]] = {
+ERROR_BY_STATUS: dict[int, type[SequoiaError]] = {
     400: ConfigurationError,
     401: AdminError,
     403: AdminError,
@@ -62,7 +62,7 @@
         timeout: Seconds that connecting, and then answering, may take.
     """
 
-    def __init__(self, address: str, token: str, timeout: float = TIMEOUT):
+    def __init__(self, address: str, token: str, timeout: float = DEFAULT_TIMEOUT):
         try:
             self.ip, self.port = split_address(address)
         except ValueError:
@@ -74,13 +74,13 @@
 
     def get(self, *path: str, **query: str) -> Any:
         """Ask for something; changes nothing."""
-        return self.request("GET", target(path, query), b"", changes=False)
+        return self.request("GET", request_target(path, query), b"", changes=False)
 
     def post(self, *path: str, body: str, changes: bool = True, **query: str) -> Any:
         """Send a command or a document; `changes` is False for a command that only asks."""
-        return self.request("POST", target(path, query), body.encode(), changes)
+        return self.request("POST", request_target(path, query), body.encode(), changes)
 
-    def request(self, method: str, where: str, body: bytes, changes: bool) -> Any:
+    def request(self, method: str, request_path: str, body: bytes, changes: bool) -> Any:
         """Make one request and return the JSON of its answer."""
         connection = http.client.HTTPConnection(self.ip, self.port, timeout=self.timeout)
         try:
@@ -91,18 +91,18 @@
                 "check the address and that the daemon runs."
             ) from None
         headers = {"Authorization": f"Bearer {self.token}", "Content-Length": str(len(body))}
-        headers["Sequoia-Author"] = author()
+        headers["Sequoia-Author"] = operator_name()
         try:
-            connection.request(method, where, body, headers)
+            connection.request(method, request_path, body, headers)
             response = connection.getresponse()
-            data = response.read(MAX_ANSWER)
+            data = response.read(MAX_ANSWER_BYTES)
         except (OSError, http.client.HTTPException) as error:
-            raise self.no_answer(changes, error) from None
+            raise self.lost_answer_error(changes, error) from None
         finally:
             connection.close()
-        return self.result(response.status, data)
+        return self.parse_answer(response.status, data)
 
-    def no_answer(self, changes: bool, error: Exception) -> DaemonUnavailable:
+    def lost_answer_error(self, changes: bool, error: Exception) -> DaemonUnavailable:
         """Return the error of a request that was sent and not answered."""
         remedy = "Ask again, or ask another VM."
         if changes:
@@ -111,7 +111,7 @@
             f"The daemon at {self.address} gave no answer ({describe_error(error)}). {remedy}"
         )
 
-    def result(self, status: int, data: bytes) -> Any:
+    def parse_answer(self, status: int, data: bytes) -> Any:
         """Return the answer's JSON, or raise the error that it stands for."""
         try:
             answer = json.loads(data)
@@ -124,7 +124,7 @@
         message = str(error.get("message") or f"The daemon answered with status {status}.")
         if error.get("column"):
             message = f"column {error['column']}: {message}"
-        raise ERRORS.get(status, SequoiaError)(message)
+        raise ERROR_BY_STATUS.get(status, SequoiaError)(message)
 
 
 def make_client(admin: str, token_file: Path | None, timeout: float) -> AdminClient:
@@ -152,7 +152,7 @@
     return token
 
 
-def author() -> str:
+def operator_name() -> str:
     """Return the name under which the history shows this operator: the variable, or the login.
 
     Header values are ASCII here; any other character becomes `?`.
@@ -167,7 +167,7 @@
     return printable.encode("ascii", "replace").decode()
 
 
-def target(path: tuple[str, ...], query: dict[str, str]) -> str:
+def request_target(path: tuple[str, ...], query: dict[str, str]) -> str:
     """Return a request target with all parts quoted."""
-    where = "/" + "/".join(quote(part, safe="") for part in path)
-    return f"{where}?{urlencode(query)}" if query else where
+    request_path = "/" + "/".join(quote(part, safe="") for part in path)
+    return f"{request_path}?{urlencode(query)}" if query else request_path
--- a/sequoiabridge/commands/daemon.py
+++ b/sequoiabridge/commands/daemon.py
@@ -10,7 +10,7 @@
 from ..exceptions import ConfigurationError, SequoiaError
 from ..logs import configure_logging
 
-BAD_INPUT = ConfigurationError.exit_code
+EXIT_BAD_INPUT = ConfigurationError.exit_code
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -34,7 +34,7 @@
     if loaded.is_error():
         for problem in loaded.error:
             print(problem.text, file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     if check:
         return 0
     configure_logging(loaded.ok.log.level)
--- a/sequoiabridge/commands/dump.py
+++ b/sequoiabridge/commands/dump.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from .client import TIMEOUT, make_client
-from .tables import show
+from .client import DEFAULT_TIMEOUT, make_client
+from .tables import print_answer
 
 
 def dump(
@@ -11,7 +11,7 @@
     *,
     admin: str,
     token_file: Path | None = None,
-    timeout: float = TIMEOUT,
+    timeout: float = DEFAULT_TIMEOUT,
     json: bool = False,
 ) -> int:
     """Show the state of a daemon.
@@ -24,5 +24,5 @@
         json: Print JSON.
     """
     client = make_client(admin, token_file, timeout)
-    show(client.get("dump", **({"part": part} if part else {})), json)
+    print_answer(client.get("dump", **({"part": part} if part else {})), json)
     return 0
--- a/sequoiabridge/commands/experiment.py
+++ b/sequoiabridge/commands/experiment.py
@@ -10,7 +10,7 @@
 from ..experiment.plots import draw
 from ..experiment.scene import load_scene
 from ..experiment.trial import REPORTED_FIELDS, Trial, run_trials
-from .tables import table
+from .tables import format_table
 
 MAX_JOBS = 64
 """Maximum number of parallel processes."""
@@ -50,7 +50,7 @@
     loaded_scene = load_scene(scene)
     run_trials(loaded_scene, trials, seeds, jobs, show_progress)
     columns = ["", *REPORTED_FIELDS, "to oracle"]
-    print("\n".join(table(columns, build_rows(trials))))
+    print("\n".join(format_table(columns, build_rows(trials))))
     if csv_file is not None:
         write_csv(csv_file, trials)
     if plot is not None:
--- a/sequoiabridge/commands/explain.py
+++ b/sequoiabridge/commands/explain.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from .client import TIMEOUT, make_client
-from .tables import show
+from .client import DEFAULT_TIMEOUT, make_client
+from .tables import print_answer
 
 
 def explain(
@@ -11,7 +11,7 @@
     *,
     admin: str,
     token_file: Path | None = None,
-    timeout: float = TIMEOUT,
+    timeout: float = DEFAULT_TIMEOUT,
     json: bool = False,
 ) -> int:
     """Say which upstreams were weighed for a request, on what evidence, and what came of it.
@@ -24,5 +24,5 @@
         json: Print JSON.
     """
     client = make_client(admin, token_file, timeout)
-    show(client.get("explain", request_id), json)
+    print_answer(client.get("explain", request_id), json)
     return 0
--- a/sequoiabridge/commands/main.py
+++ b/sequoiabridge/commands/main.py
@@ -21,8 +21,8 @@
 
 VERBS = [check, dump, ask, apply, explain, experiment, version]
 
-FAILED = 1
-INTERRUPTED = 130
+EXIT_FAILED = 1
+EXIT_INTERRUPTED = 130
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -43,9 +43,9 @@
     except BrokenPipeError:
         # The reader of our output has gone; keep Python from failing again as it ends.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        return FAILED
+        return EXIT_FAILED
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
 
 
 def report(error: SequoiaError, as_json: bool) -> int:
--- a/sequoiabridge/commands/tables.py
+++ b/sequoiabridge/commands/tables.py
@@ -7,60 +7,64 @@
 from ..formatting import format_count
 
 INDENT = "  "
-GAP = "  "
+COLUMN_GAP = "  "
 
-LONGEST_RULE = 80
+MAX_SEPARATOR_WIDTH = 80
 """Dashes under the name of the last column at most, however long its values are."""
 
-NOTHING = "-"
+EMPTY_VALUE = "-"
 """Stands for a value that is empty."""
 
 
-def table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> Iterator[str]:
+def format_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> Iterator[str]:
     """Yield the lines of a table; numbers stand to the right."""
-    texts = [[cell(value) for value in row] for row in rows]
+    texts = [[format_cell(value) for value in row] for row in rows]
     widths = [len(name) for name in columns]
     for row in texts:
         widths = [max(width, len(text)) for width, text in zip(widths, row, strict=False)]
     right = [all(is_number(row[i]) for row in rows) for i in range(len(columns))]
     right = [aligned and bool(rows) for aligned in right]
-    yield line(columns, widths, right)
-    yield rule(widths)
+    yield format_line(columns, widths, right)
+    yield format_separator(widths)
     for row in texts:
-        yield line(row, widths, right)
+        yield format_line(row, widths, right)
 
 
-def rule(widths: list[int]) -> str:
+def format_separator(widths: list[int]) -> str:
     """Return the dashes under the names of the columns; only the last may be cut short."""
-    return GAP.join("-" * width for width in (*widths[:-1], min(widths[-1], LONGEST_RULE)))
+    return COLUMN_GAP.join(
+        "-" * width for width in (*widths[:-1], min(widths[-1], MAX_SEPARATOR_WIDTH))
+    )
 
 
-def line(texts: Sequence[str], widths: list[int], right: list[bool]) -> str:
+def format_line(texts: Sequence[str], widths: list[int], right: list[bool]) -> str:
     """Return one line of a table."""
     parts = zip(texts, widths, right, strict=False)
-    return GAP.join(t.rjust(w) if r else t.ljust(w) for t, w, r in parts).rstrip()
+    return COLUMN_GAP.join(t.rjust(w) if r else t.ljust(w) for t, w, r in parts).rstrip()
 
 
-def tree(value: Any, depth: int = 0) -> Iterator[str]:
+def format_tree(value: Any, depth: int = 0) -> Iterator[str]:
     """Yield the lines of nested maps and lists; a list of alike maps is a table."""
     space = INDENT * depth
     if isinstance(value, dict):
         for key, inner in value.items():
             if isinstance(inner, dict | list) and inner:
                 yield f"{space}{key}:"
-                yield from tree(inner, depth + 1)
+                yield from format_tree(inner, depth + 1)
             else:
-                yield f"{space}{key}: {cell(inner) or NOTHING}"
+                yield f"{space}{key}: {format_cell(inner) or EMPTY_VALUE}"
     elif is_table(value):
         columns = list(value[0])
         rows = [[row[name] for name in columns] for row in value]
-        yield from (space + text for text in table(columns, rows))
+        yield from (space + text for text in format_table(columns, rows))
     elif isinstance(value, list):
         for inner in value:
             nested = isinstance(inner, dict | list) and inner
-            yield from tree(inner, depth + 1) if nested else (f"{space}- {cell(inner)}",)
+            yield from (
+                format_tree(inner, depth + 1) if nested else (f"{space}- {format_cell(inner)}",)
+            )
     else:
-        yield space + cell(value)
+        yield space + format_cell(value)
 
 
 def is_table(value: Any) -> bool:
@@ -77,42 +81,42 @@
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def cell(value: Any) -> str:
+def format_cell(value: Any) -> str:
     """Return one value as text without line breaks or control characters."""
     if value is None or value == [] or value == {}:
-        return NOTHING
+        return EMPTY_VALUE
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
-        return ", ".join(cell(part) for part in value)
+        return ", ".join(format_cell(part) for part in value)
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     return "".join(c if c.isprintable() else "?" for c in text)
 
 
-def show(answer: Any, as_json: bool) -> None:
+def print_answer(answer: Any, as_json: bool) -> None:
     """Print a daemon's answer: its table, its message, and which VMs were heard."""
     if as_json:
         print(json.dumps(answer, indent=2, ensure_ascii=False))
         return
     if not isinstance(answer, dict) or "columns" not in answer:
-        print("\n".join(tree(answer)))
+        print("\n".join(format_tree(answer)))
         return
     # Only a sentence, where there is one instead of rows.
     if answer["columns"] and (answer.get("rows") or not answer.get("message")):
-        print("\n".join(table(answer["columns"], answer.get("rows") or [])))
+        print("\n".join(format_table(answer["columns"], answer.get("rows") or [])))
     if answer.get("message"):
         print(answer["message"])
-    print(heard(answer))
-    for vm, why in not_heard(answer).items():
-        print(f"NOT heard {cell(vm)}: {cell(why)}")
+    print(format_source(answer))
+    for vm, why in unanswered_vms(answer).items():
+        print(f"NOT heard {format_cell(vm)}: {format_cell(why)}")
 
 
-def all_heard(answer: Any) -> bool:
+def is_complete(answer: Any) -> bool:
     """Return False if an answer names VMs that were not heard."""
     return not (isinstance(answer, dict) and answer.get("not_heard"))
 
 
-def heard(answer: dict) -> str:
+def format_source(answer: dict) -> str:
     """Return the line that says whose word an answer is, but for the VMs that were not heard."""
     parts = []
     if answer.get("version") is not None:
@@ -122,6 +126,6 @@
     return "; ".join(parts)
 
 
-def not_heard(answer: dict) -> dict[str, str]:
+def unanswered_vms(answer: dict) -> dict[str, str]:
     """Return why each VM gave no answer, by the VM's name."""
     return answer.get("not_heard") or {}
--- a/sequoiabridge/config/change.py
+++ b/sequoiabridge/config/change.py
@@ -7,7 +7,7 @@
 
 from .problem import Problem
 
-FORMAT = 1
+FORMAT_VERSION = 1
 """Format of encoded changes and documents; counted up when older daemons cannot read it."""
 
 
@@ -33,7 +33,7 @@
     """Entries to set and to remove, all together or none."""
 
     entries: list[AnyEntry] = []
-    format: int = FORMAT
+    format: int = FORMAT_VERSION
 
     def __bool__(self) -> bool:
         return bool(self.entries)
@@ -45,7 +45,7 @@
     @classmethod
     def decode(cls, data: bytes, source: str = "change") -> Result[Self, list[Problem]]:
         """Read what `encode` wrote, also by a newer release of the same format."""
-        return decoded(CHANGE_DECODER, data, source)
+        return decode_record(CHANGE_DECODER, data, source)
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -55,10 +55,10 @@
     author: str
     at: float
     entries: list[SetEntry]
-    format: int = FORMAT
+    format: int = FORMAT_VERSION
 
 
-def decoded(
+def decode_record(
     decoder: msgspec.msgpack.Decoder, data: bytes, source: str
 ) -> Result[Any, list[Problem]]:
     """Decode MessagePack of a known format."""
@@ -67,8 +67,8 @@
     except (msgspec.DecodeError, RecursionError) as error:
         wrong = f"it cannot be decoded ({error})"
         return Error([Problem(source, "", "", wrong, "have a daemon of this release write it")])
-    if record.format > FORMAT:
-        wrong = f"it has format {record.format}, and this release reads up to {FORMAT}"
+    if record.format > FORMAT_VERSION:
+        wrong = f"it has format {record.format}, and this release reads up to {FORMAT_VERSION}"
         return Error([Problem(source, "", "", wrong, "replace this daemon by a newer release")])
     return Ok(record)
 
--- a/sequoiabridge/config/document.py
+++ b/sequoiabridge/config/document.py
@@ -9,11 +9,11 @@
 
 from expression import Ok, Result
 
-from .change import ENCODER, SNAPSHOT_DECODER, Change, SetEntry, Snapshot, decoded
+from .change import ENCODER, SNAPSHOT_DECODER, Change, SetEntry, Snapshot, decode_record
 from .draft import Draft
 from .ini import write_sections
 from .kinds import KINDS, EntryId
-from .matching import HostTable, RuleTable, covers, plain_path
+from .matching import HostTable, RuleTable, covers, normalize_path
 from .pool import Pool
 from .problem import Problem
 from .rule import Rule
@@ -81,7 +81,7 @@
         """Return the service and the rule of a request, or two None; its path is read once."""
         if self.host_table is None:
             self.host_table = HostTable(self.services.values())
-        path = plain_path(target)
+        path = normalize_path(target)
         service = self.host_table.find_path(host, path)
         if service is None:
             return None, None
@@ -101,10 +101,10 @@
     def _rule_table(self, service: str) -> RuleTable:
         table = self.rule_tables.get(service)
         if table is None:
-            table = self.rule_tables[service] = RuleTable(service, self.rules_of(service))
+            table = self.rule_tables[service] = RuleTable(service, self.rules_for_service(service))
         return table
 
-    def rules_of(self, service: str) -> list[Rule]:
+    def rules_for_service(self, service: str) -> list[Rule]:
         """Return the rules of a service in their order."""
         names = self.members.get(("service", service), ())
         rules = [self.rules[name] for kind, name in names if kind == "rule"]
@@ -155,16 +155,16 @@
 
     def warnings(self, source: str = "configuration") -> list[Problem]:
         """Return what may stay but deserves a look; takes a while in a large document."""
-        found = list(not_understood(self, source))
+        found = list(find_unsupported(self, source))
         for service in self.services:
-            found += covered_rules(self.rules_of(service), source)
+            found += find_unreachable_rules(self.rules_for_service(service), source)
             if not self.upstreams_of(service):
                 wrong, instead = "it has no upstream", "add a pool with upstreams"
                 header = f"service {service}"
                 found.append(Problem(source, header, "", wrong, instead, warning=True))
         return found
 
-    def set_entries(self) -> Iterator[SetEntry]:
+    def to_set_entries(self) -> Iterator[SetEntry]:
         """Yield an entry for all that the document holds, each after what it refers to."""
         for kind in KINDS:
             entries = self.entries(kind)
@@ -180,18 +180,18 @@
 
     def to_ini(self) -> str:
         """Return INI text that `load_document` reads back."""
-        return write_sections({f"{e.kind} {e.name}": e.options for e in self.set_entries()})
+        return write_sections({f"{e.kind} {e.name}": e.options for e in self.to_set_entries()})
 
     def encode(self) -> bytes:
         """Return the document as MessagePack."""
         return ENCODER.encode(
-            Snapshot(self.version, self.author, self.changed_at, list(self.set_entries()))
+            Snapshot(self.version, self.author, self.changed_at, list(self.to_set_entries()))
         )
 
     @classmethod
     def decode(cls, data: bytes, source: str = "document") -> Result[Self, list[Problem]]:
         """Read what `encode` wrote, also by a newer release of the same format."""
-        record = decoded(SNAPSHOT_DECODER, data, source)
+        record = decode_record(SNAPSHOT_DECODER, data, source)
         if record.is_error():
             return record
         found: Snapshot = record.ok
@@ -208,7 +208,7 @@
         return {"version": self.version, "author": self.author, "at": self.changed_at, **counts}
 
 
-def covered_rules(rules: list[Rule], source: str) -> list[Problem]:
+def find_unreachable_rules(rules: list[Rule], source: str) -> list[Problem]:
     """Return a warning for each rule that can never match because an earlier one covers it."""
     found = []
     for place, later in enumerate(rules):
@@ -221,7 +221,7 @@
     return found
 
 
-def not_understood(document: Document, source: str) -> Iterator[Problem]:
+def find_unsupported(document: Document, source: str) -> Iterator[Problem]:
     """Yield a warning for each option and entry that this release keeps but cannot use."""
     instead = "replace this daemon by a release that knows it"
     for kind in KINDS:
--- a/sequoiabridge/config/fields.py
+++ b/sequoiabridge/config/fields.py
@@ -11,7 +11,7 @@
 REQUIRED = object()
 """Default of a field that must be given."""
 
-MAX_LIST = 1000
+MAX_LIST_ITEMS = 1000
 """Entries that a list may have."""
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
@@ -20,7 +20,7 @@
 FALSE_WORDS = frozenset({"no", "false", "off", "0"})
 
 
-class BadValue(ValueError):
+class InvalidValue(ValueError):
     """A text that a field cannot read; raised by `Field.parse` only."""
 
     def __init__(self, wrong: str, instead: str):
@@ -33,7 +33,7 @@
     """One declared option.
 
     Hooks:
-        parse: Read the text of a file; raise `BadValue` with what to write instead.
+        parse: Read the text of a file; raise `InvalidValue` with what to write instead.
         format: Write a value so that `parse` gives it back exactly.
         expected: What may be written, for messages and for the reference.
 
@@ -66,9 +66,9 @@
         """Return the text that stands for `value`."""
         return str(value)
 
-    def bad(self, text: str) -> BadValue:
+    def invalid(self, text: str) -> InvalidValue:
         """Return the error for a text that is not what is expected."""
-        return BadValue(f"{shorten(text)} is not valid", f"write {self.expected}")
+        return InvalidValue(f"{shorten(text)} is not valid", f"write {self.expected}")
 
 
 class Name(Field):
@@ -78,7 +78,7 @@
 
     def parse(self, text: str) -> str:
         if not NAME.fullmatch(text):
-            raise self.bad(text)
+            raise self.invalid(text)
         return text
 
 
@@ -87,18 +87,18 @@
 
     secret = True
 
-    def __init__(self, help: str, default: Any = REQUIRED, *, shortest: int = 16):
+    def __init__(self, help: str, default: Any = REQUIRED, *, min_length: int = 16):
         super().__init__(help, default)
-        self.shortest = shortest
+        self.min_length = min_length
 
     @property
     def expected(self) -> str:
-        return f"at least {self.shortest} printable characters without spaces"
+        return f"at least {self.min_length} printable characters without spaces"
 
     def parse(self, text: str) -> str:
-        if len(text) < self.shortest or not text.isprintable() or " " in text:
+        if len(text) < self.min_length or not text.isprintable() or " " in text:
             wrong = f"the value ({len(text)} characters, not shown) is not valid"
-            raise BadValue(wrong, f"write {self.expected}")
+            raise InvalidValue(wrong, f"write {self.expected}")
         return text
 
 
@@ -115,7 +115,7 @@
 
     def parse(self, text: str) -> str:
         if text not in self.words:
-            raise self.bad(text)
+            raise self.invalid(text)
         return text
 
 
@@ -130,7 +130,7 @@
             return True
         if word in FALSE_WORDS:
             return False
-        raise self.bad(text)
+        raise self.invalid(text)
 
     def format(self, value: bool) -> str:
         return "yes" if value else "no"
@@ -139,26 +139,26 @@
 class Bounded(Field):
     """A quantity between two bounds, both included; a class gives the widest, a field its own."""
 
-    least: float = 0
-    most: float = 10**9
+    minimum: float = 0
+    maximum: float = 10**9
 
     def __init__(
         self,
         help: str,
         default: Any = REQUIRED,
         *,
-        least: float | None = None,
-        most: float | None = None,
+        minimum: float | None = None,
+        maximum: float | None = None,
     ):
         super().__init__(help, default)
-        self.least = self.least if least is None else least
-        self.most = self.most if most is None else most
+        self.minimum = self.minimum if minimum is None else minimum
+        self.maximum = self.maximum if maximum is None else maximum
 
-    def within(self, value: float, text: str) -> float:
-        """Return `value`, which `text` stands for, or raise `BadValue` if it is out of bounds."""
+    def check_bounds(self, value: float, text: str) -> float:
+        """Return `value`, or raise `InvalidValue` if it is out of bounds."""
         # Written so that "nan" fails as well.
-        if not self.least <= value <= self.most:
-            raise self.bad(text)
+        if not self.minimum <= value <= self.maximum:
+            raise self.invalid(text)
         return value
 
 
@@ -167,12 +167,12 @@
 
     @property
     def expected(self) -> str:
-        return f"a whole number from {self.least} to {self.most}"
+        return f"a whole number from {self.minimum} to {self.maximum}"
 
     def parse(self, text: str) -> int:
         if not re.fullmatch(r"-?[0-9]{1,15}", text):
-            raise self.bad(text)
-        return self.within(int(text), text)
+            raise self.invalid(text)
+        return self.check_bounds(int(text), text)
 
 
 class Number(Bounded):
@@ -180,14 +180,14 @@
 
     @property
     def expected(self) -> str:
-        return f"a number from {self.least:g} to {self.most:g}"
+        return f"a number from {self.minimum:g} to {self.maximum:g}"
 
     def parse(self, text: str) -> float:
         try:
             value = float(text)
         except ValueError:
-            raise self.bad(text) from None
-        return self.within(value, text)
+            raise self.invalid(text) from None
+        return self.check_bounds(value, text)
 
     def format(self, value: float) -> str:
         return str(int(value)) if value == int(value) else repr(value)
@@ -207,16 +207,16 @@
     def parse(self, text: str) -> tuple:
         parts = [part.strip() for part in text.replace("\n", ",").split(",")]
         values = tuple(self.item.parse(part) for part in parts if part)
-        if len(values) > MAX_LIST:
-            raise BadValue(f"{len(values)} entries", f"write at most {MAX_LIST}")
+        if len(values) > MAX_LIST_ITEMS:
+            raise InvalidValue(f"{len(values)} entries", f"write at most {MAX_LIST_ITEMS}")
         if len(set(values)) < len(values):
-            raise BadValue("an entry is there twice", "write each entry once")
+            raise InvalidValue("an entry is there twice", "write each entry once")
         return values
 
     def format(self, value: tuple) -> str:
         return ", ".join(self.item.format(part) for part in value)
 
 
-def shorten(text: str, most: int = 60) -> str:
+def shorten(text: str, maximum: int = 60) -> str:
     """Return `text` in quotes, cut for a message."""
-    return repr(text if len(text) <= most else text[:most] + "…")
+    return repr(text if len(text) <= maximum else text[:maximum] + "…")
--- a/sequoiabridge/config/gateway_settings.py
+++ b/sequoiabridge/config/gateway_settings.py
@@ -6,7 +6,7 @@
 from typing import Self
 
 from .fields import Boolean, Integer, ListOf, Name, Number
-from .ini import read_sections, text_of
+from .ini import read_sections, read_text_file
 from .problem import Invalid, Problem
 from .section import Section
 from .units import Address, Duration
@@ -23,7 +23,7 @@
         "Bandwidth of this VM's link in Mbit/s; the VMs with the widest follow the store and give "
         "what they read to the others.",
         1000.0,
-        most=1_000_000.0,
+        maximum=1_000_000.0,
     )
     first_start = Boolean("The whole fleet starts for the first time; nobody calls yet.", False)
 
@@ -37,7 +37,7 @@
     ready = Address("Where the platform's balancer asks whether to send callers here.", listen=True)
     fleet_ip = Name("The VM's own IP number, for ports that other daemons and operators use.")
     fleet_ports = ListOf(
-        "First and last port that is free for that.", Integer("A port.", least=1, most=65535)
+        "First and last port that is free for that.", Integer("A port.", minimum=1, maximum=65535)
     )
 
 
@@ -56,13 +56,13 @@
 
     drain = Duration("Time after which a leaving upstream must get no more calls.", 2.0)
     grace = Duration("Time from the request to stop until the process is killed.", 6.0)
-    retry_ratio = Number("Repeated sends that the fleet may make for each call.", 0.2, most=10.0)
-    retry_window = Duration("Time over which they are counted.", 10.0, least=0.1)
-    retry_slack = Number("Repeated sends in that time beside those.", 50.0, most=100_000.0)
+    retry_ratio = Number("Repeated sends that the fleet may make for each call.", 0.2, maximum=10.0)
+    retry_window = Duration("Time over which they are counted.", 10.0, minimum=0.1)
+    retry_slack = Number("Repeated sends in that time beside those.", 50.0, maximum=100_000.0)
     probes_per_second = Number(
         "Health checks that all VMs together may send to one upstream in a second.",
         60.0,
-        most=100_000.0,
+        maximum=100_000.0,
     )
 
 
@@ -74,7 +74,7 @@
     far_megabyte = Number(
         "Cost of a megabyte between data centres, in calls that are answered in time.",
         7.0,
-        most=10_000.0,
+        maximum=10_000.0,
     )
 
 
@@ -113,19 +113,19 @@
         Raises:
             Invalid: With every problem in it.
         """
-        return cls.parse(text_of(path), str(path))
+        return cls.parse(read_text_file(path), str(path))
 
     @classmethod
     def parse(cls, text: str, source: str = "settings") -> Self:
         """Read the text of a settings file; as `load`."""
-        written, problems = read_sections(text, source)
-        for header in written.keys() - SECTIONS.keys():
+        sections, problems = read_sections(text, source)
+        for header in sections.keys() - SECTIONS.keys():
             wrong, instead = "there is no such section", "use " + ", ".join(SECTIONS)
             problems.append(Problem(source, header, "", wrong, instead))
         read = {}
         for header, kind in SECTIONS.items():
             try:
-                read[header] = kind.checked("", written.get(header, {}), source)
+                read[header] = kind.read_or_raise("", sections.get(header, {}), source)
             except Invalid as error:
                 problems += error.problems
         if problems:
--- a/sequoiabridge/config/ini.py
+++ b/sequoiabridge/config/ini.py
@@ -11,10 +11,10 @@
 if TYPE_CHECKING:
     from expression import Result
 
-MAX_REPAIRS = 50
+MAX_SYNTAX_ERRORS = 50
 """Errors of form after which the rest of a file is not looked at."""
 
-MAX_FILE = 50_000_000
+MAX_FILE_BYTES = 50_000_000
 """Bytes that a file may have."""
 
 Sections = dict[str, dict[str, str]]
@@ -27,12 +27,12 @@
     from expression import Error, Ok
 
     try:
-        return Ok(text_of(path))
+        return Ok(read_text_file(path))
     except Invalid as error:
         return Error(error.problems)
 
 
-def text_of(path: str | Path) -> str:
+def read_text_file(path: str | Path) -> str:
     """Return the text of a file.
 
     Raises:
@@ -40,8 +40,8 @@
     """
     source = str(path)
     try:
-        if Path(path).stat().st_size > MAX_FILE:
-            wrong = f"the file has more than {MAX_FILE} bytes"
+        if Path(path).stat().st_size > MAX_FILE_BYTES:
+            wrong = f"the file has more than {MAX_FILE_BYTES} bytes"
             raise Invalid([Problem(source, "", "", wrong, "give a smaller file")])
         return Path(path).read_text(encoding="utf-8-sig")
     except OSError as error:
@@ -62,18 +62,18 @@
     problems: list[Problem] = []
     lines = text.splitlines()
     while True:
-        parser = make_parser()
+        parser = new_parser()
         try:
             parser.read_string("\n".join(lines), source)
         except configparser.Error as error:
-            problems += repair(error, lines, source)
-            if len(problems) <= MAX_REPAIRS:
+            problems += remove_invalid_lines(error, lines, source)
+            if len(problems) <= MAX_SYNTAX_ERRORS:
                 continue
             return {}, problems
         return {name: dict(parser.items(name)) for name in parser.sections()}, problems
 
 
-def make_parser() -> configparser.RawConfigParser:
+def new_parser() -> configparser.RawConfigParser:
     """Return a parser for plain INI: no defaults, no interpolation, `=` between key and value."""
     parser = configparser.RawConfigParser(
         delimiters=("=",),
@@ -86,7 +86,7 @@
     return parser
 
 
-def repair(error: configparser.Error, lines: list[str], source: str) -> list[Problem]:
+def remove_invalid_lines(error: configparser.Error, lines: list[str], source: str) -> list[Problem]:
     """Take the lines that `error` names out of `lines` and return the problems."""
     if isinstance(error, configparser.DuplicateOptionError):
         lines[error.lineno - 1] = ""
@@ -94,7 +94,7 @@
         return [Problem(source, error.section, error.option, wrong, "remove one of them")]
     if isinstance(error, configparser.DuplicateSectionError):
         wrong = f"the section is there twice (line {error.lineno})"
-        cut_section(lines, error.lineno - 1)
+        blank_section(lines, error.lineno - 1)
         return [Problem(source, error.section, "", wrong, "make one section of the two")]
     if isinstance(error, configparser.MissingSectionHeaderError):
         lines[error.lineno - 1] = ""
@@ -110,7 +110,7 @@
     return [Problem(source, "", "", f"not an INI file ({error.message})", "correct its form")]
 
 
-def cut_section(lines: list[str], start: int) -> None:
+def blank_section(lines: list[str], start: int) -> None:
     """Empty the section whose header is at `start`."""
     lines[start] = ""
     for number in range(start + 1, len(lines)):
--- a/sequoiabridge/config/matching.py
+++ b/sequoiabridge/config/matching.py
@@ -8,16 +8,16 @@
 from .rule import Rule
 from .service import Service
 
-MAX_HOSTS = 4096
+MAX_CACHED_HOSTS = 4096
 """Hosts whose table is remembered; then the memory of them starts anew."""
 
-MAX_HOST = 255
+MAX_CACHED_HOST_BYTES = 255
 """Bytes of a host name that is worth remembering."""
 
 PrefixTable = dict[bytes, Service]
 
 
-def plain_path(target: bytes | str) -> bytes:
+def normalize_path(target: bytes | str) -> bytes:
     """Return the path of a request target as rules see it.
 
     Without the query and a slash at the end, percent-encoding undone, empty and dot segments
@@ -28,7 +28,7 @@
         path = path.partition(b"?")[0]
     if b"#" in path:
         path = path.partition(b"#")[0]
-    if is_plain(path):
+    if is_normalized(path):
         return path
     path = unquote_to_bytes(path)
     if not path.startswith(b"/"):
@@ -36,7 +36,7 @@
     return b"/" + posixpath.normpath(path).lstrip(b"/")
 
 
-def is_plain(path: bytes) -> bool:
+def is_normalized(path: bytes) -> bool:
     """Return True if a path without a query can be matched as it is.
 
     Plain searches are quicker than one regular expression.
@@ -44,7 +44,7 @@
     return not (b"%" in path or b"//" in path or b"/." in path or path.endswith(b"/"))
 
 
-def plain_host(host: bytes | str) -> str:
+def normalize_host(host: bytes | str) -> str:
     """Return a `Host` header's name in lower case, without its port and last dot."""
     text = host.decode("latin-1") if isinstance(host, bytes) else host
     name, colon, port = text.rpartition(":")
@@ -59,7 +59,7 @@
     Within a host the longest prefix wins.
     """
 
-    __slots__ = ("tables", "lengths", "remembered")
+    __slots__ = ("tables", "lengths", "pattern_cache")
 
     def __init__(self, services: Iterable[Service]):
         self.tables: dict[str, PrefixTable] = {}
@@ -71,17 +71,17 @@
             host: sorted({len(prefix) for prefix in table}, reverse=True)
             for host, table in self.tables.items()
         }
-        self.remembered: dict[bytes | str, list[str]] = {}
+        self.pattern_cache: dict[bytes | str, list[str]] = {}
 
     def find(self, host: bytes | str, target: bytes | str) -> Service | None:
         """Return the service of a request, or None."""
-        return self.find_path(host, plain_path(target))
+        return self.find_path(host, normalize_path(target))
 
     def find_path(self, host: bytes | str, path: bytes) -> Service | None:
         """Return the service of a request by its plain path, or None."""
-        patterns = self.remembered.get(host)
+        patterns = self.pattern_cache.get(host)
         if patterns is None:
-            patterns = self.remember(host)
+            patterns = self.cache_patterns(host)
         for pattern in patterns:
             table = self.tables[pattern]
             for length in self.lengths[pattern]:
@@ -90,16 +90,16 @@
                     return service
         return None
 
-    def remember(self, host: bytes | str) -> list[str]:
+    def cache_patterns(self, host: bytes | str) -> list[str]:
         """Return the patterns that `host` meets, the closest first."""
-        name = plain_host(host)
+        name = normalize_host(host)
         labels = name.split(".")
-        wild = ["*." + ".".join(labels[i:]) for i in range(1, min(len(labels), 32))]
-        patterns = [p for p in (name, *wild, "*") if p in self.tables]
-        if len(host) <= MAX_HOST:
-            if len(self.remembered) >= MAX_HOSTS:
-                self.remembered.clear()
-            self.remembered[host] = patterns
+        wildcards = ["*." + ".".join(labels[i:]) for i in range(1, min(len(labels), 32))]
+        patterns = [p for p in (name, *wildcards, "*") if p in self.tables]
+        if len(host) <= MAX_CACHED_HOST_BYTES:
+            if len(self.pattern_cache) >= MAX_CACHED_HOSTS:
+                self.pattern_cache.clear()
+            self.pattern_cache[host] = patterns
         return patterns
 
 
@@ -124,12 +124,12 @@
         rules = [rule for rule in self.rules if not rule.methods or method in rule.methods]
         if not rules:
             return None
-        groups = b"|".join(b"(" + glob_pattern(rule.path) + b")" for rule in rules)
+        groups = b"|".join(b"(" + glob_to_regex(rule.path) + b")" for rule in rules)
         return re.compile(groups, re.DOTALL), rules
 
     def find(self, method: bytes | str, target: bytes | str) -> Rule:
         """Return the first rule that matches, or the one for unmatched requests."""
-        return self.find_path(method, plain_path(target))
+        return self.find_path(method, normalize_path(target))
 
     def find_path(self, method: bytes | str, path: bytes) -> Rule:
         """Return the first rule that matches a plain path, as `find`."""
@@ -143,7 +143,7 @@
         return rules[match.lastindex - 1]
 
 
-def glob_pattern(glob: str) -> bytes:
+def glob_to_regex(glob: str) -> bytes:
     """Return the regular expression of a path pattern; without groups of its own."""
     parts = []
     for segment in glob.split("/")[1:]:
@@ -165,7 +165,7 @@
     # match it as it stands; "**" stands for no segment or for several.
     if "**" in later.path and not earlier.path.endswith("/**"):
         return False
-    pattern = re.compile(glob_pattern(earlier.path), re.DOTALL)
+    pattern = re.compile(glob_to_regex(earlier.path), re.DOTALL)
     return all(
         pattern.fullmatch(later.path.replace("/**", segments).replace("*", "\n").encode())
         for segments in ("", "/\n", "/\n/\n")
--- a/sequoiabridge/config/pool.py
+++ b/sequoiabridge/config/pool.py
@@ -10,7 +10,10 @@
     heading = "pool"
 
     service = Name("Service that it belongs to.")
-    slots = Integer("Requests that one upstream runs at a time.", 2, least=1, most=10_000)
+    slots = Integer("Requests that one upstream runs at a time.", 2, minimum=1, maximum=10_000)
     connections = Integer(
-        "Connections that one upstream takes from all VMs together.", 220, least=1, most=100_000
+        "Connections that one upstream takes from all VMs together.",
+        220,
+        minimum=1,
+        maximum=100_000,
     )
--- a/sequoiabridge/config/problem.py
+++ b/sequoiabridge/config/problem.py
@@ -43,7 +43,7 @@
         mark = "warning: " if self.warning else ""
         return f"{where}: {mark}{self.wrong}; {self.instead}"
 
-    def row(self) -> dict:
+    def to_dict(self) -> dict:
         """Return the problem as a plain map, for JSON."""
         return {name: getattr(self, name) for name in self.__slots__}
 
@@ -54,7 +54,7 @@
         return f"Problem({self.text!r})"
 
 
-def sentence(problems: list[Problem]) -> str:
+def join_problems(problems: list[Problem]) -> str:
     """Return all problems as one line, for an error's message."""
     return " | ".join(problem.text for problem in problems)
 
@@ -63,5 +63,5 @@
     """Options are not valid; `problems` has everything that is wrong with them."""
 
     def __init__(self, problems: list[Problem]):
-        super().__init__(sentence(problems))
+        super().__init__(join_problems(problems))
         self.problems = problems
--- a/sequoiabridge/config/rule.py
+++ b/sequoiabridge/config/rule.py
@@ -26,7 +26,7 @@
     heading = "rule"
 
     service = Name("Service whose requests it is about.")
-    order = Integer("Rules are tried from the lowest order up.", 100, most=LAST_ORDER)
+    order = Integer("Rules are tried from the lowest order up.", 100, maximum=LAST_ORDER)
     methods = ListOf("HTTP methods that it matches; empty for any.", Choice("", METHODS), ())
     path = PathGlob("Path that it matches: `*` inside a segment, `**` for whole segments.", "/**")
     kind = Name("Kind of work, as metrics name it.", "other")
@@ -42,8 +42,8 @@
         "no",
     )
     hedge = Boolean("Whether a second upstream is asked when the first is late.", False)
-    weight = Number("Worth of one answer inside its window.", 1.0, most=1000.0)
-    window = Duration("Time in which an answer is of use.", 30.0, least=0.001, most=86400.0)
+    weight = Number("Worth of one answer inside its window.", 1.0, maximum=1000.0)
+    window = Duration("Time in which an answer is of use.", 30.0, minimum=0.001, maximum=86400.0)
     max_body = Size("Largest body.", 1_000_000)
 
     def check(self) -> Iterator[tuple[str, str, str]]:
--- a/sequoiabridge/config/section.py
+++ b/sequoiabridge/config/section.py
@@ -16,7 +16,7 @@
 from difflib import get_close_matches
 from typing import TYPE_CHECKING, Any, ClassVar, Self
 
-from .fields import BadValue, Field
+from .fields import Field, InvalidValue
 from .problem import Invalid, Problem
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 """What dumps show in place of a secret."""
 
 
-class SectionType(type):
+class SectionMeta(type):
     """Makes a slot of each declared field."""
 
     def __new__(meta, name: str, bases: tuple, namespace: dict):
@@ -40,7 +40,7 @@
         return super().__new__(meta, name, bases, namespace)
 
 
-class Section(metaclass=SectionType):
+class Section(metaclass=SectionMeta):
     """A checked set of options.
 
     Attributes:
@@ -70,12 +70,12 @@
         from expression import Error, Ok
 
         try:
-            return Ok(cls.checked(name, mapping, source, keep_unknown=keep_unknown))
+            return Ok(cls.read_or_raise(name, mapping, source, keep_unknown=keep_unknown))
         except Invalid as error:
             return Error(error.problems)
 
     @classmethod
-    def checked(
+    def read_or_raise(
         cls, name: str, mapping: Mapping[str, str], source: str, *, keep_unknown: bool = False
     ) -> Self:
         """Read all options of `mapping`; as `read`, but for errors.
@@ -87,10 +87,10 @@
         section = cls.__new__(cls)
         section.name = name
         section.extra = NO_EXTRA
-        problems = section.take_known(mapping, source, header, keep_unknown)
+        problems = section.read_known_options(mapping, source, header, keep_unknown)
         unknown = mapping.keys() - cls.fields.keys()
         if unknown and keep_unknown:
-            section.keep({key: mapping[key] for key in sorted(unknown)})
+            section.add_extra({key: mapping[key] for key in sorted(unknown)})
         elif unknown:
             problems += [cls.unknown_option(key, source, header) for key in sorted(unknown)]
         if problems:
@@ -99,10 +99,10 @@
         if wrong and not keep_unknown:
             raise Invalid([Problem(source, header, *found) for found in wrong])
         for key, _, _ in wrong:
-            section.set_aside(key, mapping.get(key, ""))
+            section.use_default(key, mapping.get(key, ""))
         return section
 
-    def take_known(
+    def read_known_options(
         self, mapping: Mapping[str, str], source: str, header: str, keep_unknown: bool
     ) -> list[Problem]:
         """Set each declared option from its text or its default; return what is wrong."""
@@ -118,19 +118,19 @@
                 continue
             try:
                 setattr(self, key, field.parse(text))
-            except BadValue as error:
+            except InvalidValue as error:
                 if keep_unknown and not field.required:
-                    self.set_aside(key, text)
+                    self.use_default(key, text)
                     continue
                 problems.append(Problem(source, header, key, error.wrong, error.instead))
         return problems
 
-    def set_aside(self, key: str, text: str) -> None:
+    def use_default(self, key: str, text: str) -> None:
         """Use an option's default, and keep its text."""
         setattr(self, key, self.fields[key].default)
-        self.keep({key: text})
+        self.add_extra({key: text})
 
-    def keep(self, texts: dict[str, str]) -> None:
+    def add_extra(self, texts: dict[str, str]) -> None:
         """Add texts that this release does not understand to `extra`."""
         self.extra = {**self.extra, **texts}
 
@@ -141,8 +141,8 @@
     @classmethod
     def unknown_option(cls, key: str, source: str, header: str) -> Problem:
         """Return the problem of an option that is not declared, with the nearest that is."""
-        near = get_close_matches(key, cls.fields, n=1)
-        instead = f"write {near[0]}" if near else "use one of " + ", ".join(cls.fields)
+        closest = get_close_matches(key, cls.fields, n=1)
+        instead = f"write {closest[0]}" if closest else "use one of " + ", ".join(cls.fields)
         return Problem(source, header, key, "there is no such option", instead)
 
     def options(self) -> dict[str, str]:
--- a/sequoiabridge/config/settings.py
+++ b/sequoiabridge/config/settings.py
@@ -30,26 +30,31 @@
     heading = "callers"
 
     address = Address("Where callers connect.", listen=True)
-    max_head = Size("Largest request line and headers together.", 32_000, least=1000, most=10**6)
+    max_head = Size(
+        "Largest request line and headers together.", 32_000, minimum=1000, maximum=10**6
+    )
     max_connections = Integer(
-        "Connections of callers at one time; more are refused.", 2000, least=1, most=100_000
+        "Connections of callers at one time; more are refused.", 2000, minimum=1, maximum=100_000
     )
     idle_timeout = Duration(
-        "How long a connection may stay open between two requests.", 75.0, least=1.0, most=3600.0
+        "How long a connection may stay open between two requests.",
+        75.0,
+        minimum=1.0,
+        maximum=3600.0,
     )
     head_timeout = Duration(
-        "How long a caller may take to send a request's head.", 10.0, least=0.1, most=600.0
+        "How long a caller may take to send a request's head.", 10.0, minimum=0.1, maximum=600.0
     )
     body_timeout = Duration(
         "How long a caller may be silent while its body is expected, or not read its answer.",
         30.0,
-        least=0.1,
-        most=3600.0,
+        minimum=0.1,
+        maximum=3600.0,
     )
     balancer_lag = Duration(
         "On a planned stop, time between failing the health check and refusing connections.",
         10.0,
-        most=600.0,
+        maximum=600.0,
     )
 
     def check(self) -> Iterator[tuple[str, str, str]]:
@@ -64,7 +69,7 @@
     heading = "admin"
 
     address = Address("Where operators, metrics and the health check connect.", listen=True)
-    token = Secret("Operators send it with each command.", shortest=16)
+    token = Secret("Operators send it with each command.", min_length=16)
 
 
 class FleetSettings(Section):
@@ -74,12 +79,12 @@
 
     address = Address("Where the other daemons reach this one.", listen=True)
     seeds = ListOf("Fleet addresses of some other daemons, to begin with.", Address(""), ())
-    key = Secret("The fleet's key; the same on every VM.", shortest=32)
+    key = Secret("The fleet's key; the same on every VM.", min_length=32)
     bytes_per_second = Integer(
         "Bytes a second that this daemon may send to others on average.",
         3000,
-        least=300,
-        most=10**7,
+        minimum=300,
+        maximum=10**7,
     )
 
     def check(self) -> Iterator[tuple[str, str, str]]:
@@ -98,8 +103,8 @@
     tables = Address("The transactional table service.")
     objects = Address("The object store.")
     list = Address("The list of live and leaving VMs.")
-    fleet_writes = Integer("Writes a second that all VMs together may make.", 300, least=1)
-    fleet_reads = Integer("Reads a second that all VMs together may make.", 2000, least=1)
+    fleet_writes = Integer("Writes a second that all VMs together may make.", 300, minimum=1)
+    fleet_reads = Integer("Reads a second that all VMs together may make.", 2000, minimum=1)
 
 
 class LogSettings(Section):
@@ -155,19 +160,19 @@
     @classmethod
     def parse(cls, text: str, source: str = "settings") -> Result[Self, list[Problem]]:
         """Read the text of a settings file; on failure return every problem in it."""
-        written, problems = read_sections(text, source)
-        problems += [unknown_section(h, source) for h in written if h not in SECTIONS]
+        sections, problems = read_sections(text, source)
+        problems += [unknown_section(h, source) for h in sections if h not in SECTIONS]
         read = {}
         for header, kind in SECTIONS.items():
-            if header not in written and any(field.required for field in kind.fields.values()):
+            if header not in sections and any(field.required for field in kind.fields.values()):
                 problems.append(missing_section(header, source))
                 continue
-            section = kind.read("", written.get(header, {}), source)
+            section = kind.read("", sections.get(header, {}), source)
             if section.is_error():
                 problems += section.error
                 continue
             read[header] = section.ok
-        problems += same_addresses(read, source)
+        problems += find_address_conflicts(read, source)
         if problems:
             return Error(problems)
         return Ok(cls(source, **read))
@@ -179,8 +184,8 @@
 
 def unknown_section(header: str, source: str) -> Problem:
     """Return the problem of a section that settings do not have."""
-    near = get_close_matches(header, SECTIONS, n=1)
-    instead = f"write [{near[0]}]" if near else "use " + ", ".join(f"[{s}]" for s in SECTIONS)
+    closest = get_close_matches(header, SECTIONS, n=1)
+    instead = f"write [{closest[0]}]" if closest else "use " + ", ".join(f"[{s}]" for s in SECTIONS)
     return Problem(source, header, "", "there is no such section in settings", instead)
 
 
@@ -190,7 +195,7 @@
     return Problem(source, header, "", "the section is missing", "add it with " + ", ".join(needed))
 
 
-def same_addresses(read: dict[str, Section], source: str) -> list[Problem]:
+def find_address_conflicts(read: dict[str, Section], source: str) -> list[Problem]:
     """Return a problem for each address of this daemon that two of its ports share."""
     problems: list[Problem] = []
     seen: dict[str, str] = {}
@@ -198,7 +203,7 @@
         if header not in read or split_address(read[header].address)[1] == 0:
             continue
         address = read[header].address
-        other = next((a for a in seen if overlap(a, address)), None)
+        other = next((a for a in seen if addresses_conflict(a, address)), None)
         if other is not None:
             wrong = f"{address} cannot be bound beside {other} of [{seen[other]}]"
             problems.append(Problem(source, header, "address", wrong, "give each its own port"))
@@ -211,7 +216,7 @@
     return ipaddress.ip_address(split_address(address)[0]).is_unspecified
 
 
-def overlap(one: str, other: str) -> bool:
+def addresses_conflict(one: str, other: str) -> bool:
     """Return True if two addresses cannot both be bound."""
     if split_address(one)[1] != split_address(other)[1]:
         return False
--- a/sequoiabridge/config/units.py
+++ b/sequoiabridge/config/units.py
@@ -4,12 +4,12 @@
 import re
 from typing import Any
 
-from .fields import REQUIRED, BadValue, Bounded, Field
+from .fields import REQUIRED, Bounded, Field, InvalidValue
 
 DURATION = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,9})?)\s*(ms|s|m|h)")
 SIZE = re.compile(r"([0-9]{1,15})\s*(B|KB|MB|GB|TB)?", re.IGNORECASE)
 
-DECIMALS = 9
+DURATION_DECIMALS = 9
 """Durations are kept to the nanosecond, so that each can be written without loss."""
 
 SECONDS = {"s": 1, "m": 60, "h": 3600}
@@ -19,27 +19,27 @@
 
 MAX_PORT = 65535
 
-MAX_HOST = 253
+MAX_HOST_LENGTH = 253
 """Characters of the longest host name (RFC 1035)."""
 
 
 class Duration(Bounded):
     """A time such as `250ms`, `3s` or `5m`; seconds as a float at run time."""
 
-    most = 86400.0
+    maximum = 86400.0
 
     @property
     def expected(self) -> str:
-        least, most = self.format(self.least), self.format(self.most)
-        return f"a duration from {least} to {most}, such as 250ms, 3s or 5m"
+        minimum, maximum = self.format(self.minimum), self.format(self.maximum)
+        return f"a duration from {minimum} to {maximum}, such as 250ms, 3s or 5m"
 
     def parse(self, text: str) -> float:
         match = DURATION.fullmatch(text)
         if not match:
-            raise self.bad(text)
+            raise self.invalid(text)
         number, unit = float(match[1]), match[2]
         seconds = number / 1000 if unit == "ms" else number * SECONDS[unit]
-        return self.within(round(seconds, DECIMALS), text)
+        return self.check_bounds(round(seconds, DURATION_DECIMALS), text)
 
     def format(self, value: float) -> str:
         if value and value % 3600 == 0:
@@ -51,24 +51,24 @@
         thousandths = round(value * 1000)
         if thousandths / 1000 == value:
             return f"{thousandths}ms"
-        return f"{value:.{DECIMALS}f}".rstrip("0").rstrip(".") + "s"
+        return f"{value:.{DURATION_DECIMALS}f}".rstrip("0").rstrip(".") + "s"
 
 
 class Size(Bounded):
     """A number of bytes such as `64KB` or `10MB` (1 KB = 1,000 bytes); an int at run time."""
 
-    most = 10**12
+    maximum = 10**12
 
     @property
     def expected(self) -> str:
-        least, most = self.format(self.least), self.format(self.most)
-        return f"a size from {least} to {most}, such as 64KB or 10MB"
+        minimum, maximum = self.format(self.minimum), self.format(self.maximum)
+        return f"a size from {minimum} to {maximum}, such as 64KB or 10MB"
 
     def parse(self, text: str) -> int:
         match = SIZE.fullmatch(text)
         if not match:
-            raise self.bad(text)
-        return self.within(int(match[1]) * BYTES[(match[2] or "B").upper()], text)
+            raise self.invalid(text)
+        return self.check_bounds(int(match[1]) * BYTES[(match[2] or "B").upper()], text)
 
     def format(self, value: int) -> str:
         for unit, size in BYTES.items():
@@ -94,9 +94,9 @@
         try:
             ip, port = split_address(text)
         except ValueError:
-            raise self.bad(text) from None
+            raise self.invalid(text) from None
         if port == 0 and not self.listen:
-            raise BadValue("port 0 stands for no port", f"write {self.expected}")
+            raise InvalidValue("port 0 stands for no port", f"write {self.expected}")
         return join_address(ip, port)
 
 
@@ -106,8 +106,8 @@
     expected = "a host name such as a.example.org, or *.example.org for all below it"
 
     def parse(self, text: str) -> str:
-        if len(text) > MAX_HOST or not HOST.fullmatch(text):
-            raise self.bad(text)
+        if len(text) > MAX_HOST_LENGTH or not HOST.fullmatch(text):
+            raise self.invalid(text)
         return text.lower()
 
 
@@ -120,7 +120,7 @@
         if text == "/":
             return text
         if not re.fullmatch(r"(/[A-Za-z0-9._~!$&'()+,;=:@%-]+)+", text):
-            raise self.bad(text)
+            raise self.invalid(text)
         return text
 
 
@@ -134,13 +134,13 @@
 
     def parse(self, text: str) -> str:
         if not re.fullmatch(r"/[A-Za-z0-9._~!$&'()+,;=:@%*/-]*", text) or "//" in text:
-            raise self.bad(text)
+            raise self.invalid(text)
         if text.endswith("/") and text != "/":
-            raise self.bad(text)
+            raise self.invalid(text)
         segments = text.split("/")
-        wide = segments.count("**")
-        if wide > 1 or any(part.count("*") > 1 and part != "**" for part in segments):
-            raise self.bad(text)
+        wildcards = segments.count("**")
+        if wildcards > 1 or any(part.count("*") > 1 and part != "**" for part in segments):
+            raise self.invalid(text)
         return text
 
 
--- a/sequoiabridge/config/upstream.py
+++ b/sequoiabridge/config/upstream.py
@@ -13,10 +13,10 @@
     pool = Name("Pool that it belongs to.")
     address = Address("Where it takes requests; no other upstream may have the same.")
     data_centre = Name("Data centre in which it runs.", "unknown")
-    slots = Integer("Requests that it runs at a time; 0 for the pool's figure.", 0, most=10_000)
+    slots = Integer("Requests that it runs at a time; 0 for the pool's figure.", 0, maximum=10_000)
     connections = Integer(
         "Connections that it takes from all VMs together; 0 for the pool's figure.",
         0,
-        most=100_000,
+        maximum=100_000,
     )
     drained = Boolean("Whether the operator keeps new work away from it.", False)
