--- a/sequoiabridge/operators/__init__.py
+++ b/sequoiabridge/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators use: query and command language, state dump, journal of decisions."""
+"""The operators' interface: command language, admin server, state dump, decision journal."""
--- a/sequoiabridge/operators/admin.py
+++ b/sequoiabridge/operators/admin.py
@@ -1,8 +1,7 @@
-"""The admin port: a small HTTP server for operators, metrics and the balancer's health check.
+"""HTTP server of the admin port, for operators, metrics and the load balancer's health check.
 
-h11 does the framing, curio the sockets; what is answered is up to an `AdminHandler`. Bodies are
-held in memory, so they are bounded. When all connections are taken, the oldest that carries no
-whole request makes room, so that idle clients do not keep the health check out.
+When the connection limit is reached, the server closes the oldest connection without a request in
+progress, so that idle clients cannot block the health check.
 """
 
 from __future__ import annotations
@@ -24,16 +23,17 @@
 log = get_log("admin")
 
 READ_BYTES = 65536
+"""Maximum number of bytes per read from a socket."""
 
 ACCEPT_RETRY_SECONDS = 0.1
-"""Seconds to wait when no connection can be accepted, for want of file descriptors."""
+"""Seconds before accepting is retried after an error, such as a lack of file descriptors."""
 
 LINGER_SECONDS = 1.0
-"""Seconds for which a refused client may go on sending before it is cut off."""
+"""Maximum time for which data of a rejected client is read before the connection is closed."""
 
 
 class AdminLimits:
-    """What the admin port bears; sizes in bytes, times in seconds."""
+    """Limits of the admin port; sizes in bytes, times in seconds."""
 
     __slots__ = ("max_head", "max_body", "idle_timeout", "body_timeout", "max_connections")
 
@@ -53,7 +53,7 @@
 
 
 class AdminConnection:
-    """One client's connection, and the requests on it one after the other."""
+    """A connection of a client, with its requests in sequence."""
 
     __slots__ = ("sock", "handler", "limits", "h11", "busy", "head_only")
 
@@ -66,7 +66,7 @@
         self.head_only = False
 
     async def serve(self) -> None:
-        """Answer requests until the client leaves, is silent too long or breaks the protocol."""
+        """Answer requests until the client disconnects or a protocol error occurs."""
         while True:
             self.busy = False
             try:
@@ -111,16 +111,16 @@
         return bytes(body)
 
     def _check_head(self, head: h11.Request) -> None:
-        # h11 limits only a head that comes in pieces.
+        # h11 limits the head only if it arrives in several reads.
         size = len(head.target) + sum(len(n) + len(v) for n, v in head.headers)
         if size > self.limits.max_head:
-            message = f"The head has over {self.limits.max_head} bytes; shorten its headers."
+            message = f"The request head exceeds {self.limits.max_head} bytes; shorten its headers."
             raise RequestRejected(431, "too-large", message)
 
     def _check_size(self, size: int) -> None:
         if size <= self.limits.max_body:
             return
-        message = f"The body has over {self.limits.max_body} bytes; send less at a time."
+        message = f"The request body exceeds {self.limits.max_body} bytes; send a smaller one."
         raise RequestRejected(413, "too-large", message)
 
     async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
@@ -148,7 +148,7 @@
 
     async def _reject(self, error: RequestRejected) -> None:
         await self._send(error_answer(error), close=True)
-        # Closing with unread bytes would reset the connection and lose the answer.
+        # Closing a socket with unread data resets the connection, and the answer could be lost.
         await self.sock.shutdown(SHUT_WR)
         async with curio.ignore_after(LINGER_SECONDS):
             while await self.sock.recv(READ_BYTES):
@@ -156,10 +156,10 @@
 
 
 class AdminServer(Component):
-    """Serves the admin port on one address.
+    """Serves the admin port.
 
     Args:
-        address: `IP:port` to bind, and nothing else; port 0 takes a free one.
+        address: `IP:port` to bind; port 0 selects a free port.
     """
 
     name = "admin"
@@ -194,7 +194,7 @@
                 await task.cancel(blocking=False)
 
     def dump(self) -> dict:
-        """Describe the port for the state dump."""
+        """Return the state of the port for the state dump."""
         return {
             "address": self.address,
             "connections": len(self.open_connections),
@@ -236,17 +236,19 @@
             async with connection.sock:
                 await connection.serve()
         except (curio.TaskTimeout, OSError):
-            pass  # The client is gone or too slow; there is nobody to tell.
+            pass  # The client disconnected or timed out, so it cannot receive an answer.
         finally:
             self.open_connections.pop(connection, None)
 
 
 def admin_request(head: h11.Request, body: bytes) -> AdminRequest:
-    """Decode a request's head."""
+    """Return the decoded request of an h11 head and its body."""
     try:
         parts = urlsplit(head.target.decode("ascii"))
         query = dict(parse_qsl(parts.query, keep_blank_values=True))
     except ValueError as error:
-        raise RequestRejected(400, "bad-request", f"The target is not a URL: {error}.") from error
+        raise RequestRejected(
+            400, "bad-request", f"The request target is not a URL: {error}."
+        ) from error
     headers = {n.decode("ascii"): v.decode("latin-1") for n, v in head.headers}
     return AdminRequest(head.method.decode("ascii"), unquote(parts.path), query, headers, body)
--- a/sequoiabridge/operators/bases.py
+++ b/sequoiabridge/operators/bases.py
@@ -1,4 +1,4 @@
-"""What the operators' side needs of the daemon, behind small abstract bases."""
+"""Abstract interfaces through which the operators' code uses the rest of the daemon."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class Readiness(ABC):
-    """Whether the platform's balancer should send callers to this VM."""
+    """Readiness of this VM, as reported to the health check of the platform's load balancer."""
 
     @abstractmethod
     def check(self) -> tuple[bool, str]:
-        """Return whether this VM is ready, and one sentence why or why not."""
+        """Return whether this VM is ready, and one sentence with the reason."""
 
 
 class RowSource(ABC):
-    """The rows that this VM can show; each subject's row type is in `rows.ROWS`."""
+    """Source of this VM's rows for `show`; `rows.ROWS` has the row type of each subject."""
 
     @abstractmethod
     async def rows(self, subject: Subject, of: str | None) -> Result[list[ShowRow], SequoiaError]:
         """Return this VM's rows of a subject.
 
-        `of` is a hint that may save work: rows that it does not concern are filtered out later.
+        `of` is an optional hint: the caller filters out rows that do not match it.
         """
 
 
 class ConfigurationRepository(ABC):
-    """The way to the fleet's configuration."""
+    """Reads and changes the configuration of the fleet."""
 
     @abstractmethod
     def document(self) -> Document:
@@ -41,28 +41,28 @@
 
     @abstractmethod
     async def at_version(self, version: int) -> Result[Document, SequoiaError]:
-        """Return an older version, or `NotFound` with the versions that are kept."""
+        """Return a version of the configuration, or `NotFound` if it is no longer stored."""
 
     @abstractmethod
     async def propose(self, change: Change, author: str, expect: int) -> Result[int, SequoiaError]:
         """Commit a change on top of version `expect` and return the new version.
 
-        Errors: `ConflictError` that names the newer version, its author and its time, when
-        `expect` is not the newest; `StoreUnavailable` when nothing is known to be written.
+        Errors: `ConflictError` with the newer version, its author and its time if `expect` is not
+        the latest version; `StoreUnavailable` if the write could not be confirmed.
         """
 
     @abstractmethod
     def count_in_force(self, version: int) -> tuple[int, int]:
-        """Return (n, m): a version, or a newer one, is known to be in force on n of m live VMs."""
+        """Return (n, m): `version` or a newer one is confirmed in force on n of m live VMs."""
 
 
 class Releaser(ABC):
-    """What an operator's word can free."""
+    """Releases blocked requests, open claims and held uploads."""
 
     @abstractmethod
     async def describe(self, kind: HeldKind, name: str) -> Result[str, SequoiaError]:
-        """Return a sentence that says what is held under this name, or `NotFound`."""
+        """Return one sentence that describes a held object, or `NotFound`."""
 
     @abstractmethod
     async def release(self, kind: HeldKind, name: str, author: str) -> Result[str, SequoiaError]:
-        """Release it and return a sentence that says what was done, or `NotFound`."""
+        """Release a held object; return one sentence that says what was done, or `NotFound`."""
--- a/sequoiabridge/operators/changes.py
+++ b/sequoiabridge/operators/changes.py
@@ -1,4 +1,4 @@
-"""Turns commands into changes of the fleet's configuration, and shows what they change."""
+"""Turns commands into configuration changes, and lists the differences that they make."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from .errors import ConfigurationBehind, InvalidChange, NotFound
 
 DIFFERENCE_COLUMNS = ["kind", "name", "option", "old", "new"]
-"""Columns of a difference between two documents."""
+"""Columns of the table of differences between two documents."""
 
 
 class Proposal:
-    """A change that is valid on top of `old` and leads to `new`."""
+    """A validated change that turns the document `old` into `new`."""
 
     __slots__ = ("old", "new", "change")
 
@@ -33,7 +33,7 @@
 def propose_command(
     document: Document, command: ChangeCommand, author: str, at: float
 ) -> Result[Proposal, SequoiaError]:
-    """Return what a command would change, validated whole."""
+    """Return the validated proposal of a command."""
     expected = check_expected_version(document, command.expect)
     if expected.is_error():
         return Error(expected.error)
@@ -46,7 +46,7 @@
 def propose_document(
     document: Document, text: str, author: str, expect: int | None, at: float
 ) -> Result[Proposal, SequoiaError]:
-    """Return what it takes to make the configuration what an INI text says."""
+    """Return the validated proposal that replaces the configuration with an INI text."""
     expected = check_expected_version(document, expect)
     if expected.is_error():
         return Error(expected.error)
@@ -54,29 +54,29 @@
     if parsed.is_error():
         return Error(invalid_change(parsed.error))
     if document.services and not parsed.ok.services:
-        message = "The document has no service and would remove all; remove them one by one."
+        message = "The document has no service; to remove all services, remove each by name."
         return Error(InvalidChange(message, [message]))
     return validate_change(document, diff(document, parsed.ok), author, at, "configuration")
 
 
 def check_expected_version(document: Document, expect: int | None) -> Result[None, SequoiaError]:
-    """Check the version that the operator has seen against the one in force on this VM."""
+    """Return an error unless `expect` is None or the version in force on this VM."""
     if expect is None or expect == document.version:
         return Ok(None)
     if expect > document.version:
-        message = f"This VM has version {document.version} and not heard of {expect} yet; "
-        return Error(ConfigurationBehind(message + "ask again in some seconds, or ask another VM."))
+        message = f"This VM has version {document.version} and has not received {expect} yet; "
+        return Error(ConfigurationBehind(message + "try again in a few seconds or on another VM."))
     when = datetime.fromtimestamp(document.changed_at, UTC).isoformat(timespec="seconds")
-    message = f"Version {expect} is not the newest: {document.author} set version "
-    message += f"{document.version} at {when}. Look at it with "
-    message += f"diff {expect} {document.version}, then give the command again."
+    message = f"Version {expect} is not the latest: {document.author} set version "
+    message += f"{document.version} at {when}. Review it with "
+    message += f"diff {expect} {document.version}, then repeat the command."
     return Error(ConflictError(message))
 
 
 def entry_change(
     document: Document, command: ChangeCommand
 ) -> Result[SetEntry | RemoveEntry, SequoiaError]:
-    """Return the entry that a command sets or removes."""
+    """Return the change of the entry that a command sets or removes."""
     if isinstance(command, Drain):
         kind, options = "upstream", {"drained": "no" if command.resume else "yes"}
     else:
@@ -86,10 +86,10 @@
     if isinstance(command, SetOptions) and command.create:
         if not exists:
             return Ok(SetEntry(kind, command.name, options))
-        message = f"The {kind} {command.name} is there already; change it with set."
+        message = f"The {kind} {command.name} already exists; change it with set."
         return Error(InvalidChange(message, [message]))
     if not exists:
-        return Error(NotFound(f"There is no {kind} {command.name}; see show {kind}s."))
+        return Error(NotFound(f"No {kind} {command.name} exists; see show {kind}s."))
     if isinstance(command, Remove):
         return Ok(RemoveEntry(kind, command.name))
     return Ok(document.merge_options(kind, command.name, options))
@@ -98,7 +98,7 @@
 def validate_change(
     document: Document, change: Change, author: str, at: float, source: str
 ) -> Result[Proposal, SequoiaError]:
-    """Return the proposal if the document that it leads to is valid."""
+    """Return the proposal of a change if the resulting document is valid."""
     new = document.with_change(change, document.version + 1, author, at, source=source)
     if new.is_error():
         return Error(invalid_change(new.error))
@@ -106,15 +106,15 @@
 
 
 def invalid_change(problems: list[Problem]) -> InvalidChange:
-    """Return all problems of a change as one error."""
+    """Return one error with all problems of a change."""
     lines = [problem.text for problem in problems]
     return InvalidChange(f"The change is not valid: {' | '.join(lines)}.", lines)
 
 
 def difference_table(old: Document, new: Document) -> tuple[list[str], list[list[str]]]:
-    """Return the columns and rows of a difference: one for each option that changed.
+    """Return the columns and rows of the differences between two documents.
 
-    An entry that is added or removed has a row of its own before its options.
+    There is one row per changed option; an added or removed entry has an extra row first.
     """
     rows = []
     for entry in diff(old, new).entries:
@@ -132,7 +132,7 @@
 
 
 def entry_options(document: Document, kind: str, name: str) -> dict[str, str] | None:
-    """Return an entry's options in a document, or None if it is not there."""
+    """Return the options of an entry, or None if the document does not have it."""
     unknown = document.unknown.get((kind, name))
     if unknown is not None or kind not in KINDS:
         return unknown
@@ -141,7 +141,7 @@
 
 
 def option_text(kind: str, option: str, options: dict[str, str] | None) -> str:
-    """Return an option's text, its default's if it is not given, "" without an entry."""
+    """Return the text of an option or of its default, or "" if there is no entry."""
     if options is None:
         return ""
     field = KINDS[kind].fields.get(option) if kind in KINDS else None
--- a/sequoiabridge/operators/commands.py
+++ b/sequoiabridge/operators/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the language as typed objects; `parser` makes them and `executor` runs them."""
+"""Commands of the operators' language as objects: built by `parser`, run by `executor`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Subject(Enum):
-    """What `show` can show."""
+    """Subjects of `show`."""
 
     SERVICES = "services"
     POOLS = "pools"
@@ -22,7 +22,7 @@
 
 
 class EntryKind(Enum):
-    """The kinds of entry in the fleet's configuration."""
+    """Kinds of entries in the configuration."""
 
     SERVICE = "service"
     POOL = "pool"
@@ -31,7 +31,7 @@
 
 
 class HeldKind(Enum):
-    """What an operator can release."""
+    """Kinds of objects that an operator can release."""
 
     CRASH = "crash"
     CLAIM = "claim"
@@ -39,12 +39,12 @@
 
 
 class Command:
-    """Base of all commands; equal when all parts are equal."""
+    """Base class of commands; two are equal if their type and all slots are equal."""
 
     __slots__ = ()
 
     def slot_values(self) -> tuple:
-        """Return the values of all slots, those of the base classes first."""
+        """Return the values of all slots, those of base classes first."""
         names = [n for c in reversed(type(self).__mro__) for n in getattr(c, "__slots__", ())]
         return tuple(getattr(self, name) for name in names)
 
@@ -58,7 +58,7 @@
 
 
 class Condition(Command):
-    """`field operator value` of a `where`; `column` is the field's place in the text."""
+    """A condition of `where`; `column` is the column of its field, counted from 1."""
 
     __slots__ = ("field", "operator", "value", "column")
 
@@ -70,7 +70,7 @@
 
 
 class Show(Command):
-    """Shows rows of one subject; `limit` is None for all."""
+    """Shows the rows of a subject; a `limit` of None applies the default limit."""
 
     __slots__ = ("subject", "of", "where", "limit")
 
@@ -82,7 +82,7 @@
 
 
 class Explain(Command):
-    """Says what was decided about one request, and on what evidence."""
+    """Shows the decisions about a request and the data that they were based on."""
 
     __slots__ = ("request_id",)
 
@@ -91,7 +91,7 @@
 
 
 class Diff(Command):
-    """Shows what changed from one version of the configuration to another."""
+    """Shows the differences between two versions of the configuration."""
 
     __slots__ = ("old", "new")
 
@@ -101,10 +101,10 @@
 
 
 class ChangeCommand(Command):
-    """Base of commands that change something.
+    """Base class of commands that make changes.
 
-    `expect` is the version of the configuration that the operator has seen, or None; `dry_run`
-    asks what would happen.
+    The command fails if `expect` is given and is not the current configuration version. With
+    `dry_run`, the command is validated and nothing is changed.
     """
 
     __slots__ = ("expect", "dry_run")
@@ -115,7 +115,7 @@
 
 
 class SetOptions(ChangeCommand):
-    """Adds an entry (`new`) or changes options of one that exists."""
+    """Adds an entry if `create`, else sets options of an existing entry."""
 
     __slots__ = ("kind", "name", "options", "create")
 
@@ -139,7 +139,7 @@
 
 
 class Drain(ChangeCommand):
-    """Gives an upstream no new work, or (`back`) gives it work again."""
+    """Drains an upstream, or ends its drain if `resume`."""
 
     __slots__ = ("name", "resume")
 
@@ -150,7 +150,7 @@
 
 
 class Release(ChangeCommand):
-    """Lets a stopped request run or a held upload be delivered, or frees a dead VM's claim."""
+    """Releases a blocked request, a held upload or an open claim."""
 
     __slots__ = ("kind", "name")
 
--- a/sequoiabridge/operators/dump.py
+++ b/sequoiabridge/operators/dump.py
@@ -1,4 +1,4 @@
-"""The state dump: what every part of this daemon says of itself, without any secret."""
+"""The state dump: the state of every component of this daemon, with secrets redacted."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 log = get_log("dump")
 
 REDACTED = "(hidden)"
+"""Replaces secrets in the dump."""
 
 SECRET_KEYS = frozenset({"token", "secret", "password", "authorization", "fleet_key"})
-"""Keys whose values are never shown."""
+"""Keys, in lower case, whose values are redacted."""
 
 MIN_EMBEDDED_SECRET_CHARS = 6
-"""Characters from which a secret is also looked for within longer texts."""
+"""Minimum length of a secret that is also redacted inside longer texts, in characters."""
 
 MAX_DEPTH = 12
-"""Levels of maps and lists; what lies deeper is not shown."""
+"""Maximum depth of nested maps and lists in the dump of a component."""
 
 
 class StateDump:
-    """Collects the dump of all parts.
+    """Collects the state of all components.
 
     Args:
-        parts: Returns the parts that live now.
-        secrets: Texts that must not be shown, such as the operators' token and the fleet's key.
+        components: Returns the current components.
+        secrets: Texts to redact, such as the operators' token and the fleet's key.
     """
 
     def __init__(
@@ -40,15 +41,17 @@
         self.secrets = [secret for secret in secrets if secret]
 
     async def collect(self, only: str | None = None) -> dict:
-        """Return the dump of all parts, or of the one named `only`; tasks run between parts.
+        """Return the dump of all components, or of the one named `only`.
+
+        Yields to other tasks between components.
 
         Raises:
-            NotFound: There is no part of that name; the message lists those there are.
+            NotFound: No component has that name; the message lists the names.
         """
         components = list(self.components())
         names = sorted({component.name for component in components})
         if only is not None and only not in names:
-            raise NotFound(f"There is no part {only}; parts are {', '.join(names)}.")
+            raise NotFound(f"No part {only} exists; parts are {', '.join(names)}.")
         dumps = {}
         for component in components:
             if only in (None, component.name):
@@ -60,8 +63,10 @@
         try:
             return self._redact(component.dump(), 0)
         except Exception as error:
-            # The others' state is worth most when one part is broken.
-            log.warning("part %s gave no dump: %s", component.name, type(error).__name__)
+            # An error in one component must not hide the state of the others.
+            log.warning(
+                "state dump of component %s failed: %s", component.name, type(error).__name__
+            )
             return {"error": self._redact_text(f"{type(error).__name__}: {error}")}
 
     def _redact(self, value: object, depth: int) -> object:
--- a/sequoiabridge/operators/errors.py
+++ b/sequoiabridge/operators/errors.py
@@ -1,15 +1,15 @@
-"""Error kinds of the operators' side; the admin server turns each into an HTTP status."""
+"""Errors of the operators' interface; `reply.HTTP_STATUSES` has the HTTP status of each."""
 
 from ..exceptions import SequoiaError
 
 
 class LanguageError(SequoiaError):
-    """A command is not in the language.
+    """A command has a syntax error or a value of the wrong type.
 
     Args:
-        message: What was found and what was expected; the tool puts the column before it.
-        column: Where, counted from 1.
-        expected: What may stand there, in words that an operator can type or look up.
+        message: What was found and what was expected; the command line tool prefixes the column.
+        column: Column of the error, counted from 1.
+        expected: Keywords and kinds of value that are valid there.
     """
 
     exit_code = 2
@@ -21,7 +21,7 @@
 
 
 class InvalidChange(SequoiaError):
-    """A change leads to a configuration that is not valid; `problems` has a line for each."""
+    """A change would make the configuration invalid; `problems` has one line per problem."""
 
     exit_code = 2
 
@@ -31,16 +31,16 @@
 
 
 class NotFound(SequoiaError):
-    """Nothing of that name is known; the message says where it was looked for."""
+    """No object of the given name exists; the message says how to list those that do."""
 
 
 class RequestRejected(SequoiaError):
-    """The admin port refuses a request before it does anything.
+    """The admin port rejects a request before processing it.
 
     Args:
         status: HTTP status code.
-        kind: Fixed word for scripts.
-        message: One sentence that names the remedy.
+        kind: Machine-readable error code.
+        message: One sentence that says how to correct the request.
     """
 
     def __init__(self, status: int, kind: str, message: str):
@@ -50,6 +50,6 @@
 
 
 class ConfigurationBehind(SequoiaError):
-    """This VM has not caught up with the version that the operator expects."""
+    """This VM has not yet received the configuration version that the operator expects."""
 
     exit_code = 4
--- a/sequoiabridge/operators/executor.py
+++ b/sequoiabridge/operators/executor.py
@@ -1,4 +1,4 @@
-"""Carries out the operators' commands: reads state, proposes changes, releases what is held."""
+"""Runs the operators' commands: shows state, proposes changes, releases held objects."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 from .rows import FLEET_SUBJECTS, ROWS, ShowRow, fields_of
 
 DEFAULT_LIMIT = 1000
-"""Rows of an answer when the command names no limit: a long one holds up calls on this VM."""
+"""Maximum number of rows in an answer to a command without `limit`."""
 
 ReplyResult = Result[Reply, SequoiaError]
 
 
 class Executor:
-    """Runs commands on this VM, and asks the others where each knows only a part."""
+    """Runs commands on this VM and queries its peers for rows that only they have."""
 
     def __init__(
         self,
@@ -55,14 +55,14 @@
         self.gatherer = gatherer
 
     async def execute(self, text: str, author: str) -> ReplyResult:
-        """Parse and run one command."""
+        """Parse and run a command."""
         parsed = parse(text)
         if parsed.is_error():
             return Error(parsed.error)
         return await self.run(parsed.ok, text, author)
 
     async def run(self, command: Command, text: str, author: str) -> ReplyResult:
-        """Run one command; `text` is its own text, for the other VMs."""
+        """Run a command; `text` is its source, which is sent to peers."""
         if isinstance(command, Show):
             return await self._show(command, text)
         if isinstance(command, Explain):
@@ -74,26 +74,26 @@
         return await self._change(command, author)
 
     async def apply(self, text: str, author: str, expect: int | None, dry_run: bool) -> ReplyResult:
-        """Make the configuration what an INI document says."""
+        """Replace the configuration with an INI document."""
         proposal = propose_document(
             self.configuration.document(), text, author, expect, self.clock.wall()
         )
         return await self._propose(proposal, author, dry_run)
 
     async def local_rows(self, text: str) -> Result[list[ShowRow], SequoiaError]:
-        """Return this VM's own rows for a `show` command; asked for by other VMs."""
+        """Return this VM's rows for a `show` command that a peer has sent."""
         parsed = parse(text)
         if parsed.is_error():
             return Error(parsed.error)
         if not isinstance(parsed.ok, Show):
-            return Error(LanguageError("Only show has rows; write show …", 1, ["show"]))
+            return Error(LanguageError("only show commands return rows; write show …", 1, ["show"]))
         tests = compile_tests(parsed.ok)
         if tests.is_error():
             return Error(tests.error)
         return await self._own_rows(parsed.ok, tests.ok)
 
     async def explain(self, request_id: str) -> ReplyResult:
-        """Return what this VM's journal says about a request, else what the others' say."""
+        """Return the lines about a request from this VM's journal, else from its peers."""
         own = self.journal.explain(request_id)
         if own is not None:
             return Ok(self._reply(["vm", "line"], [[self.vm, line] for line in own]))
@@ -120,7 +120,9 @@
         table = [[getattr(row, column) for column in columns] for row in rows[:limit]]
         is_truncated = len(rows) > limit and show.limit is None
         message = (
-            f"Only the first {limit} rows; add where, or limit N for more." if is_truncated else ""
+            f"Only the first {limit} rows are shown; add where, or limit N for more."
+            if is_truncated
+            else ""
         )
         return Ok(self._reply(columns, table, answered, failures, message))
 
@@ -130,7 +132,7 @@
         found = await self.source.rows(show.subject, show.of)
         if found.is_error():
             return found
-        # One row over the limit shows that there are more.
+        # One row over the limit marks the result as truncated.
         rows = sort_rows(await filter_rows(found.ok, tests), show)
         return Ok(rows[: row_limit(show) + 1])
 
@@ -169,7 +171,7 @@
         old, new, change = proposal.ok.old, proposal.ok.new, proposal.ok.change
         columns, rows = difference_table(old, new)
         if not change:
-            message = f"Nothing to change: version {old.version} has it already."
+            message = f"Nothing to change: version {old.version} already matches."
             return Ok(self._reply(columns, rows, message=message))
         if dry_run:
             message = f"Dry run: valid on top of version {old.version}; nothing was changed."
@@ -207,36 +209,36 @@
 
 
 def row_limit(show: Show) -> int:
-    """Return how many rows are shown at most."""
+    """Return the maximum number of rows to show."""
     return DEFAULT_LIMIT if show.limit is None else show.limit
 
 
 def sort_rows(rows: list[ShowRow], show: Show) -> list[ShowRow]:
-    """Put rows of several VMs in order: by their first two columns, refusals newest first."""
+    """Sort rows of several VMs by their first two columns; refusals are newest first."""
     if show.subject not in FLEET_SUBJECTS:
         return rows
     return sorted(rows, key=sort_key, reverse=show.subject is Subject.REFUSALS)
 
 
 def sort_key(row: ShowRow) -> tuple[str, str]:
-    """Return the first two columns, which are texts in all rows that are gathered."""
+    """Return the first two columns, which are strings for all `FLEET_SUBJECTS`."""
     first, second = row.__struct_fields__[:2]
     return getattr(row, first), getattr(row, second)
 
 
 def accepted_message(version: int, confirmed: int, live: int) -> str:
-    """Say that a change is accepted, and on how many VMs it is known to be in force by now."""
+    """Return the message for an accepted change: its version and the VMs that apply it."""
     if confirmed < live:
         return (
-            f"Accepted as version {version}, in force on {confirmed} of {live} VMs yet; "
+            f"Accepted as version {version}, in force on {confirmed} of {live} VMs so far; "
             "see show vms."
         )
     return f"Accepted as version {version}, in force on {confirmed} of {live} VMs."
 
 
 def not_found_message(request_id: str, failures: dict[str, str]) -> str:
-    """Say that no journal has a request, and what else it may mean."""
-    message = f"No journal knows {request_id}; journals keep the last calls only."
+    """Return the message for a request that no journal contains; it names VMs without an answer."""
+    message = f"No journal contains {request_id}; journals keep only the most recent calls."
     if not failures:
         return message
-    return f"{message} Not heard: {', '.join(sorted(failures))}."
+    return f"{message} No answer from: {', '.join(sorted(failures))}."
--- a/sequoiabridge/operators/fetch.py
+++ b/sequoiabridge/operators/fetch.py
@@ -1,4 +1,4 @@
-"""One GET over h11 on curio, for asking another daemon's admin port."""
+"""HTTP GET of another daemon's admin port, over h11 and curio."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from ..formatting import describe_error
 
 READ_BYTES = 65536
+"""Maximum number of bytes per read from the socket."""
 
 MAX_ANSWER_BYTES = 8_000_000
-"""Bytes of an answer that are read; a longer one is an error."""
+"""Maximum size of an answer's body; a larger one is an error."""
 
 
 async def fetch(address: str, target: str, token: str, timeout: float) -> bytes:
     """Return the body of a 200 answer to `GET target` from `address` ("IP:port").
 
     Raises:
-        AdminError: No whole 200 answer came in `timeout` seconds; the message says why.
+        AdminError: No complete 200 answer arrived within `timeout` seconds.
     """
     try:
         async with curio.timeout_after(timeout):
@@ -30,14 +31,14 @@
     except OSError as error:
         raise AdminError(f"the connection to {address} failed ({describe_error(error)})") from error
     except (h11.RemoteProtocolError, ValueError) as error:
-        raise AdminError(f"its answer is not whole or not HTTP ({error})") from error
+        raise AdminError(f"its answer is incomplete or not HTTP ({error})") from error
     if status != 200:
-        raise AdminError(f"it answered {status}: {error_message(body)}")
+        raise AdminError(f"it answered with status {status}: {error_message(body)}")
     return bytes(body)
 
 
 def error_message(body: bytes) -> str:
-    """Return the message of an error answer, or the beginning of what came in its place."""
+    """Return the message of an error answer, or the start of a body of another form."""
     try:
         return str(msgspec.json.decode(body)["error"]["message"])
     except (msgspec.DecodeError, LookupError, TypeError):
@@ -71,8 +72,6 @@
         elif type(event) is h11.Data:
             body += event.data
             if len(body) > MAX_ANSWER_BYTES:
-                raise AdminError(
-                    f"the answer has over {MAX_ANSWER_BYTES} bytes; ask for fewer rows"
-                )
+                raise AdminError(f"the answer exceeds {MAX_ANSWER_BYTES} bytes; request fewer rows")
         elif type(event) is not h11.InformationalResponse:
             return status, body
--- a/sequoiabridge/operators/filtering.py
+++ b/sequoiabridge/operators/filtering.py
@@ -1,4 +1,4 @@
-"""Which rows `show` answers with: `of` and `where`, with values checked by type."""
+"""Filters of `show` rows: `of NAME` and the conditions of `where`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 RowTest = Callable[[ShowRow], bool]
 
 CHUNK_ROWS = 500
-"""Rows that are tested before other tasks may run."""
+"""Number of rows that are tested before other tasks can run."""
 
 COMPARISONS = {
     "=": operator.eq,
@@ -30,7 +30,7 @@
 
 
 def compile_tests(show: Show) -> Result[list[RowTest], LanguageError]:
-    """Return a test for `of` and for each condition, or the first value of a wrong type."""
+    """Return a test for `of` and for each condition, or the error of the first invalid value."""
     tests: list[RowTest] = []
     if show.of is not None:
         tests.append(name_test(show.of))
@@ -44,12 +44,12 @@
 
 
 def name_test(name: str) -> RowTest:
-    """Return a test for `of NAME`: one of the row type's own fields equals the name."""
+    """Return a test that any of the row's `of_fields` equals a name."""
     return lambda row: any(getattr(row, field) == name for field in row.of_fields())
 
 
 def condition_test(condition: Condition, value_type: type) -> Result[RowTest, LanguageError]:
-    """Return a test for one condition on a field of type `kind`."""
+    """Return the test of a condition on a field of type `value_type`."""
     field, value = condition.field, condition.value
     if condition.operator == "~":
         substring = value.lower()
@@ -59,13 +59,13 @@
         wanted = convert_value(value, value_type)
     except ValueError:
         example = {bool: "yes or no", int: "a whole number", float: "a number"}[value_type]
-        message = f"{field} is {example}, and {value} is not."
+        message = f"{field} must be {example}, but found {value}."
         return Error(LanguageError(message, condition.column, [example]))
     return Ok(lambda row: compare(getattr(row, field), wanted))
 
 
 def convert_value(value: str, value_type: type) -> str | int | float | bool:
-    """Return a value of a field's type, or raise `ValueError`."""
+    """Convert a text to a field's type; raises `ValueError`."""
     if value_type is not bool:
         return value_type(value)
     word = value.lower()
@@ -75,7 +75,7 @@
 
 
 async def filter_rows(rows: list[ShowRow], tests: list[RowTest]) -> list[ShowRow]:
-    """Return the rows that pass all tests; calls are served between chunks of rows."""
+    """Return the rows that pass all tests; yields to other tasks between chunks."""
     passed: list[ShowRow] = []
     for start in range(0, len(rows), CHUNK_ROWS):
         chunk = rows[start : start + CHUNK_ROWS]
--- a/sequoiabridge/operators/gather.py
+++ b/sequoiabridge/operators/gather.py
@@ -1,4 +1,4 @@
-"""Asks the other daemons' admin ports, all at once, and says which of them were not heard."""
+"""Queries the admin ports of all peers concurrently and records which of them failed."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from .fetch import fetch
 
 Fetch = Callable[[str, str, str, float], Awaitable[bytes]]
-"""Takes address, target, token and timeout in seconds; raises `AdminError`."""
+"""Takes an address, target, token and timeout in seconds; raises `AdminError`."""
 
 PEER_TIMEOUT = 1.0
-"""Seconds that another daemon has for its answer."""
+"""Seconds after which a query of a peer fails."""
 
 
 class Peer:
-    """Another daemon; `address` is its admin port, "" if that is not known."""
+    """A peer; `address` is that of its admin port, or "" if it is unknown."""
 
     __slots__ = ("vm", "address")
 
@@ -30,7 +30,7 @@
 
 
 class GatheredAnswers:
-    """Answers as they came, by VM, and why others gave none."""
+    """Undecoded answers by VM, and the reason of each failure by VM."""
 
     __slots__ = ("answers", "failures")
 
@@ -39,26 +39,28 @@
         self.failures: dict[str, str] = {}
 
     async def decode_answers(self, answer_type: type) -> dict[str, Any]:
-        """Return the answers by VM, in the order of names; tasks run between two of them.
+        """Return the decoded answers by VM, sorted by name; yields to other tasks in between.
 
-        A VM whose answer is not of this kind counts as not heard.
+        An answer that cannot be decoded as `answer_type` becomes a failure.
         """
         found = {}
         for vm, body in sorted(self.answers.items()):
             try:
                 found[vm] = msgspec.json.decode(body, type=answer_type)
             except msgspec.MsgspecError:
-                self.failures[vm] = "its answer could not be read"
+                self.failures[vm] = "its answer could not be decoded"
             await curio.sleep(0)
         return found
 
 
 class Gatherer:
-    """Asks all peers the same; the operator's token is the same on all of them.
+    """Sends the same query to all peers.
 
     Args:
-        peers: Returns the other daemons that are believed to live.
-        get: Makes one request, as `fetch.fetch` does.
+        peers: Returns the live peers.
+        token: The operators' token, which is the same on all VMs.
+        timeout: Seconds after which a query of a peer fails.
+        get: Sends one request, as `fetch.fetch` does.
     """
 
     def __init__(
@@ -74,9 +76,9 @@
         self.get = get
 
     async def gather(self, target: str) -> GatheredAnswers:
-        """Send `GET target`, which has a query, to all peers; wait for each at most the timeout.
+        """Send `GET target` to all peers; `target` must have a query string.
 
-        Each is asked by its name, so that another daemon at its address refuses to answer for it.
+        The name of the peer is added to the query, so that another VM at its address rejects it.
         """
         gathered = GatheredAnswers()
         async with curio.TaskGroup() as group:
@@ -86,7 +88,7 @@
 
     async def _query(self, peer: Peer, target: str, gathered: GatheredAnswers) -> None:
         if not peer.address:
-            gathered.failures[peer.vm] = "its admin address is not known here"
+            gathered.failures[peer.vm] = "its admin address is unknown"
             return
         vm_target = f"{target}&vm={quote(peer.vm, safe='')}"
         try:
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -1,9 +1,8 @@
-"""Bounded journal of decisions: what was decided about a call, on what evidence, and why.
+"""Bounded in-memory journal of the decisions about calls.
 
-Two rings. `recent` has one small object for each of the last calls. `kept` has the calls that
-were refused, retried, hedged or sampled, with all their notes; it is bounded by count and bytes.
-Nothing is formatted before somebody asks: notes may be objects of `operators.steps`, which are
-turned into text by `str`.
+`recent` contains plain calls without notes. `detailed` contains calls that were refused, retried,
+hedged or sampled, with their notes; it is limited by count and by size. Notes are strings or steps
+of `operators.steps`, which are formatted only when they are read.
 """
 
 from __future__ import annotations
@@ -19,23 +18,29 @@
 from .rows import RefusalRow
 
 MAX_RECENT_CALLS = 2000
+"""Maximum number of recent entries."""
+
 MAX_DETAILED_CALLS = 1000
+"""Maximum number of detailed entries."""
+
 MAX_DETAILED_BYTES = 1_000_000
+"""Maximum approximate size of all detailed entries."""
+
 SAMPLE_INTERVAL = 1000
-"""One call in so many is kept with all its notes though nothing happened to it."""
+"""Number of calls of which one is sampled: it records its notes in any case."""
 
 ENTRY_BYTES = 300
-"""What an entry takes without its notes, about."""
+"""Approximate size of an entry without its notes."""
 
 NOTE_BYTES = 100
-"""What a note takes besides its text, about."""
+"""Approximate size of a note without its text."""
 
 MAX_NOTES = 50
-"""Notes of one call that are kept: the first ones and, after the cut, the last."""
+"""Maximum number of notes per call; of more, the first and the last are stored."""
 
 
 class CallEntry:
-    """One call of the journal; `seconds` from its arrival to its end, `ended` on this clock."""
+    """A finished call; `seconds` is its duration and `ended` its end on the daemon's clock."""
 
     __slots__ = (
         "id",
@@ -78,12 +83,12 @@
         self.notes = notes
 
     def size(self) -> int:
-        """Return about how many bytes the entry takes."""
+        """Return the approximate size of the entry in bytes."""
         return ENTRY_BYTES + sum(NOTE_BYTES + note_size(note) for note in self.notes)
 
 
 class Journal(Component):
-    """The journal of one daemon."""
+    """The decision journal of a daemon."""
 
     name = "journal"
 
@@ -108,7 +113,7 @@
         self.recorded = 0
 
     def should_sample(self) -> bool:
-        """Say whether the call that starts now is to note its evidence; one in `sample_every`."""
+        """Count a new call; return True for one in `sample_interval`, which records notes."""
         self.started_calls += 1
         return self.started_calls % self.sample_interval == 0
 
@@ -126,7 +131,7 @@
         refusal: Refusal | None = None,
         notes: Sequence[object] | None = None,
     ) -> None:
-        """Add a call that has ended at `now`; cheap unless there is something to keep."""
+        """Add a call that has ended at `now`."""
         entry = CallEntry(
             request_id,
             service,
@@ -147,30 +152,30 @@
             self.recent.append(entry)
 
     def find(self, request_id: str) -> CallEntry | None:
-        """Return the newest entry of a request, or None if it is not (or no longer) there."""
+        """Return the newest detailed entry of a request, else its newest recent one, or None."""
         for entry in self.newest_first():
             if entry.id == request_id:
                 return entry
         return None
 
     def newest_first(self) -> Iterator[CallEntry]:
-        """Go through the kept entries, then the recent ones, each newest first."""
+        """Iterate over the detailed entries, then the recent ones, each newest first."""
         yield from reversed(self.detailed)
         yield from reversed(self.recent)
 
     def explain(self, request_id: str) -> list[str] | None:
-        """Return the story of one request, a line for each event, or None if it is not here."""
+        """Return the events of a request, one line each, or None if it has no entry."""
         entry = self.find(request_id)
         if entry is None:
             return None
         return [self._summary(entry), *(str(note) for note in entry.notes), describe_outcome(entry)]
 
     def refusals(self) -> list[RefusalRow]:
-        """Return the refusals that are still here, newest first."""
+        """Return the recorded refusals, newest first."""
         return [self._refusal_row(entry) for entry in reversed(self.detailed) if entry.refusal]
 
     def dump(self) -> dict:
-        """Describe the journal for the state dump, not its entries."""
+        """Return the state of the journal, without its entries, for the state dump."""
         oldest = min((ring[0].ended for ring in (self.recent, self.detailed) if ring), default=None)
         return {
             "recorded": self.recorded,
@@ -182,7 +187,7 @@
         }
 
     def _keep_details(self, entry: CallEntry) -> None:
-        # A copy: a late loser of a hedge may still add to the call's own list.
+        # Copied, because an attempt that lost a hedge may still append to the call's list.
         entry.notes = truncate_notes(entry.notes)
         self.detailed.append(entry)
         self.detailed_bytes += entry.size()
@@ -216,7 +221,7 @@
 
 
 def describe_outcome(entry: CallEntry) -> str:
-    """Say how a call ended."""
+    """Return one line that says how a call ended."""
     took = f"after {entry.seconds * 1000:.1f} ms and {format_count(entry.attempts, 'attempt')}"
     if entry.refusal is None:
         hedged = ", hedged" if entry.hedged else ""
@@ -227,14 +232,14 @@
 
 
 def note_size(note: object) -> int:
-    """Return about how many bytes a note takes; a step knows its own size."""
+    """Return the approximate size of a note in bytes."""
     return len(note) if isinstance(note, str) else note.size()
 
 
 def truncate_notes(notes: Sequence[object]) -> tuple[object, ...]:
-    """Return the first and the last notes, with a line for those left out."""
+    """Return the first and the last notes, with a line that counts the omitted ones."""
     if len(notes) <= MAX_NOTES:
         return tuple(notes)
     half = MAX_NOTES // 2
-    omitted = f"({len(notes) - 2 * half} notes left out)"
+    omitted = f"({len(notes) - 2 * half} notes omitted)"
     return (*notes[:half], omitted, *notes[-half:])
--- a/sequoiabridge/operators/messages.py
+++ b/sequoiabridge/operators/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the admin port, and the base class of what handles them."""
+"""Requests and answers of the admin port, and the base class of their handlers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AdminRequest:
-    """One request; `headers` by name in lower case, `path` and `query` decoded."""
+    """A request. Header names are in lower case; `path` and `query` are percent-decoded."""
 
     __slots__ = ("method", "path", "query", "headers", "body")
 
@@ -26,7 +26,7 @@
 
 
 class AdminAnswer:
-    """One answer, whole."""
+    """A complete answer."""
 
     __slots__ = ("status", "content_type", "body", "headers")
 
@@ -44,8 +44,8 @@
 
 
 class AdminHandler(ABC):
-    """Answers requests of the admin port."""
+    """Base class of what answers requests of the admin port."""
 
     @abstractmethod
     async def handle(self, request: AdminRequest) -> AdminAnswer:
-        """Answer one request; must not raise."""
+        """Answer a request; must not raise."""
--- a/sequoiabridge/operators/parser.py
+++ b/sequoiabridge/operators/parser.py
@@ -1,4 +1,4 @@
-"""Parser of the operators' language: text in, a typed command or a `LanguageError` out."""
+"""Parser of the operators' language: turns text into a command or a `LanguageError`."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 from .rows import fields_of
 
 MAX_COMMAND_CHARS = 8192
-"""Characters in one command."""
+"""Maximum length of a command, in characters."""
 
 MAX_SUGGESTIONS = 2
+"""Maximum number of similar words that an error message suggests."""
 
 TERMINAL_KEYWORDS = {
     "SUBJECT": [subject.value for subject in Subject],
     "KIND": [kind.value for kind in EntryKind],
     "HELD": [held.value for held in HeldKind],
 }
-"""Terminals that stand for one of several words."""
+"""Keywords that each terminal with a choice of keywords matches."""
 
 TERMINAL_DESCRIPTIONS = {
     "FIELD": "a field or option name",
@@ -50,13 +51,13 @@
     "_EQUALS": '"="',
     "$END": "the end of the command",
 }
-"""Terminals that stand for anything of some form."""
+"""Descriptions, for error messages, of the terminals that match values or symbols."""
 
 NEXT_TOKEN = re.compile(r'"[^"\n]*"|[^\s,="<>!~]+|\S')
-"""What an error message quotes of the command."""
+"""Matches the part of the command that an error message quotes."""
 
 MAX_QUOTED_CHARS = 40
-"""Characters of the command that an error message quotes."""
+"""Maximum number of characters of the command that an error message quotes."""
 
 GRAMMAR = Path(__file__).with_name("language.lark")
 
@@ -70,9 +71,11 @@
 
 
 def parse(text: str) -> Result[Command, LanguageError]:
-    """Parse one command; the error has the column and says what was expected there."""
+    """Parse a command; the error has the column and says what is expected there."""
     if len(text) > MAX_COMMAND_CHARS:
-        message = f"the command has {len(text)} characters; the most is {MAX_COMMAND_CHARS}."
+        message = (
+            f"the command has {len(text)} characters; the limit is {MAX_COMMAND_CHARS}; shorten it."
+        )
         return Error(LanguageError(message, MAX_COMMAND_CHARS + 1))
     try:
         tree = PARSER.parse(text)
@@ -86,7 +89,7 @@
 
 
 def explain_error(text: str, error: UnexpectedInput) -> LanguageError:
-    """Put lark's error into an operator's words, with the nearest words suggested."""
+    """Return the `LanguageError` for a lark error, with suggestions of similar keywords."""
     position = error_position(text, error)
     words, descriptions = expected_terms(error)
     found = NEXT_TOKEN.match(text, position)
@@ -95,14 +98,14 @@
     if found is None:
         return LanguageError(f"{message}, but the command ends here.", position + 1, expected)
     if found.group() == '"':
-        message = "the quote is not closed; put another after the value."
+        message = "the closing quote is missing; add one after the value."
         return LanguageError(message, position + 1, ['"'])
     message = f"{message}, but found {quote_token(found.group())}."
     return LanguageError(message + did_you_mean(found.group(), words), position + 1, expected)
 
 
 def error_position(text: str, error: UnexpectedInput) -> int:
-    """Return the index at which the text stops being a command."""
+    """Return the index of the first character that is not valid."""
     end = len(text.rstrip())
     if isinstance(error, UnexpectedToken) and error.token.type == "$END":
         return end
@@ -111,7 +114,7 @@
 
 
 def expected_terms(error: UnexpectedInput) -> tuple[list[str], list[str]]:
-    """Return what may stand at the error: words to type, and forms such as "a number"."""
+    """Return the valid continuations: keywords, and descriptions such as "a number"."""
     terminals: set[str] = set()
     if isinstance(error, UnexpectedToken):
         terminals = set(error.accepts or error.expected)
@@ -130,28 +133,28 @@
 
 
 def quote_token(found: str) -> str:
-    """Return a piece of the command as a message may show it."""
+    """Return a token for an error message: printable and truncated."""
     if not found.isprintable():
         found = ascii(found)
     return found if len(found) <= MAX_QUOTED_CHARS else found[:MAX_QUOTED_CHARS] + "…"
 
 
 def join_choices(choices: list[str]) -> str:
-    """Join choices as a person would: `a, b or c`."""
+    """Join choices as `a, b or c`."""
     if len(choices) < 2:
         return "".join(choices)
     return ", ".join(choices[:-1]) + " or " + choices[-1]
 
 
 def did_you_mean(found: str, words: list[str]) -> str:
-    """Return a sentence with the words nearest to what was found, or nothing."""
+    """Return a sentence that suggests similar words, or an empty string."""
     matches = get_close_matches(found.lower(), words, n=MAX_SUGGESTIONS)
     return f" Did you mean {join_choices(matches)}?" if matches else ""
 
 
 @v_args(inline=True)
 class CommandBuilder(Transformer):
-    """Makes typed commands of the parse tree; a wrong field goes to `problems`."""
+    """Builds commands from parse trees; collects unknown fields and duplicates in `errors`."""
 
     def __init__(self, visit_tokens: bool = False):
         super().__init__(visit_tokens)
@@ -237,10 +240,10 @@
 
     def _add_duplicate(self, token: Token, what: str) -> None:
         column = token.start_pos + 1
-        message = f"{what} is given twice; give it once."
+        message = f"{what} is specified more than once; specify it once."
         self.errors.append(LanguageError(message, column))
 
 
 def unquote(token: Token) -> str:
-    """Return the text of a name or value, without the quotes of a quoted one."""
+    """Return the text of a name or value without enclosing quotes."""
     return str(token[1:-1]) if token.type == "STRING" else str(token)
--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -1,4 +1,4 @@
-"""What an operator's word frees: stopped requests, open claims and held uploads."""
+"""Releases blocked requests, open claims and held uploads at the command of an operator."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 log = get_log("releases")
 
 RELEASE_TIMEOUT = 5.0
-"""Seconds in which the release of a claim is proven in the table."""
+"""Maximum time for the store to confirm the release of a claim, in seconds."""
 
 MAX_LISTED_CLAIMS = 1000
+"""Maximum number of open claims that are searched for a name."""
 
 RELEASE_REASON = "released by the operator"
+"""Reason that is stored with a released claim."""
 
 
 class DaemonReleaser(Releaser):
-    """Releases crash stops in the whole fleet, and claims and uploads in the table."""
+    """Releases blocked requests on all VMs, and claims and uploads in the store."""
 
     def __init__(
         self,
@@ -68,8 +70,8 @@
             for entry in state.ledger.list_suspects(now):
                 if entry.fingerprint == name:
                     upstreams = ", ".join(entry.upstreams)
-                    return Ok(f"Request {name} was with {upstreams} when they crashed.")
-        return Error(NotFound(f"No request {name} is listed; see show crashes."))
+                    return Ok(f"Request {name} was running on {upstreams} when they crashed.")
+        return Error(NotFound(f"No crash suspect {name} exists; see show crashes."))
 
     def _release_crash(self, name: str) -> Result[str, SequoiaError]:
         found = self._describe_crash(name)
@@ -97,10 +99,12 @@
         except StoreUnavailable as error:
             return Error(error)
         if manifest is None:
-            return Error(NotFound(f"There is no upload {name}; see show uploads."))
+            return Error(NotFound(f"No upload {name} exists; see show uploads."))
         state = manifest.state
         if state is not UploadState.FAILED:
-            return Error(NotFound(f"Upload {name} is {state.value} and not held; leave it."))
+            return Error(
+                NotFound(f"Upload {name} is {state.value}, not held; it needs no release.")
+            )
         of = f"Upload {name} of {manifest.caller} for {manifest.service}"
         return Ok(f"{of} is held: {manifest.error}.")
 
@@ -111,10 +115,10 @@
         try:
             await self.uploads.release(name)
         except UploadConflict as error:
-            return Error(ConflictError(f"{error}. Look at it with show uploads."))
+            return Error(ConflictError(f"{error}. Check it with show uploads."))
         except UploadUnknown as error:
             return Error(NotFound(str(error)))
         except StoreUnavailable as error:
             return Error(error)
-        log.info("Upload %s is released by %s.", name, author)
-        return Ok(f"Upload {name} is delivered again within seconds.")
+        log.info("upload %s released by operator %s", name, author)
+        return Ok(f"Upload {name} is released; its delivery is retried within seconds.")
--- a/sequoiabridge/operators/reply.py
+++ b/sequoiabridge/operators/reply.py
@@ -1,4 +1,4 @@
-"""What the admin port answers, and how errors become JSON with an HTTP status."""
+"""Encodes answers of the admin port: replies, plain text, and errors with an HTTP status."""
 
 from __future__ import annotations
 
@@ -26,14 +26,17 @@
     ConfigurationBehind: (503, "behind"),
     StoreUnavailable: (503, "store-unavailable"),
 }
-"""HTTP status and fixed word of each error kind; any other error is 500, `internal`."""
+"""HTTP status and error code of each error type; others are 500, `internal`."""
 
 
 class Reply(msgspec.Struct):
-    """The answer to a command: a table, who was heard, and one sentence.
+    """The answer to a command: a table, a message, and the VMs that contributed rows.
 
-    `not_heard` maps a VM's name to why it gave no answer; its rows are missing from `rows`.
-    `version` is the version of the configuration in force on the VM that answers.
+    Attributes:
+        heard: Names of the VMs whose rows are included.
+        not_heard: For each VM whose rows are missing, the reason.
+        version: Version of the configuration in force on the answering VM.
+        message: One sentence, or "".
     """
 
     columns: list[str] = []
@@ -45,7 +48,7 @@
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """What is wrong: `column`, `expected` and `problems` only where they say something."""
+    """The JSON of an error; `column`, `expected` and `problems` are left out if they are empty."""
 
     kind: str
     message: str
@@ -55,7 +58,7 @@
 
 
 def json_answer(value: object, status: int = 200) -> AdminAnswer:
-    """Return a value as JSON; what has no JSON form is shown by `repr`."""
+    """Return a value as JSON; values of types without a JSON form are encoded by `repr`."""
     return AdminAnswer(status, JSON, msgspec.json.encode(value, enc_hook=repr))
 
 
@@ -74,8 +77,8 @@
             status, kind = found
     message = str(error)
     if not isinstance(error, SequoiaError):
-        log.error("a command failed: %s", error, exc_info=error)
-        message = f"The daemon failed ({type(error).__name__}); its log says where."
+        log.error("admin request failed: %s", error, exc_info=error)
+        message = f"The daemon failed with {type(error).__name__}; see its log for the cause."
     body = ErrorBody(
         kind,
         message,
--- a/sequoiabridge/operators/routes.py
+++ b/sequoiabridge/operators/routes.py
@@ -1,4 +1,4 @@
-"""The admin port's routes: who may ask what, and which part answers it."""
+"""Routes of the admin port, and their authorization."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 AUTHOR_HEADER = "sequoia-author"
-"""Header by which the tool names the operator; the token does not tell one from another."""
+"""Request header with the name of the operator; all operators share one token."""
 
 DEFAULT_AUTHOR = "operator"
+"""Author of changes by requests without that header."""
 
 MAX_AUTHOR_CHARS = 100
+"""Length to which the author's name is truncated, in characters."""
 
 EXPLAIN_PREFIX = "/explain/"
 
@@ -28,9 +30,9 @@
 
 
 class AdminRoutes(AdminHandler):
-    """Answers the admin port.
+    """Dispatches the requests of the admin port.
 
-    `/metrics`, `/ready` and `/live` are open; all else needs `Authorization: Bearer TOKEN`.
+    `/metrics`, `/ready` and `/live` are public; all others need `Authorization: Bearer TOKEN`.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         }
 
     async def handle(self, request: AdminRequest) -> AdminAnswer:
-        """Answer one request; every error becomes an answer."""
+        """Answer a request; all errors are returned as answers."""
         try:
             return await self._route(request)(request)
         except Exception as error:
@@ -76,7 +78,7 @@
             return self._explain
         route = self.protected_routes.get((method, request.path))
         if route is None:
-            raise NotFound(f"There is no {method} {request.path}; see docs/operators/admin.md.")
+            raise NotFound(f"No route {method} {request.path} exists; see docs/operators/admin.md.")
         return route
 
     def _check_token(self, request: AdminRequest) -> None:
@@ -86,13 +88,13 @@
         if is_valid and scheme.lower() == "bearer":
             return
         message = (
-            "The operators' token is missing or wrong; send the one under [admin] in this VM's "
-            "settings as a bearer token."
+            "The operators' token is missing or wrong; send the token of section [admin] of "
+            "this VM's settings as a bearer token."
         )
         raise RequestRejected(401, "unauthorized", message)
 
     def _check_vm(self, request: AdminRequest) -> None:
-        """Refuse to answer for another VM, whose address the asking daemon has wrong."""
+        """Reject a query that was meant for another VM."""
         asked, own = request.query.get("vm", self.executor.vm), self.executor.vm
         if asked == own:
             return
@@ -141,30 +143,32 @@
 
 
 def reply_answer(result: ReplyResult) -> AdminAnswer:
-    """Return a reply as JSON, or its error."""
+    """Return the JSON answer of a reply or an error."""
     return json_answer(result.ok) if result.is_ok() else error_answer(result.error)
 
 
 def author_of(request: AdminRequest) -> str:
-    """Return the operator's name as the tool gave it."""
+    """Return the name of the operator, sanitized, or the default."""
     author = "".join(c for c in request.headers.get(AUTHOR_HEADER, "") if c.isprintable()).strip()
     return author[:MAX_AUTHOR_CHARS] or DEFAULT_AUTHOR
 
 
 def decode_body(request: AdminRequest) -> str:
-    """Return the body as text."""
+    """Return the body as text, or raise `LanguageError` if it is not UTF-8."""
     try:
         return request.body.decode("utf-8")
     except UnicodeDecodeError as error:
-        message = f"The text is not UTF-8 at byte {error.start + 1}; save it as UTF-8."
+        message = f"The request body is not UTF-8 at byte {error.start + 1}; encode it as UTF-8."
         raise LanguageError(message, error.start + 1) from error
 
 
 def query_integer(request: AdminRequest, name: str) -> int | None:
-    """Return a number of the query, or None if it is not there."""
+    """Return an integer parameter of the query, or None if it is missing."""
     text = request.query.get(name)
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise RequestRejected(400, "bad-request", f"{name}={text} is not a whole number.")
+        raise RequestRejected(
+            400, "bad-request", f"{name}={text} is not a whole number; use digits only."
+        )
     return int(text)
--- a/sequoiabridge/operators/rows.py
+++ b/sequoiabridge/operators/rows.py
@@ -1,8 +1,7 @@
-"""The rows that `show` answers with: one type for each subject, its fields are the columns.
+"""Row types of `show`, one per subject; the fields are the columns.
 
-Rows cross the wire when one daemon asks the others, so they are msgspec structs. Ages and times
-are seconds; a wall time is written as ISO 8601 in UTC by the part that makes the row. Add new
-fields at the end with defaults, so that daemons of different releases understand each other.
+Daemons send rows to each other, so add new fields at the end and with defaults. Ages and durations
+are in seconds; wall times are ISO 8601 in UTC.
 """
 
 from __future__ import annotations
@@ -13,16 +12,16 @@
 
 
 class ShowRow(msgspec.Struct):
-    """Base of all rows; `of` names the fields that `show … of NAME` compares with NAME."""
+    """Base class of rows."""
 
     @classmethod
     def of_fields(cls) -> tuple[str, ...]:
-        """Return the fields of which one must equal NAME."""
+        """Return the fields that `show … of NAME` compares with NAME; one must be equal."""
         return ("name",)
 
 
 class ServiceRow(ShowRow):
-    """One service of the configuration and the work of this VM for it."""
+    """A configured service and its calls on this VM."""
 
     name: str
     hosts: str = ""
@@ -35,7 +34,7 @@
 
 
 class PoolRow(ShowRow):
-    """One pool of the configuration."""
+    """A configured pool."""
 
     name: str
     service: str = ""
@@ -49,7 +48,7 @@
 
 
 class UpstreamRow(ShowRow):
-    """One upstream as one VM sees it."""
+    """An upstream and its state and measurements on one VM."""
 
     name: str
     vm: str = ""
@@ -72,7 +71,7 @@
 
 
 class RuleRow(ShowRow):
-    """One rule of the configuration."""
+    """A configured rule."""
 
     name: str
     service: str = ""
@@ -93,7 +92,7 @@
 
 
 class VmRow(ShowRow):
-    """One VM of the fleet as another (`seen_by`) knows it."""
+    """A VM of the fleet, according to the membership list of the VM `seen_by`."""
 
     name: str
     seen_by: str = ""
@@ -111,7 +110,7 @@
 
 
 class ConfigurationRow(ShowRow):
-    """One option of the configuration in force."""
+    """An option of the configuration in force."""
 
     kind: str
     name: str
@@ -124,7 +123,7 @@
 
 
 class ClaimRow(ShowRow):
-    """One claim in the table service whose outcome nobody reported in time, and who holds it."""
+    """A claim whose outcome was not reported in time, and the VM that holds it."""
 
     id: str
     service: str = ""
@@ -140,7 +139,7 @@
 
 
 class UploadRow(ShowRow):
-    """One upload: how much is committed and how far its delivery is."""
+    """An upload: its committed size and the state of its delivery."""
 
     id: str
     service: str = ""
@@ -159,7 +158,7 @@
 
 
 class CrashRow(ShowRow):
-    """One request (by fingerprint) that was with upstreams when they crashed."""
+    """A request, by fingerprint, that was running on upstreams when they crashed."""
 
     fingerprint: str
     service: str = ""
@@ -174,7 +173,7 @@
 
 
 class RefusalRow(ShowRow):
-    """One refused call of one VM, newest first."""
+    """A call that a VM refused."""
 
     at: str
     request_id: str
@@ -192,7 +191,7 @@
 
 
 class HistoryRow(ShowRow):
-    """One version of the configuration: who set it, when, and what it changed."""
+    """A version of the configuration: its author, time and changes."""
 
     version: int
     author: str = ""
@@ -217,12 +216,12 @@
     Subject.REFUSALS: RefusalRow,
     Subject.HISTORY: HistoryRow,
 }
-"""The row type of each subject."""
+"""Row type of each subject."""
 
 FLEET_SUBJECTS = frozenset({Subject.UPSTREAMS, Subject.VMS, Subject.REFUSALS})
-"""Subjects of which each VM knows its own part, so that all are asked."""
+"""Subjects whose rows differ between VMs, so that `show` queries all VMs."""
 
 
 def fields_of(subject: Subject) -> list[str]:
-    """Return the columns of a subject's rows, in order."""
+    """Return the columns of a subject, in order."""
     return list(ROWS[subject].__struct_fields__)
--- a/sequoiabridge/operators/state.py
+++ b/sequoiabridge/operators/state.py
@@ -1,4 +1,4 @@
-"""The rows that this VM shows: reads the daemon's parts, changes nothing."""
+"""Builds the rows of `show` from the components of this daemon, without changing them."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 )
 
 MAX_LISTED_ROWS = 1000
-"""Claims or uploads that one command lists at most."""
+"""Maximum number of claims or uploads that a command lists."""
 
 MAX_HISTORY_VERSIONS = 100
-"""Versions that one command lists at most."""
+"""Maximum number of configuration versions that a command lists."""
 
 RowsResult = Result[list[ShowRow], SequoiaError]
 
 
 class DaemonRowSource(RowSource):
-    """Rows of every subject, from the parts of this daemon."""
+    """Rows of all subjects, from the components of this daemon and from the store."""
 
     def __init__(
         self,
@@ -249,17 +249,17 @@
 
 
 def read_error(what: str, why: str) -> StoreUnavailable:
-    """Return the error of a list that the platform did not give."""
-    return StoreUnavailable(f"The {what} cannot be read: {why}.")
+    """Return the error for a list that could not be read from the store."""
+    return StoreUnavailable(f"Cannot read the {what} from the store: {why}.")
 
 
 def format_time(wall: float) -> str:
-    """Return a wall time as people and scripts read it."""
+    """Return a wall time as ISO 8601 in UTC."""
     return datetime.fromtimestamp(wall, UTC).isoformat(timespec="seconds")
 
 
 def summarize_change(encoded: bytes) -> str:
-    """Say in a few words what a change sets and removes."""
+    """Return a short text that lists what an encoded change sets and removes."""
     decoded = Change.decode(encoded)
     if decoded.is_error():
         return "(made by a newer release)"
@@ -272,7 +272,7 @@
 
 
 def upload_row(entry: UploadEntry, now: float) -> UploadRow:
-    """Return an upload's index entry as a row."""
+    """Return the row of an index entry of an upload."""
     return UploadRow(
         id=entry.id,
         service=entry.service,
--- a/sequoiabridge/operators/steps.py
+++ b/sequoiabridge/operators/steps.py
@@ -1,7 +1,4 @@
-"""Steps of a call, noted in the journal of decisions as objects and turned into text on demand.
-
-`Exchange.note` takes them beside plain lines. `at` is the time on the daemon's clock.
-"""
+"""Events of a call that `Exchange.note` records in the journal; formatted only when read."""
 
 from __future__ import annotations
 
@@ -11,34 +8,34 @@
 from ..policy.base import Failure, ScoredUpstream
 
 STEP_BYTES = 100
+"""Approximate memory of a step, in bytes."""
+
 CANDIDATE_BYTES = 150
-"""What one step, and one weighed upstream in it, take in memory, about."""
+"""Approximate memory of a candidate of a step without its detail text, in bytes."""
 
 MAX_CANDIDATES = 20
-"""Upstreams shown of one choice, the best first; the rest are counted."""
+"""Maximum number of candidates that are recorded for a choice; the others are counted."""
 
 
 class Step(ABC):
-    """One event of a call.
-
-    Hooks:
-        __str__: One line, without the time.
-        size: About how many bytes the step takes.
-    """
+    """Base class of the events of a call; `str` formats one as a line without its time."""
 
     __slots__ = ()
 
     @abstractmethod
     def __str__(self) -> str:
-        """Say in one line what happened and why."""
+        """Return one line that says what happened and why."""
 
     def size(self) -> int:
-        """Return about how many bytes the step takes."""
+        """Return the approximate memory of the step, in bytes."""
         return STEP_BYTES
 
 
 class UpstreamChosen(Step):
-    """An upstream was chosen (or none could be, `upstream` None); `weighed` is the best first."""
+    """An upstream was chosen, or none was available (`upstream` is None).
+
+    `candidates` are sorted by score, best first.
+    """
 
     __slots__ = ("upstream", "candidates", "omitted")
 
@@ -48,19 +45,19 @@
         self.omitted = len(candidates) - len(self.candidates)
 
     def __str__(self) -> str:
-        line = f"chose {self.upstream}" if self.upstream else "found no upstream to choose"
+        line = f"chose {self.upstream}" if self.upstream else "no upstream available"
         if not self.candidates:
             return line
         scores = "; ".join(f"{w.name} {w.score:.3g} ({w.detail})" for w in self.candidates)
         more = f"; and {self.omitted} more" if self.omitted else ""
-        return f"{line}; weighed: {scores}{more}"
+        return f"{line}; scores: {scores}{more}"
 
     def size(self) -> int:
         return STEP_BYTES + sum(CANDIDATE_BYTES + len(w.detail) for w in self.candidates)
 
 
 class AttemptFailed(Step):
-    """An attempt gave no usable answer; `sent` says that a byte may have reached the upstream."""
+    """An attempt failed; `sent` is True if a byte may have reached the upstream."""
 
     __slots__ = ("upstream", "failure", "sent", "seconds")
 
@@ -71,13 +68,13 @@
         self.seconds = seconds
 
     def __str__(self) -> str:
-        reached = "may have reached it" if self.sent else "nothing reached it"
+        reached = "may have reached the upstream" if self.sent else "did not reach the upstream"
         took = f"after {self.seconds * 1000:.1f} ms"
         return f"{self.upstream} failed {took}: {self.failure.value}, {reached}"
 
 
 class RetryDecision(Step):
-    """A retry or hedge was made (`made`) or not; `why` is a short sentence."""
+    """A retry or hedge was made, or was not `allowed`, for a reason given in a short sentence."""
 
     __slots__ = ("kind", "allowed", "reason")
 
--- a/sequoiabridge/tests/operators/fakes.py
+++ b/sequoiabridge/tests/operators/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the operators' side."""
+"""Fakes of the interfaces that the operators' code uses."""
 
 import curio
 from expression import Error, Ok
@@ -40,7 +40,7 @@
 
 
 class FakeRowSource(RowSource):
-    """Gives the same rows for each subject."""
+    """Returns the same rows for every subject."""
 
     def __init__(self, rows):
         self.found = rows
@@ -50,7 +50,7 @@
 
 
 class FakeConfigurationRepository(ConfigurationRepository):
-    """Keeps all versions in memory; `lag` versions are not known to this VM."""
+    """Stores all versions in memory; this VM has not received the latest `lag` versions."""
 
     def __init__(self):
         first = parse_document(CONFIGURATION).default_with(lambda problems: problems)
@@ -81,7 +81,7 @@
 
 
 class FakeReleaser(Releaser):
-    """Knows one claim that can be released, and one that cannot yet."""
+    """Has one claim that can be released and one that cannot be released yet."""
 
     def __init__(self):
         self.released = []
@@ -97,7 +97,7 @@
 
 
 class FakeReadiness(Readiness):
-    """Is what `state` says."""
+    """Returns `state`."""
 
     def __init__(self):
         self.state = (True, "It serves callers.")
@@ -107,7 +107,7 @@
 
 
 class FakeDaemon:
-    """The operators' side of one daemon, on fakes."""
+    """The admin port and executor of a daemon, with fakes behind them."""
 
     def __init__(self, vm="vm1", peers=(), components=(), get=fetch, **limits):
         self.clock = ManualClock()
@@ -130,7 +130,7 @@
         self.server = AdminServer("127.0.0.1:0", routes, AdminLimits(**limits))
 
     def ask(self, text):
-        """Run one command without HTTP; return the reply or the error."""
+        """Run a command without HTTP; return the reply or the error."""
         result = curio.run(self.executor.execute(text, "anna"))
         return result.ok if result.is_ok() else result.error
 
@@ -144,7 +144,7 @@
 
 
 async def exchange(address, data, until_closed=True):
-    """Send bytes and return what comes back, all of it or the first piece."""
+    """Send bytes; return everything received until the connection closes, or the first read."""
     host, port = address.split(":")
     sock = await curio.open_connection(host, int(port))
     async with sock:
@@ -156,7 +156,7 @@
 
 
 def request(method, target, body=b"", token=TOKEN, extra=""):
-    """Return the bytes of one request on a connection of its own."""
+    """Return the bytes of a request that closes its connection."""
     auth = f"Authorization: Bearer {token}\r\n" if token else ""
     head = f"{method} {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{auth}{extra}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
--- a/sequoiabridge/tests/operators/test_admin.py
+++ b/sequoiabridge/tests/operators/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin port over real loopback sockets: who may ask what, limits, and a full port."""
+"""Tests of the admin port over loopback sockets: authorization, errors and limits."""
 
 import curio
 import msgspec
@@ -8,7 +8,7 @@
 
 
 def serve(*requests, **daemon_options):
-    """Send each request to one daemon; return the answers' status codes and bodies."""
+    """Send each request to the same daemon; return the status code and body of each answer."""
 
     async def run():
         async with FakeDaemon(**daemon_options) as daemon:
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("token", ["", "wrong", TOKEN + "x", TOKEN[:-1], "é"])
-def test_a_wrong_token_opens_nothing_but_health_and_metrics(token):
+def test_a_wrong_token_gives_access_to_health_and_metrics_only(token):
     guarded = ["GET /dump", "POST /ask", "POST /apply", "GET /explain/r1", "GET /rows", "GET /no"]
     pages = ["GET /ready", "GET /live", "GET /metrics", "HEAD /ready"]
     answers = serve(*(request(*page.split(), token=token) for page in guarded + pages))
@@ -31,7 +31,7 @@
     assert not any(TOKEN.encode() in body for _, body in answers)
 
 
-def test_ready_fails_with_one_sentence_while_it_drains():
+def test_ready_returns_503_with_the_reason_while_draining():
     async def run():
         async with FakeDaemon() as daemon:
             daemon.readiness.state = (False, "It is draining.")
@@ -40,7 +40,7 @@
     assert parse_answer(curio.run(run)) == (503, b"It is draining.\n")
 
 
-def test_errors_carry_kind_column_and_message():
+def test_errors_have_kind_column_and_message():
     (status, body), (missing, _), (bad, _) = serve(
         request("POST", "/ask", b"show serices"),
         request("GET", "/dump?part=none"),
@@ -52,7 +52,7 @@
     assert "Did you mean services?" in error["message"]
 
 
-def test_the_loser_of_a_race_gets_409_and_the_winners_name():
+def test_a_conflicting_change_gets_409_with_the_author_of_the_other():
     async def run():
         async with FakeDaemon() as daemon:
             address = daemon.server.address
@@ -68,7 +68,7 @@
     assert "anna set version 2" in msgspec.json.decode(second)["error"]["message"]
 
 
-def test_limits_on_head_and_body():
+def test_oversized_or_malformed_requests_are_rejected():
     chunked = b"POST /ask HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     answers = serve(
         request("GET", "/live", extra=f"X: {'y' * 5000}\r\n"),
@@ -81,7 +81,7 @@
     assert [status for status, _ in answers] == [431, 413, 413, 400]
 
 
-def test_a_silent_client_is_closed_and_a_full_port_lets_the_health_check_in():
+def test_idle_connections_are_closed_on_timeout_and_for_the_health_check():
     async def run():
         async with FakeDaemon(max_connections=2, idle_timeout=0.05) as daemon:
             idle = exchange(daemon.server.address, b"GET /li")
@@ -99,7 +99,7 @@
     assert curio.run(run) == ((200, b"It serves callers.\n"), b"", 1)
 
 
-def test_requests_follow_each_other_on_one_connection():
+def test_pipelined_requests_are_all_answered():
     one = b"GET /live HTTP/1.1\r\nHost: x\r\n\r\n"
     last = request("GET", "/ready")
 
--- a/sequoiabridge/tests/operators/test_dump.py
+++ b/sequoiabridge/tests/operators/test_dump.py
@@ -1,4 +1,4 @@
-"""The state dump: a failing part does not spoil it, and no secret is shown."""
+"""Tests of the state dump: failing components, secrets and cyclic values."""
 
 import curio
 import msgspec
@@ -12,7 +12,7 @@
 
 
 class FakeComponent(Component):
-    """Shows `state`, or raises it."""
+    """Returns `state` as its dump, or raises it if it is an exception."""
 
     def __init__(self, name, state):
         self.name = name
@@ -24,7 +24,7 @@
         return self.state
 
 
-def test_a_failing_part_is_shown_as_an_error_beside_the_others():
+def test_a_failing_component_is_dumped_as_an_error_beside_the_others():
     components = [
         FakeComponent("queue", {"length": 3}),
         FakeComponent("fleet", ValueError(f"no {SECRET}")),
@@ -34,7 +34,7 @@
     assert shown == {"queue": {"length": 3}, "fleet": {"error": f"ValueError: no {REDACTED}"}}
 
 
-def test_no_secret_is_shown_by_name_or_by_value():
+def test_secrets_are_redacted_by_key_and_by_value():
     deep = {"url": f"x?{SECRET}=1", SECRET: [SECRET], "Token": "short", "at": ({1}, object())}
     dump = StateDump("vm1", lambda: [FakeComponent("settings", deep)], [SECRET, ""])
     text = msgspec.json.encode(curio.run(dump.collect, "settings")).decode()
@@ -43,7 +43,7 @@
         curio.run(dump.collect, "none")
 
 
-def test_a_part_that_shows_itself_ends():
+def test_a_cyclic_dump_is_cut_off_at_the_maximum_depth():
     endless = {}
     endless["self"] = endless
     dump = StateDump("vm1", lambda: [FakeComponent("loop", endless)])
--- a/sequoiabridge/tests/operators/test_executor.py
+++ b/sequoiabridge/tests/operators/test_executor.py
@@ -1,4 +1,4 @@
-"""Commands carried out: gathering with VMs that fail, changes that race, filters by type."""
+"""Tests of running commands: failing peers, conflicting changes, typed conditions, limits."""
 
 import curio
 import pytest
@@ -26,15 +26,18 @@
 
 
 async def closed_address():
-    """Return an address at which nobody listens."""
+    """Return an address that refuses connections."""
     sock = curio.network.tcp_server_socket("127.0.0.1", 0)
     async with sock:
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 def gathered(command):
-    """Ask a daemon whose peers are: alive, silent, cut short, garbled, unknown, refusing
-    connections, and one whose address has become that of another."""
+    """Run a command on a daemon with one working peer and six that fail in different ways.
+
+    They do not answer, answer incompletely, answer with invalid rows, have no known address,
+    refuse connections, or have an address at which another VM answers.
+    """
 
     async def run():
         peers, tasks = [Peer("gone", "")], []
@@ -48,7 +51,7 @@
             peers += [Peer("vm0", other.server.address), Peer("moved", other.server.address)]
 
             async def get(address, target, token, timeout):
-                # Only the silent one runs out of time, also on a busy VM.
+                # A long timeout for the others, so that they also answer in time on a busy machine.
                 silent = address == peers[1].address
                 return await fetch(address, target, token, 0.05 if silent else 60.0)
 
@@ -65,35 +68,37 @@
     ("spread", "said"),
     [
         ((3, 3), "Accepted as version 2, in force on 3 of 3 VMs."),
-        ((1, 3), "Accepted as version 2, in force on 1 of 3 VMs yet; see show vms."),
+        ((1, 3), "Accepted as version 2, in force on 1 of 3 VMs so far; see show vms."),
     ],
 )
-def test_the_operator_is_told_on_how_many_vms_a_change_is_in_force(spread, said):
+def test_the_message_says_on_how_many_vms_a_change_is_in_force(spread, said):
     daemon = FakeDaemon("vm1")
     daemon.configuration.in_force = spread
     reply = curio.run(daemon.executor.execute, "drain upstream a1", "anna")
     assert reply.ok.message == said
 
 
-def test_rows_of_vms_that_fail_are_missing_by_name():
+def test_vms_that_fail_are_reported_by_name():
     reply = gathered("show upstreams where in_flight >= 2")
     assert [row[:2] for row in reply.rows] == [["a1", "vm0"], ["a1", "vm1"]]
     assert reply.heard == ["vm1", "vm0"]
     assert set(reply.not_heard) == {"silent", "cut", "garbled", "gone", "moved", "refusing"}
     assert "no answer within" in reply.not_heard["silent"]
-    assert reply.not_heard["cut"].startswith("its answer is not whole")
+    assert reply.not_heard["cut"].startswith("its answer is incomplete")
     assert reply.not_heard["refusing"].endswith("failed (Connection refused)")
-    assert reply.not_heard["moved"].startswith("it answered 421: This is vm0, not moved;")
+    assert reply.not_heard["moved"].startswith(
+        "it answered with status 421: This is vm0, not moved;"
+    )
     assert [row[:2] for row in gathered("show upstreams limit 1").rows] == [["a1", "vm0"]]
 
 
-def test_explain_asks_the_vm_that_had_the_call():
+def test_explain_queries_peers_and_names_those_without_an_answer():
     reply = gathered("explain r7")
     assert [row[0] for row in reply.rows] == ["vm0", "vm0"]
     assert "after 10.0 ms and 2 attempts" in reply.rows[-1][1]
     missing = gathered("explain r8")
     assert isinstance(missing, NotFound)
-    assert "Not heard: cut, garbled, gone, moved, refusing, silent" in str(missing)
+    assert "No answer from: cut, garbled, gone, moved, refusing, silent" in str(missing)
 
 
 @pytest.mark.parametrize(
@@ -104,7 +109,7 @@
         ("name != a1 and service = mottag", ["a2"]),
     ],
 )
-def test_conditions_compare_by_the_fields_type(where, names):
+def test_conditions_compare_values_by_the_type_of_the_field(where, names):
     reply = FakeDaemon().ask(f"show upstreams where {where}")
     assert [row[0] for row in reply.rows] == names
 
@@ -116,7 +121,7 @@
     assert [row[0] for row in FakeDaemon().ask("show upstreams of mottag").rows] == ["a2"]
 
 
-def test_a_long_answer_is_cut_and_says_so():
+def test_a_long_answer_is_truncated_with_a_message():
     daemon = FakeDaemon()
     rows = [UpstreamRow(f"u{number:04}", "vm1") for number in range(DEFAULT_LIMIT + 1)]
     daemon.executor.source.found = rows[::-1]
@@ -142,7 +147,7 @@
     assert max(daemon.configuration.documents) == 2
 
 
-def test_a_vm_that_lags_neither_overwrites_nor_guesses():
+def test_changes_based_on_another_version_are_rejected():
     daemon = FakeDaemon()
     daemon.ask("set upstream a1 slots = 4")
     newest = daemon.configuration.document()
@@ -165,7 +170,7 @@
         ("release crash 00", NotFound, "00"),
     ],
 )
-def test_wrong_changes_name_the_remedy_and_change_nothing(command, kind, words):
+def test_invalid_changes_are_rejected_with_a_remedy(command, kind, words):
     daemon = FakeDaemon()
     error = daemon.ask(command)
     assert isinstance(error, kind)
@@ -173,7 +178,7 @@
     assert max(daemon.configuration.documents) == 1
 
 
-def test_apply_makes_the_document_so_but_not_an_empty_one():
+def test_apply_replaces_the_configuration_but_rejects_an_empty_document():
     daemon = FakeDaemon()
     text = daemon.configuration.document().to_ini() + "\n[service mottag]\npath_prefix = /images\n"
     reply = curio.run(daemon.executor.apply(text, "anna", 1, False)).ok
--- a/sequoiabridge/tests/operators/test_journal.py
+++ b/sequoiabridge/tests/operators/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what it keeps, its bounds, and the story it tells."""
+"""Tests of the journal: its limits, sampling, and the lines of `explain`."""
 
 from ...exceptions import Refusal
 from ...operators.journal import MAX_NOTES, Journal
@@ -12,7 +12,7 @@
     journal.record(request_id, "spendview", "read", "a1", 200, 0.02, journal.clock.now(), **more)
 
 
-def test_both_rings_are_bounded_and_plain_calls_do_not_push_out_refusals():
+def test_the_journal_is_bounded_and_plain_calls_do_not_evict_refusals():
     journal = Journal(
         ManualClock(), "vm1", max_recent_calls=10, max_detailed_calls=5, max_detailed_bytes=10_000
     )
@@ -32,17 +32,17 @@
     assert (len(journal.detailed), journal.detailed_bytes) == (0, 0)
 
 
-def test_a_call_with_endless_notes_keeps_the_first_and_the_last():
+def test_only_the_first_and_last_notes_of_a_call_are_stored():
     journal = Journal(ManualClock(), "vm1")
     notes = [f"note {number}" for number in range(1000)]
     record(journal, "r1", notes=notes)
-    notes.append("a late loser")
+    notes.append("a late note")
     story = journal.explain("r1")
     assert len(story) <= MAX_NOTES + 3
     assert (story[1], story[-2]) == ("note 0", "note 999")
 
 
-def test_explain_says_what_was_weighed_and_why_each_retry():
+def test_explain_lists_candidates_failures_and_retry_decisions():
     journal = Journal(ManualClock(), "vm1", sample_interval=2)
     weighed = [
         ScoredUpstream("a1", 0.5, "1 in flight, 4 ms old"),
@@ -56,8 +56,8 @@
     ]
     record(journal, "r1", attempts=2, notes=notes)
     assert journal.explain("r1")[1:] == [
-        "chose a1; weighed: a1 0.5 (1 in flight, 4 ms old); a2 2 (3 in flight)",
-        "a1 failed after 4.0 ms: shed, may have reached it",
+        "chose a1; scores: a1 0.5 (1 in flight, 4 ms old); a2 2 (3 in flight)",
+        "a1 failed after 4.0 ms: shed, may have reached the upstream",
         "retry: the upstream said that it did not run",
         "no hedge: the budget is spent",
         "answered 200 by a1 after 20.0 ms and 2 attempts",
--- a/sequoiabridge/tests/operators/test_parser.py
+++ b/sequoiabridge/tests/operators/test_parser.py
@@ -1,4 +1,4 @@
-"""The language: every example of its page parses; nothing but a typed error comes of the rest."""
+"""Tests of the parser: documented examples, errors with their column, and arbitrary text."""
 
 import re
 from pathlib import Path
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("example", EXAMPLES)
-def test_every_example_of_the_page(example):
+def test_every_documented_example_parses(example):
     assert isinstance(parse(example).ok, Command)
 
 
-def test_the_page_has_an_example_of_every_rule_and_every_choice():
+def test_the_documentation_has_an_example_of_every_subject_kind_and_modifier():
     used = " ".join(EXAMPLES)
     words = [s.value for s in Subject] + [f"add {kind.value}" for kind in EntryKind]
     assert [word for word in words if word not in used] == []
@@ -49,15 +49,15 @@
         ("show services\nwhere nme = x", 21, "Did you mean name?"),
         ("drain pool p", 7, "expected upstream, but found pool"),
         ("add rule r with path /x", 22, 'expected "="'),
-        ("add rule r with path = /x, path = /y", 28, "given twice"),
+        ("add rule r with path = /x, path = /y", 28, "specified more than once"),
         ("set service s kind = 'a", 99, None),
-        ('set service s path_prefix = "/a', 29, "quote is not closed"),
+        ('set service s path_prefix = "/a', 29, "closing quote is missing"),
         ("diff 3 x", 8, "expected a number"),
         ("resume upstream u expect 3", 26, "expected version"),
         ("resume upstream u dry run dry", 30, "expected run"),
-        ("remove pool p expect version 1 expect version 2", 47, "given twice"),
+        ("remove pool p expect version 1 expect version 2", 47, "specified more than once"),
         ("show pools\nlimit many", 18, "expected a number"),
-        ("show pools " + " " * MAX_COMMAND_CHARS, MAX_COMMAND_CHARS + 1, "the most is"),
+        ("show pools " + " " * MAX_COMMAND_CHARS, MAX_COMMAND_CHARS + 1, "the limit is"),
     ],
 )
 def test_errors_name_the_column_and_what_was_expected(text, column, expected):
@@ -68,7 +68,7 @@
     assert (error.column, expected in str(error)) == (column, True), str(error)
 
 
-def test_keywords_stay_free_as_names_and_quotes_hold_commas():
+def test_keywords_are_valid_names_and_quoted_values_may_contain_commas():
     shown = parse("show upstreams of limit where state != drain limit 3").ok
     assert shown == Show(Subject.UPSTREAMS, "limit", [Condition("state", "!=", "drain", 31)], 3)
     added = parse('ADD rule expect WITH methods = "GET, HEAD", path=/a/*').ok
@@ -78,7 +78,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.one_of(st.text(max_size=60), st.lists(st.sampled_from(WORDS), max_size=12).map(" ".join)))
-def test_any_text_gives_a_command_or_a_typed_error(text):
+def test_any_text_returns_a_command_or_a_language_error(text):
     result = parse(text)
     if result.is_ok():
         assert isinstance(result.ok, Command)
--- a/sequoiabridge/tests/operators/test_releases.py
+++ b/sequoiabridge/tests/operators/test_releases.py
@@ -1,4 +1,4 @@
-"""What an operator's word frees, by the real command line and an upload that is held."""
+"""Tests of releasing a held upload with parsed commands."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 def held_upload():
-    """Return a world with an upload that is held, its id, and the releases of another VM."""
+    """Return a world with a held upload, the upload's id, and the releaser of another VM."""
     world = World()
     vm = world.vm("a")
     upload = finish(vm.receive(incoming(DATA))).id
@@ -31,7 +31,7 @@
     return finish(releaser.release(command.kind, command.name, "anna"))
 
 
-def test_a_held_upload_is_delivered_after_its_release_and_not_by_a_dry_run():
+def test_a_release_lets_a_held_upload_be_delivered_and_a_dry_run_does_not():
     world, upload, releaser = held_upload()
     assert "refused" in run(releaser, f"release upload {upload}", dry=True).ok
     assert world.manifests()[0].state is UploadState.FAILED
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("dry", [True, False])
-def test_what_is_not_held_or_not_known_is_told_and_left(dry):
+def test_releasing_an_unknown_or_delivered_upload_is_an_error_and_changes_nothing(dry):
     world, upload, releaser = held_upload()
     assert isinstance(run(releaser, "release upload nobody", dry).error, NotFound)
     world.tables.faults.down = True
@@ -54,7 +54,7 @@
     assert world.manifests() == before and before[0].state is UploadState.DELIVERED
 
 
-def test_a_release_that_another_operator_overtook_is_a_conflict():
+def test_a_release_that_races_with_another_release_is_a_conflict():
     world, upload, releaser = held_upload()
     late = releaser.release(HeldKind.UPLOAD, upload, "anna")
     for _ in range(2):
--- a/sequoiabridge/tests/operators/test_tool_and_port.py
+++ b/sequoiabridge/tests/operators/test_tool_and_port.py
@@ -1,4 +1,4 @@
-"""The tool's client against the real admin port: what one sends, the other understands."""
+"""Tests of the command line tool's client against a real admin port."""
 
 import curio
 import pytest
@@ -9,7 +9,7 @@
 
 
 def with_client(work, token=TOKEN):
-    """Run `work(client)` in a thread beside a daemon's admin port."""
+    """Run `work(client)` in a thread while the admin port is being served."""
 
     async def run():
         async with FakeDaemon() as daemon:
@@ -39,7 +39,7 @@
         (("ask",), "release claim claim-2", NothingFound),
     ],
 )
-def test_errors_keep_their_kind_on_the_way(path, body, error):
+def test_the_client_raises_the_error_type_of_each_http_status(path, body, error):
     def work(client):
         return client.get(*path) if body is None else client.post(*path, body=body)
 
@@ -50,7 +50,7 @@
         with_client(work, token="wrong")
 
 
-def test_the_tool_names_its_operator_to_the_history_and_to_the_loser_of_a_race(monkeypatch):
+def test_a_conflict_names_the_operator_who_made_the_newer_version(monkeypatch):
     monkeypatch.setenv("SEQUOIA_AUTHOR", "aino")
 
     def work(client):
