--- a/sequoiabridge/fleet/snapshot.py
+++ b/sequoiabridge/fleet/snapshot.py
@@ -1,8 +1,8 @@
-"""Transfers the whole configuration document between VMs while the table is unavailable.
+"""Transfers the whole configuration document between VMs.
 
-A new VM, or one that missed more changes than its peers keep, requests the compressed document
-from one peer in pieces. Pieces count as configuration in the sender's byte bucket. A checksum over
-the whole document detects pieces of different versions.
+A new VM that cannot read the table, or a VM that missed more changes than its peers keep, requests
+the compressed document from one peer in pieces. Pieces count as configuration in the sender's byte
+bucket. A checksum over the whole document detects pieces of different versions.
 """
 
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 REQUEST_TIMEOUT = 0.6
 """Seconds after which a piece is requested again from the same VM."""
 PROVIDER_TIMEOUT = 5.0
-"""Seconds without progress after which the transfer restarts with another VM."""
+"""Seconds without progress after which the transfer restarts with a VM chosen anew."""
 MAX_RECEIVERS = 2
 """Maximum number of VMs that receive the document from this one at the same time."""
 RECEIVER_TIMEOUT = 2.0
@@ -146,7 +146,7 @@
         try:
             document = decompress(data)
         except zlib_error:
-            log.warning("cannot decompress the configuration from VM %s; trying another VM", name)
+            log.warning("cannot decompress the configuration from VM %s; requesting it again", name)
             return
         log.info("received configuration version %d from VM %s", piece.version, name)
         self.consumer(piece.version, document)
--- a/sequoiabridge/fleet/spreader.py
+++ b/sequoiabridge/fleet/spreader.py
@@ -179,8 +179,8 @@
 
     def state_for(self, digest: list[int], now: float) -> tuple[list[Update], list[Parcel]]:
         """Return the contents of the buckets that differ from `digest`, up to one frame."""
-        wanted = differing_buckets(self.digest(), digest)
-        entries = [e for e in self._entries() if bucket_of(e[0]) in wanted]
+        buckets = differing_buckets(self.digest(), digest)
+        entries = [e for e in self._entries() if bucket_of(e[0]) in buckets]
         self.random.shuffle(entries)
         updates: list[Update] = []
         parcels: list[Parcel] = []
