--- a/sequoiabridge/tests/fleet/simulation.py
+++ b/sequoiabridge/tests/fleet/simulation.py
@@ -8,7 +8,7 @@
 from ...timers import ManualClock, Timers
 
 KEY = b"a key of the fleet, 32 bytes long"
-STEP = 0.02
+STEP_SECONDS = 0.02
 
 
 class SimulatedChannel(Channel):
@@ -108,7 +108,7 @@
         """Advance the time in small steps."""
         end = self.clock.now() + seconds
         while self.clock.now() < end:
-            self.clock.advance(STEP)
+            self.clock.advance(STEP_SECONDS)
             self._deliver()
             for address, node in list(self.nodes.items()):
                 if address in self.paused or self.clock.now() < self.next_tick[address]:
@@ -122,7 +122,7 @@
         while not condition():
             if self.clock.now() - start >= limit:
                 return None
-            self.run(STEP)
+            self.run(STEP_SECONDS)
         return self.clock.now() - start
 
     def all(self):
@@ -159,4 +159,4 @@
     return node.own_member.incarnation
 
 
-GONE = (MemberState.DEAD, MemberState.LEFT)
+GONE_STATES = (MemberState.DEAD, MemberState.LEFT)
--- a/sequoiabridge/tests/fleet/test_bucket.py
+++ b/sequoiabridge/tests/fleet/test_bucket.py
@@ -6,7 +6,7 @@
 from ...fleet.base import ConfigurationItem, DrainItem, LoadItem, Urgency
 from ...fleet.bucket import HEARTBEAT, MAX_QUEUED_ENTRIES, ByteBucket, QueueEntry, SendQueue
 from ...fleet.wire import Parcel
-from .simulation import GONE, FleetSimulation, state
+from .simulation import GONE_STATES, FleetSimulation, state
 
 
 def entry(subject, urgency, size=50):
@@ -71,4 +71,4 @@
     assert simulation.run_until(lambda: all(n.version_tracker.newest == 1 for n in others), 4)
     spent = first.counters.bytes_sent - start[1]
     assert spent <= 3000 * (simulation.clock.now() - start[0]) + 2 * 3000
-    assert all(state(a, f"vm{i}") not in GONE for a in simulation.all() for i in range(1, 7))
+    assert all(state(a, f"vm{i}") not in GONE_STATES for a in simulation.all() for i in range(1, 7))
--- a/sequoiabridge/tests/fleet/test_channel.py
+++ b/sequoiabridge/tests/fleet/test_channel.py
@@ -19,13 +19,13 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-async def until(condition, seconds=10):
+async def wait_until(condition, seconds=10):
     async with curio.timeout_after(seconds):
         while not condition():
             await curio.sleep(0.02)
 
 
-def test_two_nodes_hear_each_other_and_a_leave():
+def test_two_nodes_exchange_messages_and_detect_a_leave():
     async def main():
         addresses = [free_address(), free_address()]
         nodes = []
@@ -38,32 +38,32 @@
             await node.start()
             nodes.append(node)
         first, second = nodes
-        await until(lambda: first.live_count() == second.live_count() == 2)
+        await wait_until(lambda: first.live_count() == second.live_count() == 2)
 
-        heard = []
-        second.subscribe(DrainItem, lambda item, sender: heard.append((item, sender)))
+        received = []
+        second.subscribe(DrainItem, lambda item, sender: received.append((item, sender)))
         item = DrainItem("aktivera-3", 7)
         first.publish(item, Urgency.DRAIN)
-        await until(lambda: heard == [(item, "vm0")])
+        await wait_until(lambda: received == [(item, "vm0")])
 
         await first.leave()
-        await until(lambda: state(second, "vm0") is MemberState.LEFT)
+        await wait_until(lambda: state(second, "vm0") is MemberState.LEFT)
         await second.leave()
 
     curio.run(main)
 
 
-class Relay:
-    """TCP relay; discards the data of its first `forgotten` connections."""
+class TcpProxy:
+    """TCP proxy; discards the data of its first `blocked_count` connections."""
 
     def __init__(self, target):
         host, port = target.split(":")
         self.target = host, int(port)
-        self.forgotten = self.accepted = 0
+        self.blocked_count = self.accepted_count = 0
 
     async def serve(self, client, address):
-        self.accepted += 1
-        number = self.accepted
+        self.accepted_count += 1
+        number = self.accepted_count
         upstream = await curio.open_connection(*self.target)
         back = await curio.spawn(self.copy, upstream, client, number, daemon=True)
         await self.copy(client, upstream, number)
@@ -71,16 +71,16 @@
 
     async def copy(self, source, sink, number):
         while data := await source.recv(65536):
-            if number > self.forgotten:
+            if number > self.blocked_count:
                 await sink.sendall(data)
 
 
-def test_a_silent_connection_is_replaced_by_a_new_one_before_the_peer_is_declared_dead():
+def test_a_failed_connection_is_replaced_before_the_peer_is_declared_dead():
     async def main():
         outer, inner, other = free_address(), free_address(), free_address()
-        relay, events, nodes = Relay(inner), [], []
+        proxy, events, nodes = TcpProxy(inner), [], []
         host, port = outer.split(":")
-        await curio.spawn(curio.tcp_server, host, int(port), relay.serve, daemon=True)
+        await curio.spawn(curio.tcp_server, host, int(port), proxy.serve, daemon=True)
         for i, (address, channel) in enumerate(
             [(outer, NngChannel(inner)), (other, NngChannel(other))]
         ):
@@ -101,11 +101,11 @@
             await node.start()
             nodes.append(node)
         first, second = nodes
-        await until(lambda: first.live_count() == second.live_count() == 2)
-        relay.forgotten = relay.accepted
-        await until(lambda: relay.accepted > relay.forgotten)
-        heard = first.counters.messages_received
-        await until(lambda: first.counters.messages_received > heard + 2)
+        await wait_until(lambda: first.live_count() == second.live_count() == 2)
+        proxy.blocked_count = proxy.accepted_count
+        await wait_until(lambda: proxy.accepted_count > proxy.blocked_count)
+        received_before = first.counters.messages_received
+        await wait_until(lambda: first.counters.messages_received > received_before + 2)
         assert EventKind.DIED not in events
         assert second.channel.redials > 0
         for node in nodes:
--- a/sequoiabridge/tests/fleet/test_stateful.py
+++ b/sequoiabridge/tests/fleet/test_stateful.py
@@ -11,10 +11,10 @@
 )
 
 from ...fleet.base import MemberState
-from .simulation import GONE, FleetSimulation, incarnation, state
+from .simulation import GONE_STATES, FleetSimulation, incarnation, state
 
 COUNT = 6
-HEAL = 30
+CONVERGENCE_SECONDS = 30
 """Seconds within which all reachable VMs must see each other as live."""
 NUMBERS = st.integers(min_value=1, max_value=COUNT)
 
@@ -87,19 +87,19 @@
         self.simulation.cuts.clear()
         for address in list(self.simulation.paused):
             self.simulation.resume(self.simulation.nodes[address])
-        assert self.simulation.run_until(self.simulation.complete, HEAL) is not None
+        assert self.simulation.run_until(self.simulation.complete, CONVERGENCE_SECONDS) is not None
 
     @invariant()
     def none_that_left_is_believed_live_without_a_newer_incarnation(self):
-        for name, over in getattr(self, "left", {}).items():
+        for name, left_incarnation in getattr(self, "left", {}).items():
             for node in self.simulation.all():
                 view = node.membership.roster.get(name)
-                if view is None or view.incarnation > over:
+                if view is None or view.incarnation > left_incarnation:
                     continue
-                known = state(node, name) in GONE
-                assert known or (name, view.incarnation) not in self.heard_left(node)
+                known = state(node, name) in GONE_STATES
+                assert known or (name, view.incarnation) not in self.recorded_left(node)
 
-    def heard_left(self, node):
+    def recorded_left(self, node):
         """Return the incarnations that a node has ever recorded as left."""
         _, seen = self.seen.setdefault(id(node), (node, set()))
         for member in node.membership.roster.members.values():
