--- a/sequoiabridge/fleet/wire.py
+++ b/sequoiabridge/fleet/wire.py
@@ -137,7 +137,7 @@
     """Raise `ConfigurationError` unless there are one or two keys of sufficient length."""
     if not 1 <= len(keys) <= MAX_KEYS:
         raise ConfigurationError(
-            f"[fleet] key: give one key, or two while changing it: {len(keys)}"
+            f"[fleet] key: set one key, or two during key rotation; found {len(keys)}"
         )
     if any(len(key) < MIN_KEY_BYTES for key in keys):
         raise ConfigurationError(
--- a/sequoiabridge/tests/fleet/simulation.py
+++ b/sequoiabridge/tests/fleet/simulation.py
@@ -22,7 +22,7 @@
         return True
 
     def redial(self, address):
-        self.simulation.silent.discard((self.address, address))
+        self.simulation.failed_connections.discard((self.address, address))
 
     def listen(self):
         pass
@@ -37,7 +37,7 @@
 class FleetSimulation:
     """Nodes by address, connected by simulated links.
 
-    Frames are lost on the one-way links in `cuts`, on the connections in `silent` until these are
+    Frames are lost on the one-way links in `cuts`, on `failed_connections` until these are
     redialed, and at random with probability `loss`.
     """
 
@@ -47,7 +47,7 @@
         self.loss, self.rate = loss, rate
         self.seeds = [f"10.0.0.{i}:7000" for i in range(1, seeds + 1)]
         self.nodes, self.next_tick, self.paused = {}, {}, {}
-        self.cuts, self.silent, self.frames, self.log = set(), set(), [], []
+        self.cuts, self.failed_connections, self.frames, self.log = set(), set(), [], []
         for i in range(1, count + 1):
             self.add(i)
 
@@ -100,7 +100,7 @@
     def send(self, source, target, frame):
         link = (source, target)
         lost = self.random.random() < self.loss
-        if link in self.cuts or link in self.silent or lost:
+        if link in self.cuts or link in self.failed_connections or lost:
             return
         self.frames.append((self.clock.now() + 0.001, target, frame))
 
--- a/sequoiabridge/tests/fleet/test_membership.py
+++ b/sequoiabridge/tests/fleet/test_membership.py
@@ -158,8 +158,8 @@
     for node in simulation.all():
         node.on_event(lambda e: deaths.append(e.name) if e.kind is EventKind.DIED else None)
     link = (a.own_member.address, b.own_member.address)
-    simulation.silent |= {link, link[::-1]}
-    assert simulation.run_until(lambda: not simulation.silent, 20) is not None
+    simulation.failed_connections |= {link, link[::-1]}
+    assert simulation.run_until(lambda: not simulation.failed_connections, 20) is not None
     simulation.run(10)
     assert deaths == []
     assert simulation.complete()
