--- a/sequoiabridge/assembly/schedule.py
+++ b/sequoiabridge/assembly/schedule.py
@@ -46,7 +46,7 @@
         path.drain_checker.subscribe(timers)
         self.fleet.on_event(lambda event: path.services.share_connections())
         path.admit.subscribe(timers)
-        timers.every(IDLE_CHECK_INTERVAL, "idle connections", path.connector.sweep)
+        timers.every(IDLE_CHECK_INTERVAL, "idle connections", path.connector.close_expired)
         timers.every(DELIVERY_INTERVAL, "deliveries", self.deliver)
         timers.every(ORPHAN_REMOVAL_INTERVAL, "orphans", self.collect)
         self.platform.subscribe()
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -122,7 +122,7 @@
     def _build_store_followers(self) -> None:
         """Build the parts that follow the store: the configuration and the list of upstreams."""
         settings = self.settings
-        limits = ConnectorLimits(idle_timeout=UPSTREAM_IDLE_TIMEOUT, until_close=True)
+        limits = ConnectorLimits(idle_timeout=UPSTREAM_IDLE_TIMEOUT, allow_until_close=True)
         self.connector = HttpConnector(self.clock, limits, MAX_CONNECTIONS_PER_UPSTREAM)
         self.store = PlatformClient(settings.store.address, self.clock, self._count_store_call)
         self.configuration = Configuration(self.decisions, self._apply_configuration)
@@ -287,7 +287,7 @@
 
     def _schedule_periodic_work(self) -> None:
         """Register the periodic work with the timers."""
-        self.timers.every(IDLE_SWEEP_INTERVAL, "idle connections", self.connector.sweep)
+        self.timers.every(IDLE_SWEEP_INTERVAL, "idle connections", self.connector.close_expired)
         self.timers.every(EXPIRY_INTERVAL, "lapsed upstreams", self.upstreams.expire)
         self.timers.every(EXPIRY_INTERVAL, "waiting lines", self.log_writer.flush)
         self.timers.every(HEARTBEAT_INTERVAL, "beacons", self.watchers.send_heartbeat)
--- a/sequoiabridge/pipeline/attempt.py
+++ b/sequoiabridge/pipeline/attempt.py
@@ -12,7 +12,7 @@
 from ..policy.upstream_state import UpstreamState
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
-from ..upstreams.reports import parse_drain, parse_load
+from ..upstreams.reports import parse_incarnation, parse_load
 from .buffering import MAX_BUFFERED_BYTES, ReplayableBody
 from .exchange import Answer, BytesBody, Exchange
 
@@ -134,7 +134,7 @@
         address = self.upstream.address
         remaining = exchange.deadline - self.clock.now()
         connection = await self.connector.acquire(address, fresh=self.fresh, timeout=remaining)
-        self.idle_seconds = self.clock.now() - connection.last_heard
+        self.idle_seconds = self.clock.now() - connection.last_received_at
         if not exchange.rule.idempotent and self.idle_seconds > MAX_TRUSTED_IDLE_SECONDS:
             await self.connector.release(connection)
             connection = await self.connector.acquire(address, fresh=True, timeout=remaining)
@@ -182,7 +182,7 @@
         if name == headers.LOAD:
             self.metadata.load = parse_load(value)
         elif name == headers.DRAIN:
-            self.metadata.drain = parse_drain(value)
+            self.metadata.drain = parse_incarnation(value)
         elif name == headers.NOT_RUN:
             self.metadata.not_run = value == NOT_RUN_VALUE
 
--- a/sequoiabridge/pipeline/attempt_recorder.py
+++ b/sequoiabridge/pipeline/attempt_recorder.py
@@ -167,7 +167,7 @@
         """Close an upstream's older idle connections if a long idle one gave no answer."""
         if attempt.idle_seconds < MIN_SUSPECT_IDLE_SECONDS:
             return
-        await self.connector.suspect(attempt.upstream.address, attempt.started)
+        await self.connector.close_older(attempt.upstream.address, attempt.started)
 
     def _apply_drain(self, state: ServiceState, attempt: Attempt) -> None:
         """Apply a drain that an answer reported, even if the answer was incomplete."""
@@ -186,7 +186,7 @@
 
     async def _record_if_unreachable(self, attempt: Attempt) -> None:
         upstream = attempt.upstream
-        if not await self.connector.reachable(upstream.address, REACHABLE_TIMEOUT):
+        if not await self.connector.is_reachable(upstream.address, REACHABLE_TIMEOUT):
             self.observer.record_crash(attempt.exchange, upstream.name)
 
     async def _record_shed(self, state: ServiceState, attempt: Attempt) -> None:
--- a/sequoiabridge/pipeline/probing.py
+++ b/sequoiabridge/pipeline/probing.py
@@ -8,7 +8,7 @@
 
 from ..metrics import Metrics
 from ..timers import Clock, OnDemandTimer, Timers
-from ..upstreams.probes import Probe, Prober
+from ..upstreams.probes import Prober, ProbeResult
 from .attempt_recorder import Observer, apply_drain
 from .services import Services, ServiceState
 
@@ -74,7 +74,7 @@
         )
         self._record_probe(state, name, probe)
 
-    def _record_probe(self, state: ServiceState, name: str, probe: Probe) -> None:
+    def _record_probe(self, state: ServiceState, name: str, probe: ProbeResult) -> None:
         now = self.clock.now()
         apply_drain(state, self.observer, name, probe.drain, now)
         if probe.load is not None:
--- a/sequoiabridge/pipeline/upload_sender.py
+++ b/sequoiabridge/pipeline/upload_sender.py
@@ -12,7 +12,7 @@
 from ..store.upload_manifest import Manifest
 from ..timers import Clock
 from ..upstreams.base import Connector, UpstreamConnection, UpstreamRequest
-from ..upstreams.reports import parse_drain
+from ..upstreams.reports import parse_incarnation
 from .attempt_recorder import REACHABLE_TIMEOUT, Observer, apply_drain
 from .exchange import Answer, Body
 from .services import Services, ServiceState
@@ -77,7 +77,9 @@
 
     def _apply_drain(self, state: ServiceState, upstream: UpstreamState, answer: Answer) -> None:
         """Apply a drain that the answer reports; the service may have no other calls."""
-        drains = [parse_drain(value) for name, value in answer.headers if name == headers.DRAIN]
+        drains = [
+            parse_incarnation(value) for name, value in answer.headers if name == headers.DRAIN
+        ]
         for incarnation in drains:
             apply_drain(state, self.observer, upstream.name, incarnation, self.clock.now())
 
@@ -89,7 +91,7 @@
         error: UpstreamFailed,
     ) -> DeliveryResult:
         """Record a crash if the upstream accepts no new connection; return the result."""
-        dead = error.sent and not await self.connector.reachable(
+        dead = error.sent and not await self.connector.is_reachable(
             upstream.address, REACHABLE_TIMEOUT
         )
         if not dead:
--- a/sequoiabridge/platform/client.py
+++ b/sequoiabridge/platform/client.py
@@ -21,7 +21,7 @@
 from ..store.tables import Tables
 from ..timers import Clock
 from ..upstreams.connections import ConnectorLimits, HttpConnector
-from ..upstreams.fetch import Fetched, fetch
+from ..upstreams.fetch import FetchedAnswer, fetch
 
 CALL_TIMEOUT = 1.5
 """Seconds for the whole answer to a call other than a poll."""
@@ -128,7 +128,7 @@
         body: bytes = b"",
         headers: tuple[tuple[bytes, bytes], ...] = (),
         timeout: float | None = None,
-    ) -> Fetched:
+    ) -> FetchedAnswer:
         """Send one request without retries; return its whole answer, whatever its status.
 
         Raises:
@@ -147,7 +147,7 @@
             raise StoreUnavailable(message, sent=error.sent) from error
 
 
-def checked_body(answer: Fetched) -> bytes:
+def checked_body(answer: FetchedAnswer) -> bytes:
     """Return the body of a successful answer.
 
     Raises:
@@ -175,7 +175,7 @@
     return answer.body
 
 
-def decode_answer(answer: Fetched) -> dict:
+def decode_answer(answer: FetchedAnswer) -> dict:
     """Return the JSON object of a successful answer; raises the errors of `checked_body`."""
     try:
         return json.loads(checked_body(answer))
--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -114,7 +114,7 @@
         address = self.upstream.address
         timeout = max(MIN_CONNECT_TIMEOUT, self.call.deadline - self.clock.now())
         connection = await self.connector.acquire(address, fresh=False, timeout=timeout)
-        idle = self.clock.now() - connection.last_heard
+        idle = self.clock.now() - connection.last_received_at
         if self.call.route.idempotent or idle <= MAX_TRUSTED_IDLE:
             return connection
         await self.connector.release(connection)
--- a/sequoiabridge/relay/crash_guard.py
+++ b/sequoiabridge/relay/crash_guard.py
@@ -73,7 +73,7 @@
 
     async def _report_if_down(self, call: RelayedCall, attempt: Attempt) -> None:
         address = attempt.upstream.address
-        if await self.connector.reachable(address, ALIVE_CHECK_TIMEOUT):
+        if await self.connector.is_reachable(address, ALIVE_CHECK_TIMEOUT):
             return
         crashed = RequestCrashed(fingerprint(call), attempt.upstream.lifetime)
         if self._record_crash(crashed):
--- a/sequoiabridge/relay/metrics.py
+++ b/sequoiabridge/relay/metrics.py
@@ -97,7 +97,7 @@
     yield "sequoia_callers_left", "Calls whose callers left.", counters.callers_left
     yield "sequoia_store_calls", "Calls to the platform's store.", counters.store_calls
     yield "sequoia_store_failures", "Such calls without a good answer.", counters.store_failures
-    yield "sequoia_connections_opened", "Connections to upstreams.", gateway.connector.opened
+    yield "sequoia_connections_opened", "Connections to upstreams.", gateway.connector.opened_count
     entry_errors = [follower.entry_errors.count for follower in gateway.followers.values()]
     unusable = sum(entry_errors) + gateway.members.entry_errors.count
     yield "sequoia_entries_unusable", "Entries of the store that could not be used.", unusable
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -95,14 +95,14 @@
 
 
 def reuse_after_timeout() -> list[Patch]:
-    def finish(self) -> bool:
-        self._renew()
+    def prepare_for_reuse(self) -> bool:
+        self._reset_request_state()
         return not self.closed
 
     async def close(self) -> None:
         return
 
-    return [(Link, "finish", finish), (HttpConnection, "close", close)]
+    return [(Link, "prepare_for_reuse", prepare_for_reuse), (HttpConnection, "close", close)]
 
 
 def answer_of_another() -> list[Patch]:
--- a/sequoiabridge/tests/pipeline/fakes.py
+++ b/sequoiabridge/tests/pipeline/fakes.py
@@ -41,7 +41,7 @@
         self.connector = connector
         self.address = address
         self.behaviour = behaviour
-        self.opened = self.last_heard = connector.clock.now()
+        self.opened_at = self.last_received_at = connector.clock.now()
         self.requests = 0
         self.closed = False
 
@@ -69,7 +69,7 @@
         return Answer(status, fields, 5, StreamedBody(self.behaviour))
 
     @property
-    def clean(self):
+    def is_reusable(self):
         return not self.closed
 
     async def close(self):
@@ -112,10 +112,10 @@
     async def release(self, connection):
         return None
 
-    async def suspect(self, address, opened_before):
+    async def close_older(self, address, opened_before):
         return None
 
-    async def reachable(self, address, timeout):
+    async def is_reachable(self, address, timeout):
         return self.behaviours[address] not in (Behaviour.CRASH, Behaviour.REFUSE_CONNECTION)
 
 
--- a/sequoiabridge/tests/pipeline/test_drain_checks.py
+++ b/sequoiabridge/tests/pipeline/test_drain_checks.py
@@ -5,7 +5,7 @@
 
 from ...pipeline.drain_checks import DrainChecker
 from ...policy.base import Failure
-from ...upstreams.probes import Probe
+from ...upstreams.probes import ProbeResult
 from .fakes import Behaviour, DispatchScene
 
 
@@ -13,7 +13,7 @@
     """Answers each probe with the same result."""
 
     def __init__(self, incarnation, drain=None, healthy=True):
-        self.answer = Probe(0.001, 100)
+        self.answer = ProbeResult(0.001, 100)
         self.answer.incarnation, self.answer.drain = incarnation, drain
         self.answer.healthy = healthy
         self.probed = []
--- a/sequoiabridge/tests/platform/test_services.py
+++ b/sequoiabridge/tests/platform/test_services.py
@@ -47,7 +47,9 @@
         assert (await objects.get("none", 5.0)).ok is None
         assert (await objects.names("up/", "", 9, 5.0)).ok == ["up/1 x"]
         assert (await PlatformVmList(address, SystemClock()).vms(5.0)).ok[0].name == "vm1"
-        assert tables.client.connector.opened == 1 and objects.client.connector.opened == 1
+        assert (
+            tables.client.connector.opened_count == 1 and objects.client.connector.opened_count == 1
+        )
 
     run(check)
 
@@ -128,6 +130,6 @@
         await tables.read("t", "a", 5.0)
         platform.faults.down = False
         assert (await tables.transact(ABSENT, WRITE, 5.0)).is_ok()
-        assert tables.client.connector.opened == 2
+        assert tables.client.connector.opened_count == 2
 
     run(check)
--- a/sequoiabridge/tests/platform/test_wire.py
+++ b/sequoiabridge/tests/platform/test_wire.py
@@ -13,7 +13,7 @@
 from ...platform.feeds import ConfigurationFeed, UpstreamFeed
 from ...store.rows import Condition, Write
 from ...timers import SystemClock
-from ...upstreams.fetch import Fetched
+from ...upstreams.fetch import FetchedAnswer
 from .environment import document, route
 from .store_emulator import StoreEmulator
 
@@ -124,7 +124,7 @@
 )
 def test_only_a_refusal_status_proves_that_nothing_was_written(status, refused):
     with pytest.raises(StoreUnavailable) as found:
-        checked_body(Fetched(status, b""))
+        checked_body(FetchedAnswer(status, b""))
     assert isinstance(found.value, StoreRefused) is refused
 
 
--- a/sequoiabridge/tests/upstreams/test_connections.py
+++ b/sequoiabridge/tests/upstreams/test_connections.py
@@ -97,7 +97,7 @@
             await curio.timeout_after(0.01, connection.read_head)
         await started.set()
         assert (await connection.read_head()).status == 200
-        assert connection.clean
+        assert connection.is_reusable
         started.clear()
         loser = await lend(connector, address, fresh=True)
         await loser.send(get())
@@ -169,12 +169,12 @@
         idle, busy = await lend(connector, address), await lend(connector, address)
         await call(idle)
         connector.clock.advance(1)
-        await connector.suspect(address, connector.clock.now())
+        await connector.close_older(address, connector.clock.now())
         await call(busy)
         assert connector.pools[address].count == 0, "the busy one was suspected too"
         await call(await lend(connector, address))
         connector.clock.advance(31)
-        await connector.sweep()
+        await connector.close_expired()
         assert not connector.pools
 
     play(hello, test)
--- a/sequoiabridge/tests/upstreams/test_fetch.py
+++ b/sequoiabridge/tests/upstreams/test_fetch.py
@@ -13,7 +13,7 @@
 class Ready(Connector, UpstreamConnection):
     """Takes and gives bytes without ever waiting, as a fast platform does."""
 
-    clean = True
+    is_reusable = True
 
     def __init__(self, answer: bytes = b""):
         self.answer = answer
@@ -26,10 +26,10 @@
     async def release(self, connection):
         pass
 
-    async def suspect(self, address, opened_before):
+    async def close_older(self, address, opened_before):
         pass
 
-    async def reachable(self, address, timeout):
+    async def is_reachable(self, address, timeout):
         return True
 
     async def send(self, request):
--- a/sequoiabridge/tests/upstreams/test_probes.py
+++ b/sequoiabridge/tests/upstreams/test_probes.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ...upstreams.probes import Prober
-from ...upstreams.reports import parse_drain, parse_load
+from ...upstreams.reports import parse_incarnation, parse_load
 from .scripted import answering, play
 
 
@@ -27,7 +27,7 @@
 )
 def test_bad_report_is_none(value):
     assert parse_load(value) is None
-    assert parse_drain(value) is None
+    assert parse_incarnation(value) is None
 
 
 def test_probe_tells_load_and_drain_counts_bad_headers_and_bytes():
@@ -62,5 +62,5 @@
 
 
 def test_an_incarnation_may_be_a_wall_time():
-    assert parse_drain(b"1796236935123") == 1796236935123
-    assert parse_drain(b"9" * 30) is None
+    assert parse_incarnation(b"1796236935123") == 1796236935123
+    assert parse_incarnation(b"9" * 30) is None
--- a/sequoiabridge/upstreams/base.py
+++ b/sequoiabridge/upstreams/base.py
@@ -39,8 +39,8 @@
     be given back with `Connector.release`, which closes everything that did not end cleanly.
 
     Attributes:
-        opened: Time at which it was opened, in seconds on the daemon's clock.
-        last_heard: Time of the last byte that came from the upstream.
+        opened_at: Time at which it was opened, in seconds on the daemon's clock.
+        last_received_at: Time of the last byte that came from the upstream.
         requests: How many requests it has carried.
     """
 
@@ -59,7 +59,7 @@
 
     @property
     @abstractmethod
-    def clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """True if the last answer ended cleanly and another request may be sent."""
 
     @abstractmethod
@@ -84,14 +84,14 @@
 
     @abstractmethod
     async def release(self, connection: UpstreamConnection) -> None:
-        """Take a connection back; keep it for reuse only if it is `clean`."""
+        """Take a connection back; keep it for reuse only if it is `is_reusable`."""
 
     @abstractmethod
-    async def suspect(self, address: str, opened_before: float) -> None:
+    async def close_older(self, address: str, opened_before: float) -> None:
         """Close the idle connections to `address` that were opened before the given time."""
 
     @abstractmethod
-    async def reachable(self, address: str, timeout: float) -> bool:
+    async def is_reachable(self, address: str, timeout: float) -> bool:
         """Return whether `address` takes a new connection within `timeout` seconds.
 
         The connection is closed at once and counts against no share.
--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -21,17 +21,17 @@
     Args:
         max_head: Size in bytes of an answer's head.
         idle_timeout: Seconds that an unused connection is kept; less than upstreams keep theirs.
-        until_close: Take an answer without a length, which ends with its connection.
+        allow_until_close: Take an answer without a length, which ends with its connection.
     """
 
-    __slots__ = ("max_head", "idle_timeout", "until_close")
+    __slots__ = ("max_head", "idle_timeout", "allow_until_close")
 
     def __init__(
-        self, max_head: int = 32 * 1024, idle_timeout: float = 30.0, until_close: bool = False
+        self, max_head: int = 32 * 1024, idle_timeout: float = 30.0, allow_until_close: bool = False
     ):
         self.max_head = max_head
         self.idle_timeout = idle_timeout
-        self.until_close = until_close
+        self.allow_until_close = allow_until_close
 
 
 class AddressPool:
@@ -67,8 +67,8 @@
         self.share = share
         self.pools: dict[str, AddressPool] = {}
         self.shares: dict[str, int] = {}
-        self.opened = 0
-        self.reused = 0
+        self.opened_count = 0
+        self.reused_count = 0
 
     def set_share(self, address: str, count: int) -> None:
         """Open at most `count` connections to `address` from now on; none is closed for it."""
@@ -81,7 +81,7 @@
         while pool.idle and not fresh:
             link = pool.idle.pop()
             if self._trusted(pool, link):
-                self.reused += 1
+                self.reused_count += 1
                 return HttpConnection(self, link)
             await self._close(pool, link)
         if pool.count >= pool.share and pool.idle:
@@ -94,12 +94,12 @@
     async def release(self, connection: UpstreamConnection) -> None:
         await connection.give_back()
 
-    async def suspect(self, address: str, opened_before: float) -> None:
+    async def close_older(self, address: str, opened_before: float) -> None:
         pool = self.pools.get(address)
         if pool is None:
             return
         pool.suspected = max(pool.suspected, opened_before)
-        await self._close_where(pool, lambda link: link.opened < opened_before)
+        await self._close_where(pool, lambda link: link.opened_at < opened_before)
 
     def retire(self, address: str) -> None:
         """Let no connection to `address` that is open now be used for another request."""
@@ -107,7 +107,7 @@
         if pool is not None:
             pool.suspected = self.clock.now()
 
-    async def reachable(self, address: str, timeout: float) -> bool:
+    async def is_reachable(self, address: str, timeout: float) -> bool:
         try:
             link = await open_link(address, self.clock, timeout)
         except UpstreamFailed:
@@ -118,12 +118,16 @@
     async def take_back(self, link: Link) -> None:
         """Keep a link whose last answer ended cleanly for reuse; close any other."""
         pool = self.pools[link.address]
-        if link.finish() and link.opened >= pool.suspected and pool.count <= pool.share:
+        if (
+            link.prepare_for_reuse()
+            and link.opened_at >= pool.suspected
+            and pool.count <= pool.share
+        ):
             pool.idle.append(link)
             return
         await self._close(pool, link)
 
-    async def sweep(self) -> None:
+    async def close_expired(self) -> None:
         """Close connections that have been idle too long; the daemon's timers call it."""
         now, limit = self.clock.now(), self.limits.idle_timeout
         for address, pool in list(self.pools.items()):
@@ -142,12 +146,12 @@
             address: {"open": pool.count, "idle": len(pool.idle), "share": pool.share}
             for address, pool in self.pools.items()
         }
-        return {"opened": self.opened, "reused": self.reused, "upstreams": pools}
+        return {"opened": self.opened_count, "reused": self.reused_count, "upstreams": pools}
 
     def _trusted(self, pool: AddressPool, link: Link) -> bool:
-        if link.opened < pool.suspected:
+        if link.opened_at < pool.suspected:
             return False
-        idle_for = self.clock.now() - link.last_heard
+        idle_for = self.clock.now() - link.last_received_at
         if idle_for > min(self.limits.idle_timeout, link.keep_alive_timeout):
             return False
         return link.usable()
@@ -165,7 +169,7 @@
         finally:
             if link is None:
                 pool.count -= 1
-        self.opened += 1
+        self.opened_count += 1
         return link
 
     async def _close_where(self, pool: AddressPool, unwanted) -> None:
@@ -181,5 +185,5 @@
 
 def useless(now: float, idle_timeout: float, suspected: float, link: Link) -> bool:
     """Return whether an idle connection will not be used again."""
-    idle_for = now - link.last_heard
-    return link.opened < suspected or idle_for > min(idle_timeout, link.keep_alive_timeout)
+    idle_for = now - link.last_received_at
+    return link.opened_at < suspected or idle_for > min(idle_timeout, link.keep_alive_timeout)
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -61,14 +61,14 @@
         self.returned = False
 
     @property
-    def opened(self) -> float:
+    def opened_at(self) -> float:
         """Return the time at which the connection was opened."""
-        return self.link.opened
+        return self.link.opened_at
 
     @property
-    def last_heard(self) -> float:
+    def last_received_at(self) -> float:
         """Return the time of the last byte from the upstream."""
-        return self.link.last_heard
+        return self.link.last_received_at
 
     @property
     def requests(self) -> int:
@@ -76,7 +76,7 @@
         return self.link.requests
 
     @property
-    def clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return True if the answer ended cleanly and the connection was kept."""
         return self.returned and not self.link.closed
 
@@ -169,7 +169,7 @@
         """Return what reads the body after `head`."""
         if head.chunked != (head.length is not None):
             return body_reader(head.length)
-        if not head.chunked and self.connector.limits.until_close:
+        if not head.chunked and self.connector.limits.allow_until_close:
             self.link.keeps_alive = False
             return UntilCloseReader()
         message = "The answer's length is not known for sure. Send one of Content-Length or "
--- a/sequoiabridge/upstreams/fetch.py
+++ b/sequoiabridge/upstreams/fetch.py
@@ -28,7 +28,7 @@
         return bytes(piece)
 
 
-class Fetched:
+class FetchedAnswer:
     """A whole answer."""
 
     __slots__ = ("status", "body")
@@ -46,7 +46,7 @@
     timeout: float,
     body: bytes = b"",
     headers: tuple[tuple[bytes, bytes], ...] = (),
-) -> Fetched:
+) -> FetchedAnswer:
     """Send one request, and once only, and return its whole answer.
 
     Args:
@@ -69,6 +69,6 @@
             if unpaused >= STEP:
                 unpaused = 0
                 await curio.sleep(0)
-        return Fetched(answer.status, b"".join(pieces))
+        return FetchedAnswer(answer.status, b"".join(pieces))
     finally:
         await connector.release(connection)
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -32,8 +32,8 @@
     """A connection to an upstream below the level of requests.
 
     Attributes:
-        opened: Time at which it was opened, in seconds on the daemon's clock.
-        last_heard: Time of the last byte from the upstream.
+        opened_at: Time at which it was opened, in seconds on the daemon's clock.
+        last_received_at: Time of the last byte from the upstream.
         requests: How many requests it has carried.
         sent: True once a byte of the present request may have left.
         early: The head of an answer that came before the request's body was sent, or None.
@@ -51,8 +51,8 @@
         "descriptor",
         "received",
         "clock",
-        "opened",
-        "last_heard",
+        "opened_at",
+        "last_received_at",
         "requests",
         "sent",
         "early",
@@ -71,12 +71,12 @@
         self.sock = sock
         self.descriptor = Descriptor(sock.fileno())
         self.clock = clock
-        self.opened = clock.now()
-        self.last_heard = self.opened
+        self.opened_at = clock.now()
+        self.last_received_at = self.opened_at
         self.requests = 0
         self.early: h11.Response | None = None
         self.received = InputBuffer()
-        self._renew()
+        self._reset_request_state()
         self.keep_alive_timeout = float("inf")
         self.spoiled = False
         self.waiting = False
@@ -122,7 +122,7 @@
         except OSError as error:
             raise self.failed(f"The connection broke: {error}.") from error
         if data:
-            self.last_heard = self.clock.now()
+            self.last_received_at = self.clock.now()
         self.received.feed(data)
         return True
 
@@ -189,15 +189,15 @@
         finally:
             self.waiting = False
 
-    def finish(self) -> bool:
+    def prepare_for_reuse(self) -> bool:
         """Get ready for another request; False if the connection cannot carry one."""
         whole = self.request_ended and self.answer_ended and self.keeps_alive and not self.spoiled
         if not whole or self.closed or self.early or self.received or self.received.closed:
             return False
-        self._renew()
+        self._reset_request_state()
         return True
 
-    def _renew(self) -> None:
+    def _reset_request_state(self) -> None:
         """Forget the last request."""
         self.sent = False
         self.request_ended = False
--- a/sequoiabridge/upstreams/probes.py
+++ b/sequoiabridge/upstreams/probes.py
@@ -8,7 +8,7 @@
 from ..policy.base import LoadReport
 from ..timers import Clock
 from .base import Connector, UpstreamConnection, UpstreamRequest
-from .reports import parse_drain, parse_load
+from .reports import parse_incarnation, parse_load
 
 DEFAULT_PATH = "/health"
 MAX_ANSWER = 4096
@@ -19,7 +19,7 @@
 """Bytes of a start line beside method and path, or of a status line."""
 
 
-class Probe:
+class ProbeResult:
     """What a probe brought.
 
     Attributes:
@@ -59,7 +59,7 @@
         self.path = path.encode()
         self.bad_headers = 0
 
-    async def probe(self, address: str, timeout: float) -> Probe:
+    async def probe(self, address: str, timeout: float) -> ProbeResult:
         """Ask `address` ("IP:port") and return what it said within `timeout` seconds."""
         started = self.clock.now()
         headers = [(b"host", address.encode())]
@@ -78,14 +78,14 @@
         finally:
             if connection is not None:
                 await self.connector.release(connection)
-        return Probe(self.clock.now() - started, size if failure.sent else 0, failure)
+        return ProbeResult(self.clock.now() - started, size if failure.sent else 0, failure)
 
     async def _ask(
         self, connection: UpstreamConnection, request: UpstreamRequest, started: float, size: int
-    ) -> Probe:
+    ) -> ProbeResult:
         await connection.send(request)
         answer = await connection.read_head()
-        probe = Probe(self.clock.now() - started, size + START_LINE + _size(answer.headers))
+        probe = ProbeResult(self.clock.now() - started, size + START_LINE + _size(answer.headers))
         probe.status = answer.status
         probe.healthy = answer.status < 400
         probe.size += await _body_size(answer)
@@ -93,9 +93,9 @@
             if name == LOAD:
                 probe.load = self._counted(parse_load(value))
             elif name == DRAIN:
-                probe.drain = self._counted(parse_drain(value))
+                probe.drain = self._counted(parse_incarnation(value))
             elif name == INCARNATION:
-                probe.incarnation = self._counted(parse_drain(value))
+                probe.incarnation = self._counted(parse_incarnation(value))
         return probe
 
     def _counted(self, parsed):
--- a/sequoiabridge/upstreams/reports.py
+++ b/sequoiabridge/upstreams/reports.py
@@ -36,7 +36,7 @@
     return LoadReport(in_flight, slots, found.get(b"age_ms", 0) / MILLISECONDS)
 
 
-def parse_drain(value: bytes) -> int | None:
+def parse_incarnation(value: bytes) -> int | None:
     """Return the incarnation number that an upstream gives, or None if it is not valid."""
     return _number(value)
 
