--- a/sequoiabridge/commands/__init__.py
+++ b/sequoiabridge/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one thin module for each verb."""
+"""The command line: one module for each verb."""
--- a/sequoiabridge/commands/apply.py
+++ b/sequoiabridge/commands/apply.py
@@ -1,4 +1,4 @@
-"""`sequoiactl apply`: make the fleet's configuration what a file says."""
+"""`sequoiactl apply`: replace the fleet's configuration by that of a file."""
 
 from pathlib import Path
 
@@ -21,17 +21,17 @@
     json: bool = False,
     strict: bool = False,
 ) -> int:
-    """Make the fleet's configuration what a file says, by the smallest change.
+    """Replace the fleet's configuration by that of a file, with the smallest change.
 
     Args:
-        file: Fleet configuration; it is checked here first.
-        admin: IP:port of a daemon's admin port.
-        expect: Version that must be in force; fails with 3 if another came first.
-        dry_run: Only say what would change.
-        token_file: File with the operator's token; else SEQUOIA_TOKEN is used.
-        timeout: Seconds that the answer may take.
+        file: File with the fleet configuration; it is checked before it is sent.
+        admin: Admin address (IP:port) of a daemon.
+        expect: Version that must be in force; exit code 3 if another one is.
+        dry_run: Only show what would change.
+        token_file: File with the operator's token; default is the value of SEQUOIA_TOKEN.
+        timeout: Seconds to wait for the answer.
         json: Print JSON.
-        strict: Send nothing if the file has warnings; fail if a VM was not heard.
+        strict: Send nothing if the file has warnings; fail if a VM did not answer.
     """
     client = make_client(admin, token_file, timeout)
     text = read_file(file)
--- a/sequoiabridge/commands/ask.py
+++ b/sequoiabridge/commands/ask.py
@@ -1,4 +1,4 @@
-"""`sequoiactl ask`: one query or command of the operators' language."""
+"""`sequoiactl ask`: run a query or command in the operators' language."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from .tables import is_complete, print_answer
 
 READ_ONLY_COMMANDS = frozenset({"show", "explain", "diff"})
-"""First words of the commands that change nothing."""
+"""First words of read-only commands."""
 
 
 def ask(
@@ -18,18 +18,18 @@
     json: bool = False,
     strict: bool = False,
 ) -> int:
-    """Run one query or command, such as "show upstreams of reports where drained = yes".
+    """Run a query or command, such as "show upstreams of reports where drained = yes".
 
     Args:
-        command: Its text; several words are joined by spaces.
-        admin: IP:port of a daemon's admin port.
-        token_file: File with the operator's token; else SEQUOIA_TOKEN is used.
-        timeout: Seconds that the answer may take.
+        command: Text of the command; several arguments are joined with spaces.
+        admin: Admin address (IP:port) of a daemon.
+        token_file: File with the operator's token; default is the value of SEQUOIA_TOKEN.
+        timeout: Seconds to wait for the answer.
         json: Print JSON.
-        strict: Fail if a VM was not heard.
+        strict: Fail if a VM did not answer.
     """
     if not "".join(command).strip():
-        raise ConfigurationError('There is nothing to ask: write a command, such as "show vms".')
+        raise ConfigurationError('No command is given: write one, such as "show vms".')
     client = make_client(admin, token_file, timeout)
     text = " ".join(command)
     changes = text.split(None, 1)[0].lower() not in READ_ONLY_COMMANDS
--- a/sequoiabridge/commands/check.py
+++ b/sequoiabridge/commands/check.py
@@ -1,4 +1,4 @@
-"""`sequoiactl check`: every error of settings files and fleet configurations, in one run."""
+"""`sequoiactl check`: report all errors of settings files and fleet configurations."""
 
 import json as json_codec
 from pathlib import Path
@@ -14,15 +14,15 @@
 
 
 def check(*file: Path, json: bool = False, strict: bool = False) -> int:
-    """Check settings and fleet configurations and print all that is wrong with them.
+    """Check settings and fleet configurations and print all errors and warnings.
 
     Args:
-        file: Files to check; what each is shows from its sections.
+        file: Files to check; the type of each is detected from its sections.
         json: Print JSON.
-        strict: Fail on warnings as well.
+        strict: Fail on warnings too.
     """
     if not file:
-        raise ConfigurationError("There is nothing to check: name one or more files.")
+        raise ConfigurationError("No file is given: name one or more files to check.")
     problems = [problem for path in file for problem in find_problems(path)]
     warnings = sum(problem.warning for problem in problems)
     errors = len(problems) - warnings
@@ -37,7 +37,7 @@
 
 
 def find_problems(path: Path) -> list[Problem]:
-    """Return the errors and warnings of one file."""
+    """Return the errors and warnings of a file."""
     source = str(path)
     text = read_file(path)
     if text.is_error():
@@ -48,8 +48,8 @@
         sum(word in known for word in words) for known in (KINDS, SECTIONS)
     )
     if fleet_sections == settings_sections == 0:
-        wrong = "it has no section of a settings file or a fleet configuration"
-        instead = "begin with [vm] or with [service NAME]"
+        wrong = "the file has no section of a settings file or a fleet configuration"
+        instead = "add sections such as [vm] or [service NAME]"
         return [Problem(source, "", "", wrong, instead)]
     if settings_sections > fleet_sections:
         settings = Settings.parse(text.ok, source)
--- a/sequoiabridge/commands/client.py
+++ b/sequoiabridge/commands/client.py
@@ -1,4 +1,4 @@
-"""A daemon's admin port as the tool sees it: one HTTP request, one JSON answer, typed errors."""
+"""Client for the admin port of a daemon."""
 
 import getpass
 import http.client
@@ -23,23 +23,23 @@
 AUTHOR_VARIABLE = "SEQUOIA_AUTHOR"
 
 DEFAULT_TIMEOUT = 30.0
-"""Seconds that one answer may take."""
+"""Seconds to wait for an answer."""
 
 EXIT_INCOMPLETE = 1
-"""Exit code with `--strict` when a VM was not heard."""
+"""Exit code with `--strict` if a VM did not answer."""
 
 MAX_ANSWER_BYTES = 100_000_000
-"""Bytes that one answer may have."""
+"""Maximum size of an answer."""
 
 
 class DaemonUnavailable(AdminError):
-    """The daemon could not be reached, or gave no answer."""
+    """The daemon could not be reached or did not answer."""
 
     exit_code = 4
 
 
 class NothingFound(SequoiaError):
-    """The daemon knows nothing of the name that was asked for."""
+    """The daemon has nothing with the requested name."""
 
 
 ERROR_BY_STATUS: dict[int, type[SequoiaError]] = {
@@ -50,16 +50,16 @@
     409: ConflictError,
     503: StoreUnavailable,
 }
-"""What an HTTP status of the admin port stands for; any other is a plain failure."""
+"""Errors by HTTP status of the admin port; any other status raises `SequoiaError`."""
 
 
 class AdminClient:
-    """Speaks to one daemon's admin port.
+    """Sends requests to the admin port of one daemon.
 
     Args:
         address: `IP:port` of the admin port.
-        token: The operator's token from that daemon's settings.
-        timeout: Seconds that connecting, and then answering, may take.
+        token: The operators' token in the daemon's settings.
+        timeout: Seconds to wait for the connection, then for the answer.
     """
 
     def __init__(self, address: str, token: str, timeout: float = DEFAULT_TIMEOUT):
@@ -73,22 +73,22 @@
         self.timeout = timeout
 
     def get(self, *path: str, **query: str) -> Any:
-        """Ask for something; changes nothing."""
+        """Send a request that changes nothing."""
         return self.request("GET", request_target(path, query), b"", changes=False)
 
     def post(self, *path: str, body: str, changes: bool = True, **query: str) -> Any:
-        """Send a command or a document; `changes` is False for a command that only asks."""
+        """Send a command or a document; `changes` is False for a read-only command."""
         return self.request("POST", request_target(path, query), body.encode(), changes)
 
     def request(self, method: str, request_path: str, body: bytes, changes: bool) -> Any:
-        """Make one request and return the JSON of its answer."""
+        """Send a request and return the JSON of the answer."""
         connection = http.client.HTTPConnection(self.ip, self.port, timeout=self.timeout)
         try:
             connection.connect()
         except OSError as error:
             raise DaemonUnavailable(
-                f"No daemon answers at {self.address} ({describe_error(error)}): "
-                "check the address and that the daemon runs."
+                f"Cannot connect to {self.address} ({describe_error(error)}): "
+                "check the address and that the daemon is running."
             ) from None
         headers = {"Authorization": f"Bearer {self.token}", "Content-Length": str(len(body))}
         headers["Sequoia-Author"] = operator_name()
@@ -103,21 +103,23 @@
         return self.parse_answer(response.status, data)
 
     def lost_answer_error(self, changes: bool, error: Exception) -> DaemonUnavailable:
-        """Return the error of a request that was sent and not answered."""
-        remedy = "Ask again, or ask another VM."
+        """Return the error for a request that was sent but not answered."""
+        remedy = "Try again, or try another VM."
         if changes:
-            remedy = "What was asked for may have been done: look before asking again."
+            remedy = "The change may have been done: check the state before you try again."
         return DaemonUnavailable(
-            f"The daemon at {self.address} gave no answer ({describe_error(error)}). {remedy}"
+            f"The daemon at {self.address} did not answer ({describe_error(error)}). {remedy}"
         )
 
     def parse_answer(self, status: int, data: bytes) -> Any:
-        """Return the answer's JSON, or raise the error that it stands for."""
+        """Return the JSON of an answer, or raise the error that it reports."""
         try:
             answer = json.loads(data)
         except ValueError:
             message = f"The answer of {self.address} (status {status}) is not JSON: "
-            raise AdminError(message + "check that --admin names an admin port.") from None
+            raise AdminError(
+                message + "check that --admin is the address of an admin port."
+            ) from None
         if status < 300:
             return answer
         error = answer.get("error", {}) if isinstance(answer, dict) else {}
@@ -128,12 +130,12 @@
 
 
 def make_client(admin: str, token_file: Path | None, timeout: float) -> AdminClient:
-    """Return a client with the token of `token_file`, else of the environment."""
+    """Return a client with the token from `token_file` or from the environment."""
     return AdminClient(admin, read_token(token_file), timeout)
 
 
 def read_token(token_file: Path | None) -> str:
-    """Return the operator's token."""
+    """Return the operator's token from `token_file` or from the environment."""
     if token_file is None:
         token = os.environ.get(TOKEN_VARIABLE, "").strip()
         source = TOKEN_VARIABLE
@@ -141,21 +143,23 @@
         try:
             token = token_file.read_text(encoding="utf-8").strip()
         except (OSError, UnicodeDecodeError):
-            message = f"The token file {token_file} cannot be read: check its name and rights."
+            message = f"The token file {token_file} cannot be read: check its path and permissions."
             raise ConfigurationError(message) from None
         source = str(token_file)
     if not token:
-        message = f"There is no token: give --token-file FILE or set {TOKEN_VARIABLE}."
+        message = f"No token is given: use --token-file FILE or set {TOKEN_VARIABLE}."
         raise ConfigurationError(message)
     if not token.isascii() or not token.isprintable():
-        raise ConfigurationError(f"The token in {source} is not one line of plain ASCII text.")
+        raise ConfigurationError(
+            f"The token in {source} must be one line of printable ASCII: correct it."
+        )
     return token
 
 
 def operator_name() -> str:
-    """Return the name under which the history shows this operator: the variable, or the login.
+    """Return the operator's name for the history: from the environment, else the login name.
 
-    Header values are ASCII here; any other character becomes `?`.
+    The name is sent in a header, so non-ASCII characters are replaced by `?`.
     """
     name = os.environ.get(AUTHOR_VARIABLE, "").strip()
     if not name:
@@ -168,6 +172,6 @@
 
 
 def request_target(path: tuple[str, ...], query: dict[str, str]) -> str:
-    """Return a request target with all parts quoted."""
+    """Return a request target with quoted segments and query."""
     request_path = "/" + "/".join(quote(part, safe="") for part in path)
     return f"{request_path}?{urlencode(query)}" if query else request_path
--- a/sequoiabridge/commands/daemon.py
+++ b/sequoiabridge/commands/daemon.py
@@ -1,4 +1,4 @@
-"""Entry of `sequoiabridged`, the daemon."""
+"""Entry point of `sequoiabridged`, the daemon."""
 
 import sys
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the daemon and return its exit code; `argv` is what follows the program's name."""
+    """Run the daemon and return its exit code; `argv` excludes the program name."""
     return defopt.run(
         run,
         argv=sys.argv[1:] if argv is None else argv,
@@ -24,11 +24,11 @@
 
 
 def run(settings: Path, *, check: bool = False) -> int:
-    """Run one daemon of the load balancer until it is told to stop.
+    """Run a daemon of the load balancer until it is stopped.
 
     Args:
         settings: INI file with this VM's settings.
-        check: Only check the file.
+        check: Check the file and exit.
     """
     loaded = Settings.load(settings)
     if loaded.is_error():
@@ -46,8 +46,8 @@
 
 
 def start(settings: Settings) -> int:
-    """Run the daemon on curio's kernel; returns after a planned stop."""
-    # Imported here, so that checking settings does not load the whole daemon.
+    """Run the daemon on curio's kernel until a planned stop; return its exit code."""
+    # Imported here so that `--check` does not load the whole daemon.
     from ..daemon import Daemon
     from ..selector import LazySelector
 
--- a/sequoiabridge/commands/dump.py
+++ b/sequoiabridge/commands/dump.py
@@ -1,4 +1,4 @@
-"""`sequoiactl dump`: the state of one daemon."""
+"""`sequoiactl dump`: show the state of a daemon."""
 
 from pathlib import Path
 
@@ -17,10 +17,10 @@
     """Show the state of a daemon.
 
     Args:
-        part: Only this part of it, such as `configuration`.
-        admin: IP:port of the daemon's admin port.
-        token_file: File with the operator's token; else SEQUOIA_TOKEN is used.
-        timeout: Seconds that the answer may take.
+        part: Part of the state to show, such as `configuration`; default is all.
+        admin: Admin address (IP:port) of the daemon.
+        token_file: File with the operator's token; default is the value of SEQUOIA_TOKEN.
+        timeout: Seconds to wait for the answer.
         json: Print JSON.
     """
     client = make_client(admin, token_file, timeout)
--- a/sequoiabridge/commands/explain.py
+++ b/sequoiabridge/commands/explain.py
@@ -1,4 +1,4 @@
-"""`sequoiactl explain`: what was decided about one request."""
+"""`sequoiactl explain`: show how a request was handled."""
 
 from pathlib import Path
 
@@ -14,13 +14,13 @@
     timeout: float = DEFAULT_TIMEOUT,
     json: bool = False,
 ) -> int:
-    """Say which upstreams were weighed for a request, on what evidence, and what came of it.
+    """Show the upstreams considered for a request, the data behind the choice, and the outcome.
 
     Args:
-        request_id: The `Sequoia-Request-Id` of its answer.
-        admin: IP:port of the admin port of the daemon that took the request.
-        token_file: File with the operator's token; else SEQUOIA_TOKEN is used.
-        timeout: Seconds that the answer may take.
+        request_id: Value of `Sequoia-Request-Id` in the answer to the request.
+        admin: Admin address (IP:port) of the daemon that received the request.
+        token_file: File with the operator's token; default is the value of SEQUOIA_TOKEN.
+        timeout: Seconds to wait for the answer.
         json: Print JSON.
     """
     client = make_client(admin, token_file, timeout)
--- a/sequoiabridge/commands/main.py
+++ b/sequoiabridge/commands/main.py
@@ -1,7 +1,7 @@
-"""Entry of `sequoiactl`, the operators' tool: one verb a job.
+"""Entry point of `sequoiactl`, the command-line tool for operators.
 
-Exit codes: 0 done; 1 failed, or not all VMs heard with `--strict`; 2 the input is wrong;
-3 another operator's change came first; 4 the store or the daemon does not answer; 5 refused.
+Exit codes: 0 success; 1 failure, or an unanswered VM with `--strict`; 2 invalid input; 3 conflict
+with another operator's change; 4 the store or the daemon does not answer; 5 refused.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one verb and return the exit code; `argv` is what follows the program's name."""
+    """Run a verb and return the exit code; `argv` excludes the program name."""
     argv = sys.argv[1:] if argv is None else argv
     try:
         code = defopt.run(
@@ -41,7 +41,7 @@
     except SequoiaError as error:
         return report(error, "--json" in argv)
     except BrokenPipeError:
-        # The reader of our output has gone; keep Python from failing again as it ends.
+        # The reader closed the pipe: redirect stdout so that the flush at exit does not fail too.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return EXIT_FAILED
     except KeyboardInterrupt:
@@ -49,7 +49,7 @@
 
 
 def report(error: SequoiaError, as_json: bool) -> int:
-    """Print an error as one sentence, and as JSON for programs; return its exit code."""
+    """Print an error in one line, and as JSON if requested; return its exit code."""
     message = " ".join(str(error).split())
     if as_json:
         kind = type(error).__name__
--- a/sequoiabridge/commands/tables.py
+++ b/sequoiabridge/commands/tables.py
@@ -1,4 +1,4 @@
-"""Plain text for people: tables and nested values; JSON for programs."""
+"""Prints answers of a daemon as text (tables and nested values) or as JSON."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -10,14 +10,14 @@
 COLUMN_GAP = "  "
 
 MAX_SEPARATOR_WIDTH = 80
-"""Dashes under the name of the last column at most, however long its values are."""
+"""Maximum number of dashes under the header of the last column."""
 
 EMPTY_VALUE = "-"
-"""Stands for a value that is empty."""
+"""Shown for an empty value."""
 
 
 def format_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> Iterator[str]:
-    """Yield the lines of a table; numbers stand to the right."""
+    """Yield the lines of a table; columns of numbers are right-aligned."""
     texts = [[format_cell(value) for value in row] for row in rows]
     widths = [len(name) for name in columns]
     for row in texts:
@@ -31,7 +31,7 @@
 
 
 def format_separator(widths: list[int]) -> str:
-    """Return the dashes under the names of the columns; only the last may be cut short."""
+    """Return the dashes under the column headers; only the last ones are limited in width."""
     return COLUMN_GAP.join(
         "-" * width for width in (*widths[:-1], min(widths[-1], MAX_SEPARATOR_WIDTH))
     )
@@ -44,7 +44,7 @@
 
 
 def format_tree(value: Any, depth: int = 0) -> Iterator[str]:
-    """Yield the lines of nested maps and lists; a list of alike maps is a table."""
+    """Yield the lines of nested maps and lists; a list of maps with the same keys is a table."""
     space = INDENT * depth
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -68,7 +68,7 @@
 
 
 def is_table(value: Any) -> bool:
-    """Return True for a list of maps that all have the same keys and no maps inside."""
+    """Return True for a list of maps with the same keys and no nested maps."""
     if not isinstance(value, list) or not value or not isinstance(value[0], dict):
         return False
     keys = list(value[0])
@@ -77,12 +77,12 @@
 
 
 def is_number(value: Any) -> bool:
-    """Return True for what is aligned to the right."""
+    """Return True for a number that is not a boolean."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def format_cell(value: Any) -> str:
-    """Return one value as text without line breaks or control characters."""
+    """Return a value as one line of printable text."""
     if value is None or value == [] or value == {}:
         return EMPTY_VALUE
     if isinstance(value, bool):
@@ -94,14 +94,14 @@
 
 
 def print_answer(answer: Any, as_json: bool) -> None:
-    """Print a daemon's answer: its table, its message, and which VMs were heard."""
+    """Print an answer: its table, its message, and which VMs answered."""
     if as_json:
         print(json.dumps(answer, indent=2, ensure_ascii=False))
         return
     if not isinstance(answer, dict) or "columns" not in answer:
         print("\n".join(format_tree(answer)))
         return
-    # Only a sentence, where there is one instead of rows.
+    # Without rows, a message replaces the table.
     if answer["columns"] and (answer.get("rows") or not answer.get("message")):
         print("\n".join(format_table(answer["columns"], answer.get("rows") or [])))
     if answer.get("message"):
@@ -112,12 +112,12 @@
 
 
 def is_complete(answer: Any) -> bool:
-    """Return False if an answer names VMs that were not heard."""
+    """Return False if the answer lists VMs that did not answer."""
     return not (isinstance(answer, dict) and answer.get("not_heard"))
 
 
 def format_source(answer: dict) -> str:
-    """Return the line that says whose word an answer is, but for the VMs that were not heard."""
+    """Return the line with the configuration version and the number of VMs that answered."""
     parts = []
     if answer.get("version") is not None:
         parts.append(f"configuration version {answer['version']}")
@@ -127,5 +127,5 @@
 
 
 def unanswered_vms(answer: dict) -> dict[str, str]:
-    """Return why each VM gave no answer, by the VM's name."""
+    """Return the reasons why VMs did not answer, by VM name."""
     return answer.get("not_heard") or {}
--- a/sequoiabridge/commands/version.py
+++ b/sequoiabridge/commands/version.py
@@ -1,4 +1,4 @@
-"""`sequoiactl version`: which release this is."""
+"""`sequoiactl version`: show the release of the tool."""
 
 import platform
 from json import dumps
@@ -7,7 +7,7 @@
 
 
 def version(*, json: bool = False) -> int:
-    """Show the release of this tool.
+    """Show the release of this tool and of Python.
 
     Args:
         json: Print JSON.
--- a/sequoiabridge/config/__init__.py
+++ b/sequoiabridge/config/__init__.py
@@ -1,1 +1,1 @@
-"""Declared, self-checking options; the settings of a process; the configuration of the fleet."""
+"""Settings of a daemon and configuration of the fleet: declaration, parsing and validation."""
--- a/sequoiabridge/config/change.py
+++ b/sequoiabridge/config/change.py
@@ -1,4 +1,4 @@
-"""A change of the fleet's configuration, as operators make it and as VMs send it to each other."""
+"""Changes and snapshots of the fleet's configuration, and their MessagePack encoding."""
 
 from typing import Any, Self
 
@@ -8,11 +8,11 @@
 from .problem import Problem
 
 FORMAT_VERSION = 1
-"""Format of encoded changes and documents; counted up when older daemons cannot read it."""
+"""Version of the encoding; increased when older daemons cannot decode it."""
 
 
 class SetEntry(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Makes an entry or replaces all its options; what is not among them takes its default."""
+    """Creates an entry or replaces all its options; omitted options take their defaults."""
 
     kind: str
     name: str
@@ -20,7 +20,7 @@
 
 
 class RemoveEntry(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Removes an entry; fine only if nothing refers to it afterwards."""
+    """Removes an entry; valid only if no remaining entry refers to it."""
 
     kind: str
     name: str
@@ -30,7 +30,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Entries to set and to remove, all together or none."""
+    """Entries to set and to remove, applied atomically."""
 
     entries: list[AnyEntry] = []
     format: int = FORMAT_VERSION
@@ -44,12 +44,12 @@
 
     @classmethod
     def decode(cls, data: bytes, source: str = "change") -> Result[Self, list[Problem]]:
-        """Read what `encode` wrote, also by a newer release of the same format."""
+        """Decode what `encode` wrote, also in a newer release with the same format version."""
         return decode_record(CHANGE_DECODER, data, source)
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A whole document as it is stored: what made it, and one `SetEntry` for each entry."""
+    """A whole document as it is stored: version, author, time and one `SetEntry` for each entry."""
 
     version: int
     author: str
@@ -61,15 +61,19 @@
 def decode_record(
     decoder: msgspec.msgpack.Decoder, data: bytes, source: str
 ) -> Result[Any, list[Problem]]:
-    """Decode MessagePack of a known format."""
+    """Decode MessagePack and check its format version."""
     try:
         record = decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
         wrong = f"it cannot be decoded ({error})"
-        return Error([Problem(source, "", "", wrong, "have a daemon of this release write it")])
+        return Error(
+            [Problem(source, "", "", wrong, "write it again with a daemon of this release")]
+        )
     if record.format > FORMAT_VERSION:
-        wrong = f"it has format {record.format}, and this release reads up to {FORMAT_VERSION}"
-        return Error([Problem(source, "", "", wrong, "replace this daemon by a newer release")])
+        wrong = (
+            f"its format version is {record.format}; this release supports up to {FORMAT_VERSION}"
+        )
+        return Error([Problem(source, "", "", wrong, "upgrade this daemon to a newer release")])
     return Ok(record)
 
 
--- a/sequoiabridge/config/document.py
+++ b/sequoiabridge/config/document.py
@@ -1,7 +1,7 @@
-"""The fleet's configuration: services, pools, upstreams and rules, under one version.
+"""The fleet's configuration: services, pools, upstreams and rules under one version.
 
-A document is never changed. `with_change` makes a new one that shares all untouched entries and
-indexes with the old, so that a change costs what it touches and not what there is.
+Documents are immutable. `with_change` returns a new one that shares all untouched entries and
+indexes with the old one.
 """
 
 from collections.abc import Iterator
@@ -26,13 +26,13 @@
     """One version of the fleet's configuration.
 
     Attributes:
-        version: 0 for the empty document; each accepted change has a higher one.
+        version: 0 for the empty document; increases with each accepted change.
         author: Who made the last change.
-        changed_at: When, in seconds since 1970.
+        changed_at: Time of that change in seconds since 1970.
         services, pools, upstreams, rules: Entries by name.
-        unknown: Options of entries of a kind that this release does not know, by (kind, name).
-        by_address: Upstream names by address.
-        members: Names of what refers to a service or a pool, by (kind of it, its name).
+        unknown: Options of entries whose kind this release does not support, by (kind, name).
+        by_address: Names of upstreams by address.
+        members: Ids of the entries that refer to a service or pool, by (kind, name) of the latter.
     """
 
     __slots__ = (
@@ -78,7 +78,7 @@
     def route(
         self, host: bytes, method: bytes, target: bytes
     ) -> tuple[Service, Rule] | tuple[None, None]:
-        """Return the service and the rule of a request, or two None; its path is read once."""
+        """Return the service and the rule of a request, or two None if no service matches."""
         if self.host_table is None:
             self.host_table = HostTable(self.services.values())
         path = normalize_path(target)
@@ -105,13 +105,13 @@
         return table
 
     def rules_for_service(self, service: str) -> list[Rule]:
-        """Return the rules of a service in their order."""
+        """Return the rules of a service in the order in which they are tried."""
         names = self.members.get(("service", service), ())
         rules = [self.rules[name] for kind, name in names if kind == "rule"]
         return sorted(rules, key=lambda rule: (rule.order, rule.name))
 
     def upstreams_of(self, service: Service | str) -> tuple[Upstream, ...]:
-        """Return the upstreams of all pools of a service, by name."""
+        """Return the upstreams of all pools of a service, sorted by name."""
         name = service if isinstance(service, str) else service.name
         found = self.upstream_lists.get(name)
         if found is None:
@@ -121,11 +121,11 @@
         return found
 
     def slots_of(self, upstream: Upstream) -> int:
-        """Return the requests that an upstream runs at a time."""
+        """Return the number of requests that an upstream runs at the same time."""
         return upstream.slots or self.pools[upstream.pool].slots
 
     def connections_of(self, upstream: Upstream) -> int:
-        """Return the connections that an upstream takes from all VMs together."""
+        """Return the number of connections that an upstream accepts from all VMs together."""
         return upstream.connections or self.pools[upstream.pool].connections
 
     def service_of(self, upstream: Upstream) -> str:
@@ -142,30 +142,30 @@
         committed: bool = False,
         source: str = "",
     ) -> Result[Self, list[Problem]]:
-        """Return the document after `change`, validated whole, or every problem of it.
+        """Return the validated document after `change`, or every problem found.
 
         Args:
-            committed: The fleet has accepted it already, perhaps by a newer release: keep what
-                this release does not understand instead of refusing it.
-            source: Where the change came from, for the problems' texts.
+            committed: The fleet has accepted the change already, perhaps in a newer release: keep
+                entries and options that this release does not support instead of rejecting them.
+            source: Origin of the change, shown in problems.
         """
         new = type(self)(version, author, at)
         source = source or (f"change by {author}" if author else "change")
         return Draft(self, new, source, committed).apply(change)
 
     def warnings(self, source: str = "configuration") -> list[Problem]:
-        """Return what may stay but deserves a look; takes a while in a large document."""
+        """Return warnings about valid entries; slow for a large document."""
         found = list(find_unsupported(self, source))
         for service in self.services:
             found += find_unreachable_rules(self.rules_for_service(service), source)
             if not self.upstreams_of(service):
-                wrong, instead = "it has no upstream", "add a pool with upstreams"
+                wrong, instead = "the service has no upstream", "add a pool with upstreams"
                 header = f"service {service}"
                 found.append(Problem(source, header, "", wrong, instead, warning=True))
         return found
 
     def to_set_entries(self) -> Iterator[SetEntry]:
-        """Yield an entry for all that the document holds, each after what it refers to."""
+        """Yield a `SetEntry` for each entry, after the entry that it refers to."""
         for kind in KINDS:
             entries = self.entries(kind)
             for name in sorted(entries):
@@ -174,12 +174,12 @@
             yield SetEntry(kind, name, options)
 
     def merge_options(self, kind: str, name: str, options: dict[str, str]) -> SetEntry:
-        """Return an entry with only the given options changed against what is there."""
+        """Return a `SetEntry` that changes only the given options of an existing entry."""
         present = self.entries(kind).get(name) if kind in KINDS else None
         return SetEntry(kind, name, {**(present.options() if present else {}), **options})
 
     def to_ini(self) -> str:
-        """Return INI text that `load_document` reads back."""
+        """Return the document as INI text, readable by `load_document`."""
         return write_sections({f"{e.kind} {e.name}": e.options for e in self.to_set_entries()})
 
     def encode(self) -> bytes:
@@ -190,7 +190,7 @@
 
     @classmethod
     def decode(cls, data: bytes, source: str = "document") -> Result[Self, list[Problem]]:
-        """Read what `encode` wrote, also by a newer release of the same format."""
+        """Decode what `encode` wrote, also in a newer release with the same format version."""
         record = decode_record(SNAPSHOT_DECODER, data, source)
         if record.is_error():
             return record
@@ -203,32 +203,32 @@
         )
 
     def dump(self) -> dict:
-        """Return what the document is, in short, for the state dump."""
+        """Return version, author, time and number of entries for the state dump."""
         counts = {kind + "s": len(self.entries(kind)) for kind in KINDS}
         return {"version": self.version, "author": self.author, "at": self.changed_at, **counts}
 
 
 def find_unreachable_rules(rules: list[Rule], source: str) -> list[Problem]:
-    """Return a warning for each rule that can never match because an earlier one covers it."""
+    """Return a warning for each rule that never matches because an earlier rule covers it."""
     found = []
     for place, later in enumerate(rules):
         earlier = next((rule for rule in rules[:place] if covers(rule, later)), None)
         if earlier is None:
             continue
-        wrong = f"it never matches, because [rule {earlier.name}] before it matches the same"
-        instead = f"give it an order below {earlier.order}, or remove it"
+        wrong = f"it never matches, because the earlier [rule {earlier.name}] covers it"
+        instead = f"set an order below {earlier.order}, or remove the rule"
         found.append(Problem(source, f"rule {later.name}", "path", wrong, instead, warning=True))
     return found
 
 
 def find_unsupported(document: Document, source: str) -> Iterator[Problem]:
-    """Yield a warning for each option and entry that this release keeps but cannot use."""
-    instead = "replace this daemon by a release that knows it"
+    """Yield a warning for each option and entry that this release keeps but does not support."""
+    instead = "upgrade this daemon to a release that supports it"
     for kind in KINDS:
         for name, entry in document.entries(kind).items():
             for key in entry.extra:
-                wrong = "this release does not understand the option and keeps it unused"
+                wrong = "this release does not support the option and keeps it without effect"
                 yield Problem(source, f"{kind} {name}", key, wrong, instead, warning=True)
     for kind, name in document.unknown:
-        wrong = "this release does not understand the section and keeps it unused"
+        wrong = "this release does not support the section and keeps it without effect"
         yield Problem(source, f"{kind} {name}", "", wrong, instead, warning=True)
--- a/sequoiabridge/config/draft.py
+++ b/sequoiabridge/config/draft.py
@@ -1,4 +1,4 @@
-"""Applies one change to a document: reads the entries, checks references, shares the rest."""
+"""Applies a change to a document: parses its entries and checks the references between entries."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 NAME_FIELD = Name("")
 
 MAX_LISTED_DEPENDANTS = 3
-"""Names of dependants that a message lists."""
+"""Maximum number of dependent entries that an error message lists."""
 
 
 class Draft:
-    """A document in the making; only what a change touches is copied and checked.
+    """A new document under construction; only what the change touches is copied and checked.
 
     Attributes:
-        old, new: The documents before and after.
-        committed: Keep what this release does not understand.
-        before: What was replaced or removed.
-        added: What is new, by kind and name.
-        removed: What is gone.
-        failed: What could not be read, so that what refers to it is not reported as well.
-        copied: Owners whose set of members is the draft's own already.
+        old, new: The documents before and after the change.
+        committed: Whether unsupported entries and options are kept instead of rejected.
+        replaced: Sections of the old document that were replaced or removed.
+        added: New sections.
+        removed: Entries that the change removes.
+        unreadable: Entries with errors; references to them are not reported.
+        copied_members: Owners whose set of members has been copied already.
     """
 
     __slots__ = (
@@ -61,7 +61,7 @@
         self.copied_members: set[EntryId] = set()
 
     def apply(self, change: Change) -> Result[Document, list[Problem]]:
-        """Return the new document or every problem of the change."""
+        """Return the new document, or every problem of the change."""
         if self.new.version <= self.old.version:
             wrong = f"version {self.new.version} is not newer than {self.old.version}"
             return Error([Problem(self.source, "", "", wrong, "use a higher version")])
@@ -78,7 +78,7 @@
         return Ok(self.new)
 
     def copy_touched_entries(self, touched: set[str]) -> None:
-        """Take the old document's maps, copied where the change touches them."""
+        """Share the old document's maps, or copy them if the change touches them."""
         old, new = self.old, self.new
         for kind in KINDS:
             entries = old.entries(kind)
@@ -88,11 +88,11 @@
         new.unknown = dict(old.unknown)
 
     def add_problem(self, entry: EntryId, key: str, wrong: str, instead: str) -> None:
-        """Note what is wrong."""
+        """Record a problem of an entry."""
         self.problems.append(Problem(self.source, " ".join(entry), key, wrong, instead))
 
     def set_entry(self, entry: SetEntry) -> None:
-        """Read one entry and put it in."""
+        """Parse an entry and add it to the new document."""
         kind, name = entry_id = entry.kind, entry.name
         if kind not in KINDS:
             self.keep_unknown_entry(entry)
@@ -114,7 +114,7 @@
             self.mutable_members(owner_of(read.ok)).add(entry_id)
 
     def keep_unknown_entry(self, entry: SetEntry) -> None:
-        """Keep an entry of a kind that only a newer release knows, if it is committed."""
+        """Keep a committed entry of an unsupported kind; reject any other."""
         entry_id = entry.kind, entry.name
         if self.committed:
             self.new.unknown[entry_id] = entry.options
@@ -124,19 +124,19 @@
         self.add_problem(entry_id, "", "there is no such kind of section", instead)
 
     def remove_entry(self, entry: RemoveEntry) -> None:
-        """Take one entry out."""
+        """Remove an entry, or record that it does not exist."""
         entry_id = entry.kind, entry.name
         if self.new.unknown.pop(entry_id, None) is not None:
             return
         if entry.kind not in KINDS or not self.delete_entry(entry_id):
             self.add_problem(
-                entry_id, "", "there is nothing of this name to remove", "leave it out"
+                entry_id, "", "there is no entry of this name to remove", "omit it from the change"
             )
             return
         self.removed.add(entry_id)
 
     def delete_entry(self, entry_id: EntryId) -> bool:
-        """Remove the present entry, and its place in the indexes; False if there is none."""
+        """Remove an entry from the maps and indexes; return False if it does not exist."""
         present = self.new.entries(entry_id[0]).pop(entry_id[1], None)
         if present is None:
             return False
@@ -149,14 +149,14 @@
         return True
 
     def mutable_members(self, owner: EntryId) -> set[EntryId]:
-        """Return what refers to `owner`, as a set that may be changed."""
+        """Return the ids of the entries that refer to `owner`, as a set that may be modified."""
         if owner not in self.copied_members:
             self.copied_members.add(owner)
             self.new.members[owner] = set(self.new.members.get(owner, ()))
         return self.new.members[owner]
 
     def check_references(self) -> None:
-        """Check what the change touches against the whole document."""
+        """Check the touched entries against the whole document."""
         for entry_id, section in self.added.items():
             if entry_id[0] in OWNERS:
                 self.check_owner_exists(entry_id, owner_of(section))
@@ -168,7 +168,7 @@
             self.check_prefixes_unique()
 
     def check_owner_exists(self, entry_id: EntryId, owner: EntryId) -> None:
-        """The entry that `at` refers to must be there."""
+        """Check that the entry that `entry_id` refers to exists."""
         kind, name = owner
         entries = self.new.entries(kind)
         if name in entries or owner in self.removed or owner in self.unreadable:
@@ -178,16 +178,19 @@
         self.add_problem(entry_id, kind, f"there is no {kind} {name}", instead)
 
     def check_address_unique(self, entry_id: EntryId, address: str) -> None:
-        """Two upstreams must not have one address: they would share its connections twice."""
+        """Check that no other upstream has this address; its connections would count twice."""
         other = self.new.by_address.setdefault(address, entry_id[1])
         if other != entry_id[1]:
-            wrong = f"{address} is the address of upstream {other} as well"
+            wrong = f"{address} is also the address of upstream {other}"
             self.add_problem(
-                entry_id, "address", wrong, "give each its own, or remove one of the two"
+                entry_id,
+                "address",
+                wrong,
+                "give each upstream its own address, or remove one of them",
             )
 
     def check_no_dependants(self, entry_id: EntryId) -> None:
-        """What is gone must not be referred to."""
+        """Check that no entry refers to a removed one."""
         left = sorted(" ".join(member) for member in self.new.members.get(entry_id, ()))
         if not left:
             self.new.members.pop(entry_id, None)
@@ -198,10 +201,12 @@
             if len(left) > MAX_LISTED_DEPENDANTS
             else ""
         )
-        self.add_problem(entry_id, "", f"it is still used by {shown}{more}", "remove these as well")
+        self.add_problem(
+            entry_id, "", f"it is still used by {shown}{more}", "remove these entries too"
+        )
 
     def check_prefixes_unique(self) -> None:
-        """Two services must not have one host and path prefix."""
+        """Check that no two services have the same host and path prefix."""
         seen: dict[tuple[str, str], str] = {}
         for name, service in self.new.services.items():
             for host in service.hosts or ("*",):
@@ -209,10 +214,10 @@
                 if other == name:
                     continue
                 wrong = f"service {other} has the same host and path prefix"
-                self.add_problem(("service", name), "path_prefix", wrong, "make one of them differ")
+                self.add_problem(("service", name), "path_prefix", wrong, "change one of them")
 
     def reuse_lookup_tables(self) -> None:
-        """Keep the indexes that the change does not touch."""
+        """Reuse the lookup tables that the change does not affect."""
         touched = [*self.replaced, *self.added.values()]
         kinds = {section.heading for section in touched}
         if "service" not in kinds:
@@ -220,7 +225,7 @@
         rules = {s.service for s in touched if s.heading == "rule"}
         self.new.rule_tables = omit_keys(self.old.rule_tables, rules)
         services = {s.service for s in touched if s.heading == "pool"}
-        # A pool that is gone or moved is touched itself, so the new pools are enough here.
+        # Removed and moved pools are among `touched`, so looking up the new pools is enough.
         pools = self.new.pools
         names = {s.pool for s in touched if s.heading == "upstream"}
         services |= {pools[name].service for name in names if name in pools}
@@ -228,11 +233,11 @@
 
 
 def owner_of(section: Section) -> EntryId:
-    """Return kind and name of what an entry refers to."""
+    """Return the id of the entry that a section refers to."""
     kind = OWNERS[section.heading]
     return kind, getattr(section, kind)
 
 
 def omit_keys(tables: dict, names: set[str]) -> dict:
-    """Return a copy of `tables` that lacks `names`."""
+    """Return a copy of `tables` without the keys in `names`."""
     return {name: table for name, table in tables.items() if name not in names}
--- a/sequoiabridge/config/fields.py
+++ b/sequoiabridge/config/fields.py
@@ -1,7 +1,7 @@
-"""Option fields: each knows how to read its text, how to write it back, and what to tell people.
+"""Types of options: parsing, formatting and error messages.
 
-Fields are declared on a `Section`, which reads them; see `config.section`. The kinds with units
-and addresses are in `config.units`.
+Fields are declared on a `Section`; see `config.section`. Types with units, and those of addresses
+and patterns, are in `config.units`.
 """
 
 import re
@@ -9,10 +9,10 @@
 from typing import Any
 
 REQUIRED = object()
-"""Default of a field that must be given."""
+"""Default of a required field."""
 
 MAX_LIST_ITEMS = 1000
-"""Entries that a list may have."""
+"""Maximum number of items in a list."""
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 
@@ -21,7 +21,7 @@
 
 
 class InvalidValue(ValueError):
-    """A text that a field cannot read; raised by `Field.parse` only."""
+    """An option's text is not valid; raised by `Field.parse` only."""
 
     def __init__(self, wrong: str, instead: str):
         super().__init__(f"{wrong}; {instead}")
@@ -33,13 +33,13 @@
     """One declared option.
 
     Hooks:
-        parse: Read the text of a file; raise `InvalidValue` with what to write instead.
-        format: Write a value so that `parse` gives it back exactly.
-        expected: What may be written, for messages and for the reference.
+        parse: Convert text to a value; raise `InvalidValue` if it is not valid.
+        format: Convert a value to text that `parse` converts back exactly.
+        expected: Description of the allowed values for messages and the settings reference.
 
     Args:
-        help: One sentence for the settings reference.
-        default: Value when the option is not given; `REQUIRED` if it must be.
+        help: Description for the settings reference, in one sentence.
+        default: Value if the option is omitted; `REQUIRED` if it must not be.
     """
 
     secret = False
@@ -50,24 +50,24 @@
 
     @property
     def required(self) -> bool:
-        """True if there is no default."""
+        """Whether the option must be given."""
         return self.default is REQUIRED
 
     @property
     @abstractmethod
     def expected(self) -> str:
-        """What may be written, as a noun phrase."""
+        """Description of the allowed values, as a noun phrase."""
 
     @abstractmethod
     def parse(self, text: str) -> Any:
-        """Return the value that `text` stands for."""
+        """Convert `text` to a value."""
 
     def format(self, value: Any) -> str:
-        """Return the text that stands for `value`."""
+        """Convert `value` to text."""
         return str(value)
 
     def invalid(self, text: str) -> InvalidValue:
-        """Return the error for a text that is not what is expected."""
+        """Return the error for text that is not valid."""
         return InvalidValue(f"{shorten(text)} is not valid", f"write {self.expected}")
 
 
@@ -83,7 +83,7 @@
 
 
 class Secret(Field):
-    """A text that dumps, messages and logs never show."""
+    """A text that is hidden in dumps, messages and logs."""
 
     secret = True
 
@@ -103,7 +103,7 @@
 
 
 class Choice(Field):
-    """One of some fixed words."""
+    """One of a fixed set of words."""
 
     def __init__(self, help: str, words: tuple[str, ...], default: Any = REQUIRED):
         super().__init__(help, default)
@@ -137,7 +137,7 @@
 
 
 class Bounded(Field):
-    """A quantity between two bounds, both included; a class gives the widest, a field its own."""
+    """A number between two bounds, both included; the class has the default bounds."""
 
     minimum: float = 0
     maximum: float = 10**9
@@ -156,7 +156,7 @@
 
     def check_bounds(self, value: float, text: str) -> float:
         """Return `value`, or raise `InvalidValue` if it is out of bounds."""
-        # Written so that "nan" fails as well.
+        # Comparisons with NaN are False, so NaN is rejected too.
         if not self.minimum <= value <= self.maximum:
             raise self.invalid(text)
         return value
@@ -194,7 +194,7 @@
 
 
 class ListOf(Field):
-    """Values of one kind, separated by commas; a tuple at run time."""
+    """Values of one type, separated by commas; a tuple at run time."""
 
     def __init__(self, help: str, item: Field, default: Any = REQUIRED):
         super().__init__(help, default)
@@ -202,15 +202,17 @@
 
     @property
     def expected(self) -> str:
-        return f"a list, separated by commas, each {self.item.expected}"
+        return f"a comma-separated list, each item {self.item.expected}"
 
     def parse(self, text: str) -> tuple:
         parts = [part.strip() for part in text.replace("\n", ",").split(",")]
         values = tuple(self.item.parse(part) for part in parts if part)
         if len(values) > MAX_LIST_ITEMS:
-            raise InvalidValue(f"{len(values)} entries", f"write at most {MAX_LIST_ITEMS}")
+            raise InvalidValue(
+                f"the list has {len(values)} items", f"write at most {MAX_LIST_ITEMS}"
+            )
         if len(set(values)) < len(values):
-            raise InvalidValue("an entry is there twice", "write each entry once")
+            raise InvalidValue("an item of the list appears twice", "write each item once")
         return values
 
     def format(self, value: tuple) -> str:
@@ -218,5 +220,5 @@
 
 
 def shorten(text: str, maximum: int = 60) -> str:
-    """Return `text` in quotes, cut for a message."""
+    """Return `text` in quotes, truncated to `maximum` characters."""
     return repr(text if len(text) <= maximum else text[:maximum] + "…")
--- a/sequoiabridge/config/gateway_settings.py
+++ b/sequoiabridge/config/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon on the users' platform: one INI file, read at start and when it changes."""
+"""Settings of the gateway daemon: one INI file, read at start and again when it changes."""
 
 from __future__ import annotations
 
@@ -13,54 +13,65 @@
 
 
 class VmSection(Section):
-    """Who this VM is."""
+    """Identity and network link of this VM."""
 
     heading = "vm"
 
-    name = Name("Name of this VM; no other VM of the fleet may have it.")
+    name = Name("Name of this VM; unique in the fleet.")
     data_centre = Name("Data centre in which this VM runs.")
     link = Number(
-        "Bandwidth of this VM's link in Mbit/s; the VMs with the widest follow the store and give "
-        "what they read to the others.",
+        "Bandwidth of this VM's network link in Mbit/s; the VMs with the most bandwidth follow the "
+        "store and forward its data to the others.",
         1000.0,
         maximum=1_000_000.0,
     )
-    first_start = Boolean("The whole fleet starts for the first time; nobody calls yet.", False)
+    first_start = Boolean(
+        "Whether the whole fleet starts for the first time and has no callers yet.", False
+    )
 
 
 class ListenSection(Section):
-    """Where this daemon listens."""
+    """Addresses and ports on which this daemon listens."""
 
     heading = "listen"
 
-    callers = Address("Where callers connect.", listen=True)
-    ready = Address("Where the platform's balancer asks whether to send callers here.", listen=True)
-    fleet_ip = Name("The VM's own IP number, for ports that other daemons and operators use.")
+    callers = Address("Address for callers.", listen=True)
+    ready = Address("Address for the readiness checks of the platform's balancer.", listen=True)
+    fleet_ip = Name("IP address of this VM for the ports that other daemons and operators use.")
     fleet_ports = ListOf(
-        "First and last port that is free for that.", Integer("A port.", minimum=1, maximum=65535)
+        "First and last port of the range for other daemons and operators.",
+        Integer("A port.", minimum=1, maximum=65535),
     )
 
 
 class StoreSection(Section):
-    """The platform's store."""
+    """The store of the platform."""
 
     heading = "store"
 
-    address = Address("Where it listens.")
+    address = Address("Address of the store.")
 
 
 class BoundsSection(Section):
-    """What the operators of the platform allow and demand."""
+    """Limits that the operators of the platform set."""
 
     heading = "bounds"
 
-    drain = Duration("Time after which a leaving upstream must get no more calls.", 2.0)
-    grace = Duration("Time from the request to stop until the process is killed.", 6.0)
-    retry_ratio = Number("Repeated sends that the fleet may make for each call.", 0.2, maximum=10.0)
-    retry_window = Duration("Time over which they are counted.", 10.0, minimum=0.1)
-    retry_slack = Number("Repeated sends in that time beside those.", 50.0, maximum=100_000.0)
+    drain = Duration("Time after which a leaving upstream must receive no more calls.", 2.0)
+    grace = Duration("Time between the request to stop and the kill of the process.", 6.0)
+    retry_ratio = Number("Retries and hedges that the fleet may send per call.", 0.2, maximum=10.0)
+    retry_window = Duration(
+        "Time over which calls, retries and hedges are counted for `retry_ratio`.",
+        10.0,
+        minimum=0.1,
+    )
+    retry_slack = Number(
+        "Retries and hedges that the fleet may send per `retry_window` in addition.",
+        50.0,
+        maximum=100_000.0,
+    )
     probes_per_second = Number(
-        "Health checks that all VMs together may send to one upstream in a second.",
+        "Maximum number of health checks per second that all VMs together send to one upstream.",
         60.0,
         maximum=100_000.0,
     )
@@ -72,7 +83,7 @@
     heading = "choice"
 
     far_megabyte = Number(
-        "Cost of a megabyte between data centres, in calls that are answered in time.",
+        "Cost of sending a megabyte between data centres, in calls answered in time.",
         7.0,
         maximum=10_000.0,
     )
@@ -82,11 +93,11 @@
     section.heading: section
     for section in (VmSection, ListenSection, StoreSection, BoundsSection, ChoiceSection)
 }
-"""All sections of the file by header."""
+"""Sections of the file by header."""
 
 
 class GatewaySettings:
-    """All settings of one daemon on the platform; `source` is the file."""
+    """All settings of one gateway daemon; `source` is the file name."""
 
     __slots__ = ("source", "vm", "listen", "store", "bounds", "choice")
 
@@ -111,16 +122,16 @@
         """Read a settings file.
 
         Raises:
-            Invalid: With every problem in it.
+            Invalid: With all problems of the file.
         """
         return cls.parse(read_text_file(path), str(path))
 
     @classmethod
     def parse(cls, text: str, source: str = "settings") -> Self:
-        """Read the text of a settings file; as `load`."""
+        """Parse the text of a settings file; raises as `load` does."""
         sections, problems = read_sections(text, source)
         for header in sections.keys() - SECTIONS.keys():
-            wrong, instead = "there is no such section", "use " + ", ".join(SECTIONS)
+            wrong, instead = "there is no such section", "use one of " + ", ".join(SECTIONS)
             problems.append(Problem(source, header, "", wrong, instead))
         read = {}
         for header, kind in SECTIONS.items():
--- a/sequoiabridge/config/ini.py
+++ b/sequoiabridge/config/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI text into sections, with every error of form reported at once."""
+"""Reads and writes INI text; reports all syntax errors at once."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     from expression import Result
 
 MAX_SYNTAX_ERRORS = 50
-"""Errors of form after which the rest of a file is not looked at."""
+"""Number of syntax errors after which the rest of a file is skipped."""
 
 MAX_FILE_BYTES = 50_000_000
-"""Bytes that a file may have."""
+"""Maximum size of a file."""
 
 Sections = dict[str, dict[str, str]]
-"""Header to options to text, in the order of the file."""
+"""Options with their texts by section header, in the order of the file."""
 
 
 def read_file(path: str | Path) -> Result[str, list[Problem]]:
-    """Return the text of a file."""
-    # Not at the top of the module: the import takes 7 MB of a process that never needs it.
+    """Return the text of a file, or the problem why it cannot be read."""
+    # Imported here to save memory in processes that do not call this function.
     from expression import Error, Ok
 
     try:
@@ -36,17 +36,17 @@
     """Return the text of a file.
 
     Raises:
-        Invalid: It cannot be read.
+        Invalid: The file cannot be read.
     """
     source = str(path)
     try:
         if Path(path).stat().st_size > MAX_FILE_BYTES:
             wrong = f"the file has more than {MAX_FILE_BYTES} bytes"
-            raise Invalid([Problem(source, "", "", wrong, "give a smaller file")])
+            raise Invalid([Problem(source, "", "", wrong, "split it or remove what is not needed")])
         return Path(path).read_text(encoding="utf-8-sig")
     except OSError as error:
         wrong = f"the file cannot be read ({error.strerror})"
-        problem = Problem(source, "", "", wrong, "check its name and its rights")
+        problem = Problem(source, "", "", wrong, "check its path and permissions")
         raise Invalid([problem]) from error
     except UnicodeDecodeError as error:
         wrong = f"byte {error.start} is not UTF-8"
@@ -54,10 +54,9 @@
 
 
 def read_sections(text: str, source: str) -> tuple[Sections, list[Problem]]:
-    """Return the sections of INI text and the errors of its form.
+    """Return the sections of INI text and its syntax errors.
 
-    A line that is wrong is noted, taken out, and the text read again, so that one run shows
-    every error.
+    Lines with errors are removed and the rest is parsed again, so that all errors are reported.
     """
     problems: list[Problem] = []
     lines = text.splitlines()
@@ -74,7 +73,7 @@
 
 
 def new_parser() -> configparser.RawConfigParser:
-    """Return a parser for plain INI: no defaults, no interpolation, `=` between key and value."""
+    """Return a parser for INI with `=` as delimiter, without defaults and interpolation."""
     parser = configparser.RawConfigParser(
         delimiters=("=",),
         comment_prefixes=("#", ";"),
@@ -87,19 +86,19 @@
 
 
 def remove_invalid_lines(error: configparser.Error, lines: list[str], source: str) -> list[Problem]:
-    """Take the lines that `error` names out of `lines` and return the problems."""
+    """Blank the lines that `error` names and return the problems."""
     if isinstance(error, configparser.DuplicateOptionError):
         lines[error.lineno - 1] = ""
-        wrong = f"the option is there twice (line {error.lineno})"
+        wrong = f"the option appears twice (line {error.lineno})"
         return [Problem(source, error.section, error.option, wrong, "remove one of them")]
     if isinstance(error, configparser.DuplicateSectionError):
-        wrong = f"the section is there twice (line {error.lineno})"
+        wrong = f"the section appears twice (line {error.lineno})"
         blank_section(lines, error.lineno - 1)
-        return [Problem(source, error.section, "", wrong, "make one section of the two")]
+        return [Problem(source, error.section, "", wrong, "merge the two sections")]
     if isinstance(error, configparser.MissingSectionHeaderError):
         lines[error.lineno - 1] = ""
-        wrong = f"line {error.lineno} stands before the first section"
-        return [Problem(source, "", "", wrong, "write a header such as [vm] above it")]
+        wrong = f"line {error.lineno} is before the first section header"
+        return [Problem(source, "", "", wrong, "add a header such as [vm] above it")]
     if isinstance(error, configparser.ParsingError):
         for number, _ in error.errors:
             lines[number - 1] = ""
@@ -107,11 +106,15 @@
         instead = "write it as option = value"
         return [Problem(source, "", "", wrong.format(n), instead) for n, _ in error.errors]
     lines.clear()
-    return [Problem(source, "", "", f"not an INI file ({error.message})", "correct its form")]
+    return [
+        Problem(
+            source, "", "", f"the file is not valid INI ({error.message})", "correct its syntax"
+        )
+    ]
 
 
 def blank_section(lines: list[str], start: int) -> None:
-    """Empty the section whose header is at `start`."""
+    """Blank the lines of the section whose header is at index `start`."""
     lines[start] = ""
     for number in range(start + 1, len(lines)):
         if lines[number].startswith("["):
@@ -120,12 +123,12 @@
 
 
 def write_sections(sections: Sections) -> str:
-    """Return INI text that `read_sections` reads back."""
+    """Return the sections as INI text, readable by `read_sections`."""
     blocks = []
     for header, options in sections.items():
         lines = [f"[{header}]"]
         for key, text in options.items():
-            # Lines after the first are indented, or they would be options of their own.
+            # Continuation lines must be indented.
             lines.append(f"{key} = {text}".rstrip().replace("\n", "\n  "))
         blocks.append("\n".join(lines) + "\n")
     return "\n".join(blocks)
--- a/sequoiabridge/config/kinds.py
+++ b/sequoiabridge/config/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of entries of a document, and what refers to what."""
+"""The kinds of entries in a document and the references between them."""
 
 from .pool import Pool
 from .rule import Rule
@@ -7,10 +7,10 @@
 from .upstream import Upstream
 
 KINDS: dict[str, type[Section]] = {kind.heading: kind for kind in (Service, Pool, Upstream, Rule)}
-"""Entries by kind, each after those that it refers to."""
+"""Section classes by kind; each kind comes after the one that it refers to."""
 
 OWNERS = {"pool": "service", "rule": "service", "upstream": "pool"}
-"""The kind that an entry refers to, by the option of the same name."""
+"""Kind of the entry to which each kind refers, with the option of the same name."""
 
 EntryId = tuple[str, str]
-"""Kind and name."""
+"""Kind and name of an entry."""
--- a/sequoiabridge/config/loading.py
+++ b/sequoiabridge/config/loading.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration as an INI file, and the smallest change between two documents."""
+"""Loads the fleet's configuration from INI files and computes the difference of two documents."""
 
 from pathlib import Path
 
@@ -16,13 +16,13 @@
 def load_document(path: str | Path) -> Result[Document, list[Problem]]:
     """Read a file of sections `[service NAME]`, `[pool NAME]`, `[upstream NAME]`, `[rule NAME]`.
 
-    The document has version 1 and the file's name as author; apply it with `diff`.
+    The document has version 1 and the file's name as author. Use `diff` to apply it to another.
     """
     return read_file(path).bind(lambda text: parse_document(text, str(path)))
 
 
 def parse_document(text: str, source: str = "configuration") -> Result[Document, list[Problem]]:
-    """Read the text of such a file; on failure return every problem in it."""
+    """Parse the text of such a file; return all problems on failure."""
     sections, problems = read_sections(text, source)
     entries: dict[EntryId, SetEntry] = {}
     for header, options in sections.items():
@@ -31,8 +31,8 @@
             wrong = "the section has no name" if kind in KINDS else "there is no such section"
             problems.append(Problem(source, header, "", wrong, f"use {KIND_LIST}"))
         elif (kind, name) in entries:
-            wrong = "the section is there twice"
-            problems.append(Problem(source, header, "", wrong, "make one section of the two"))
+            wrong = "the section appears twice"
+            problems.append(Problem(source, header, "", wrong, "merge the two sections"))
         else:
             entries[kind, name] = SetEntry(kind, name, options)
     change = Change(list(entries.values()))
@@ -43,7 +43,7 @@
 
 
 def diff(old: Document, new: Document) -> Change:
-    """Return the smallest change that makes the content of `old` that of `new`."""
+    """Return the smallest change that turns the content of `old` into that of `new`."""
     entries: list[AnyEntry] = []
     for kind in KINDS:
         before, after = old.entries(kind), new.entries(kind)
--- a/sequoiabridge/config/matching.py
+++ b/sequoiabridge/config/matching.py
@@ -1,4 +1,4 @@
-"""Finding the service and the rule of a request; all patterns are compiled once."""
+"""Finds the service and the rule of a request with precompiled patterns."""
 
 import posixpath
 import re
@@ -9,19 +9,19 @@
 from .service import Service
 
 MAX_CACHED_HOSTS = 4096
-"""Hosts whose table is remembered; then the memory of them starts anew."""
+"""Number of hosts whose patterns are cached; the cache is cleared when it is full."""
 
 MAX_CACHED_HOST_BYTES = 255
-"""Bytes of a host name that is worth remembering."""
+"""Maximum length of a host name in the cache."""
 
 PrefixTable = dict[bytes, Service]
 
 
 def normalize_path(target: bytes | str) -> bytes:
-    """Return the path of a request target as rules see it.
+    """Return the normalized path of a request target, to which rules apply.
 
-    Without the query and a slash at the end, percent-encoding undone, empty and dot segments
-    resolved: two spellings of one path must not meet two rules.
+    The query and a trailing slash are removed, percent-encoding is decoded, empty and dot segments
+    are resolved, so that all spellings of a path match the same rule.
     """
     path = target.encode("utf-8", "surrogateescape") if isinstance(target, str) else target
     if b"?" in path:
@@ -37,15 +37,15 @@
 
 
 def is_normalized(path: bytes) -> bool:
-    """Return True if a path without a query can be matched as it is.
+    """Return True if a path without a query needs no normalization.
 
-    Plain searches are quicker than one regular expression.
+    Substring searches are faster here than a regular expression.
     """
     return not (b"%" in path or b"//" in path or b"/." in path or path.endswith(b"/"))
 
 
 def normalize_host(host: bytes | str) -> str:
-    """Return a `Host` header's name in lower case, without its port and last dot."""
+    """Return the name in a `Host` header in lower case, without port and trailing dot."""
     text = host.decode("latin-1") if isinstance(host, bytes) else host
     name, colon, port = text.rpartition(":")
     if colon and port.isdigit():
@@ -54,9 +54,9 @@
 
 
 class HostTable:
-    """Services by host and path prefix: exact host, then `*.` patterns, then any host.
+    """Lookup of services by host and path prefix.
 
-    Within a host the longest prefix wins.
+    An exact host is tried first, then `*.` patterns, then `*`; for each, the longest prefix wins.
     """
 
     __slots__ = ("tables", "lengths", "pattern_cache")
@@ -78,7 +78,7 @@
         return self.find_path(host, normalize_path(target))
 
     def find_path(self, host: bytes | str, path: bytes) -> Service | None:
-        """Return the service of a request by its plain path, or None."""
+        """Return the service of a request by its normalized path, or None."""
         patterns = self.pattern_cache.get(host)
         if patterns is None:
             patterns = self.cache_patterns(host)
@@ -91,7 +91,7 @@
         return None
 
     def cache_patterns(self, host: bytes | str) -> list[str]:
-        """Return the patterns that `host` meets, the closest first."""
+        """Return the patterns that match `host`, most specific first, and cache them."""
         name = normalize_host(host)
         labels = name.split(".")
         wildcards = ["*." + ".".join(labels[i:]) for i in range(1, min(len(labels), 32))]
@@ -104,10 +104,10 @@
 
 
 class RuleTable:
-    """The rules of one service: one regular expression for each method.
+    """Lookup of the rules of one service.
 
-    The expression is the alternatives of all rules in their order, so one match finds the first
-    rule that fits, whatever their number.
+    Each method has one regular expression with a group for each rule, in the order of the rules, so
+    that one match finds the first rule that applies.
     """
 
     __slots__ = ("rules", "unmatched", "by_method")
@@ -120,7 +120,7 @@
         self.by_method.update({m.encode(): entry for m, entry in self.by_method.items() if m})
 
     def compile(self, method: str) -> tuple[re.Pattern[bytes], list[Rule]] | None:
-        """Return the expression for `method` and the rule of each of its groups."""
+        """Return the expression for `method` and its rules in the order of the groups."""
         rules = [rule for rule in self.rules if not rule.methods or method in rule.methods]
         if not rules:
             return None
@@ -128,11 +128,11 @@
         return re.compile(groups, re.DOTALL), rules
 
     def find(self, method: bytes | str, target: bytes | str) -> Rule:
-        """Return the first rule that matches, or the one for unmatched requests."""
+        """Return the first rule that matches a request, else `Rule.unmatched`."""
         return self.find_path(method, normalize_path(target))
 
     def find_path(self, method: bytes | str, path: bytes) -> Rule:
-        """Return the first rule that matches a plain path, as `find`."""
+        """Return the first rule that matches a normalized path, else `Rule.unmatched`."""
         entry = self.by_method.get(method, self.by_method[""])
         if entry is None:
             return self.unmatched
@@ -144,7 +144,7 @@
 
 
 def glob_to_regex(glob: str) -> bytes:
-    """Return the regular expression of a path pattern; without groups of its own."""
+    """Return a path pattern as a regular expression without capturing groups."""
     parts = []
     for segment in glob.split("/")[1:]:
         if segment == "**":
@@ -156,13 +156,13 @@
 
 
 def covers(earlier: Rule, later: Rule) -> bool:
-    """Return True if `earlier` surely matches all that `later` matches (not in each case)."""
+    """Return True if `earlier` provably matches all that `later` matches; False may be wrong."""
     if earlier.methods and not (later.methods and set(later.methods) <= set(earlier.methods)):
         return False
     if earlier.path in ("/**", later.path):
         return True
-    # A star of the later pattern stands for text without a slash, so the earlier pattern must
-    # match it as it stands; "**" stands for no segment or for several.
+    # "*" in the later pattern is any text without a slash, replaced here by a character that only
+    # a wildcard matches; "**" is zero or more segments, tried with zero, one and two.
     if "**" in later.path and not earlier.path.endswith("/**"):
         return False
     pattern = re.compile(glob_to_regex(earlier.path), re.DOTALL)
--- a/sequoiabridge/config/problem.py
+++ b/sequoiabridge/config/problem.py
@@ -1,18 +1,18 @@
-"""One thing that is wrong with a settings file or with the fleet's configuration."""
+"""Errors and warnings about settings files and the fleet's configuration."""
 
 from ..exceptions import ConfigurationError
 
 
 class Problem:
-    """Where it is, what is wrong and what to write instead.
+    """An error or warning: its place, what is wrong and how to correct it.
 
     Attributes:
-        source: File name, or what else the text came from ("command", "version 12").
-        section: Section as written between the brackets; "" if none is concerned.
-        key: Option; "" if the whole section is concerned.
+        source: File name or other origin of the text ("command", "version 12").
+        section: Section header without brackets; "" if the problem is in no section.
+        key: Option; "" if the problem concerns the whole section.
         wrong: What is wrong, without a full stop.
-        instead: What to write instead, as an instruction without a full stop.
-        warning: True if it may stay as it is.
+        instead: How to correct it, as an instruction without a full stop.
+        warning: True if the input is valid nevertheless.
     """
 
     __slots__ = ("source", "section", "key", "wrong", "instead", "warning")
@@ -44,7 +44,7 @@
         return f"{where}: {mark}{self.wrong}; {self.instead}"
 
     def to_dict(self) -> dict:
-        """Return the problem as a plain map, for JSON."""
+        """Return the problem as a dictionary for JSON."""
         return {name: getattr(self, name) for name in self.__slots__}
 
     def __str__(self) -> str:
@@ -55,12 +55,12 @@
 
 
 def join_problems(problems: list[Problem]) -> str:
-    """Return all problems as one line, for an error's message."""
+    """Return all problems in one line, for an error message."""
     return " | ".join(problem.text for problem in problems)
 
 
 class Invalid(ConfigurationError):
-    """Options are not valid; `problems` has everything that is wrong with them."""
+    """Options are not valid; `problems` lists all errors."""
 
     def __init__(self, problems: list[Problem]):
         super().__init__(join_problems(problems))
--- a/sequoiabridge/config/section.py
+++ b/sequoiabridge/config/section.py
@@ -1,13 +1,11 @@
-"""The base class of everything that is read from options: declared once, checked, slotted.
-
-A subclass declares its options as fields:
+"""Base class for sections of options, which are declared as fields of a subclass:
 
     class Pool(Section):
         heading = "pool"
-        service = Name("The service that it belongs to.")
+        service = Name("Service to which the pool belongs.")
 
-The metaclass takes the fields off the class and makes each a slot, so that reading an option on
-the request path costs as much as reading any slot. The declarations stay in `Pool.fields`.
+The metaclass replaces each field by a slot, which makes reading an option fast, and keeps the
+declarations in `Pool.fields`.
 """
 
 from __future__ import annotations
@@ -23,11 +21,11 @@
     from expression import Result
 
 HIDDEN = "(hidden)"
-"""What dumps show in place of a secret."""
+"""Replaces secrets in dumps."""
 
 
 class SectionMeta(type):
-    """Makes a slot of each declared field."""
+    """Turns each declared field into a slot."""
 
     def __new__(meta, name: str, bases: tuple, namespace: dict):
         own = {key: value for key, value in namespace.items() if isinstance(value, Field)}
@@ -41,14 +39,14 @@
 
 
 class Section(metaclass=SectionMeta):
-    """A checked set of options.
+    """A validated set of options.
 
     Attributes:
-        heading: The first word of the section's header.
-        fields: The declared options by name.
-        name: The second word of the header, "" for sections of which there is one.
-        extra: Texts of options that this release does not know or cannot read, kept so that
-            they are not lost when they are written again; nearly always empty.
+        heading: First word of the section's header.
+        fields: Declared options by name.
+        name: Second word of the header; "" for sections without a name.
+        extra: Texts of unsupported options and values, kept so that writing the section again
+            preserves them.
     """
 
     __slots__ = ("name", "extra")
@@ -60,13 +58,13 @@
     def read(
         cls, name: str, mapping: Mapping[str, str], source: str, *, keep_unknown: bool = False
     ) -> Result[Self, list[Problem]]:
-        """Read all options of `mapping` and report every problem at once.
+        """Parse all options of `mapping`, or return all problems.
 
         Args:
-            keep_unknown: Put what this release does not know into `extra`; use the default in
-                the place of a value that it cannot read. For what is committed already.
+            keep_unknown: Keep unsupported options and values in `extra` and use the defaults
+                instead; for committed changes, perhaps of a newer release.
         """
-        # Not at the top of the module: the import takes 7 MB of a process that never needs it.
+        # Imported here to save memory in processes that do not call this method.
         from expression import Error, Ok
 
         try:
@@ -78,10 +76,10 @@
     def read_or_raise(
         cls, name: str, mapping: Mapping[str, str], source: str, *, keep_unknown: bool = False
     ) -> Self:
-        """Read all options of `mapping`; as `read`, but for errors.
+        """Parse all options of `mapping`, as `read` does.
 
         Raises:
-            Invalid: With every problem at once.
+            Invalid: With all problems.
         """
         header = f"{cls.heading} {name}".strip()
         section = cls.__new__(cls)
@@ -105,7 +103,7 @@
     def read_known_options(
         self, mapping: Mapping[str, str], source: str, header: str, keep_unknown: bool
     ) -> list[Problem]:
-        """Set each declared option from its text or its default; return what is wrong."""
+        """Set each declared option from its text or its default; return the problems."""
         problems = []
         for key, field in self.fields.items():
             text = mapping.get(key)
@@ -126,27 +124,27 @@
         return problems
 
     def use_default(self, key: str, text: str) -> None:
-        """Use an option's default, and keep its text."""
+        """Set an option to its default and keep its text in `extra`."""
         setattr(self, key, self.fields[key].default)
         self.add_extra({key: text})
 
     def add_extra(self, texts: dict[str, str]) -> None:
-        """Add texts that this release does not understand to `extra`."""
+        """Add the texts of unsupported options to `extra`."""
         self.extra = {**self.extra, **texts}
 
     def check(self) -> Iterator[tuple[str, str, str]]:
-        """Yield (key, wrong, instead) for options that do not go together; a hook."""
+        """Yield (key, wrong, instead) for each inconsistent option; a hook for subclasses."""
         return iter(())
 
     @classmethod
     def unknown_option(cls, key: str, source: str, header: str) -> Problem:
-        """Return the problem of an option that is not declared, with the nearest that is."""
+        """Return the problem of an undeclared option, with the closest declared name."""
         closest = get_close_matches(key, cls.fields, n=1)
         instead = f"write {closest[0]}" if closest else "use one of " + ", ".join(cls.fields)
         return Problem(source, header, key, "there is no such option", instead)
 
     def options(self) -> dict[str, str]:
-        """Return the texts of all options that differ from their defaults, and of `extra`."""
+        """Return the texts of required options, of options not at their default, and of `extra`."""
         texts = {}
         for key, field in self.fields.items():
             value = getattr(self, key)
@@ -157,7 +155,7 @@
         return texts
 
     def dump(self) -> dict[str, Any]:
-        """Return all values for the state dump, secrets hidden."""
+        """Return all values for the state dump, without secrets."""
         shown = {k: HIDDEN if f.secret else getattr(self, k) for k, f in self.fields.items()}
         return {**shown, **({"not_understood": self.extra} if self.extra else {})}
 
@@ -174,4 +172,4 @@
 
 
 NO_EXTRA: dict[str, str] = {}
-"""Shared by all sections that have nothing extra; never changed."""
+"""Shared by all sections without unsupported options; never modified."""
--- a/sequoiabridge/config/settings.py
+++ b/sequoiabridge/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: one INI file, read at its start."""
+"""Settings of one daemon: one INI file, read at start."""
 
 import ipaddress
 from collections.abc import Iterator
@@ -16,72 +16,78 @@
 
 
 class VmSettings(Section):
-    """Who this VM is."""
+    """Identity of this VM."""
 
     heading = "vm"
 
-    name = Name("Name of this VM; no other VM of the fleet may have it.")
+    name = Name("Name of this VM; unique in the fleet.")
     data_centre = Name("Data centre in which this VM runs.")
 
 
 class CallersSettings(Section):
-    """The port to which callers connect, and how much of them is borne."""
+    """The port for callers and the limits on their connections."""
 
     heading = "callers"
 
-    address = Address("Where callers connect.", listen=True)
+    address = Address("Address for callers.", listen=True)
     max_head = Size(
-        "Largest request line and headers together.", 32_000, minimum=1000, maximum=10**6
+        "Maximum size of request line and headers together.", 32_000, minimum=1000, maximum=10**6
     )
     max_connections = Integer(
-        "Connections of callers at one time; more are refused.", 2000, minimum=1, maximum=100_000
+        "Maximum number of open connections of callers; further ones are refused.",
+        2000,
+        minimum=1,
+        maximum=100_000,
     )
     idle_timeout = Duration(
-        "How long a connection may stay open between two requests.",
+        "Time that a connection may stay open between two requests.",
         75.0,
         minimum=1.0,
         maximum=3600.0,
     )
     head_timeout = Duration(
-        "How long a caller may take to send a request's head.", 10.0, minimum=0.1, maximum=600.0
+        "Time that a caller may take to send request line and headers.",
+        10.0,
+        minimum=0.1,
+        maximum=600.0,
     )
     body_timeout = Duration(
-        "How long a caller may be silent while its body is expected, or not read its answer.",
+        "Longest time without progress while a caller sends its body or reads its answer.",
         30.0,
         minimum=0.1,
         maximum=3600.0,
     )
     balancer_lag = Duration(
-        "On a planned stop, time between failing the health check and refusing connections.",
+        "Time between failing the health check and refusing connections on a planned stop.",
         10.0,
         maximum=600.0,
     )
 
     def check(self) -> Iterator[tuple[str, str, str]]:
         if self.idle_timeout < self.head_timeout:
-            wrong = "it is shorter than head_timeout, so slow heads would be cut off as idle"
+            wrong = "it is shorter than head_timeout, so the idle timeout would end slow requests"
             yield "idle_timeout", wrong, "make it at least as long as head_timeout"
 
 
 class AdminSettings(Section):
-    """The port for operators, metrics and the balancer's health check."""
+    """The port for operators, metrics and the health check of the balancer."""
 
     heading = "admin"
 
-    address = Address("Where operators, metrics and the health check connect.", listen=True)
-    token = Secret("Operators send it with each command.", min_length=16)
+    address = Address("Address for operators, metrics and health checks.", listen=True)
+    token = Secret("Secret that operators send with each command.", min_length=16)
 
 
 class FleetSettings(Section):
-    """How this daemon talks with the others."""
+    """Communication with other daemons."""
 
     heading = "fleet"
 
-    address = Address("Where the other daemons reach this one.", listen=True)
-    seeds = ListOf("Fleet addresses of some other daemons, to begin with.", Address(""), ())
-    key = Secret("The fleet's key; the same on every VM.", min_length=32)
+    address = Address("Address for other daemons.", listen=True)
+    seeds = ListOf("Fleet addresses of other daemons that are contacted first.", Address(""), ())
+    key = Secret("Secret key of the fleet; the same on every VM.", min_length=32)
     bytes_per_second = Integer(
-        "Bytes a second that this daemon may send to others on average.",
+        "Average number of bytes per second that this daemon may send to others.",
         3000,
         minimum=300,
         maximum=10**7,
@@ -89,30 +95,36 @@
 
     def check(self) -> Iterator[tuple[str, str, str]]:
         if is_unspecified(self.address):
-            wrong = "other daemons cannot reach an address that stands for all of this VM's"
-            yield "address", wrong, "write the VM's own IP number"
+            wrong = "other daemons cannot connect to an unspecified address"
+            yield "address", wrong, "write the IP address of this VM"
         if self.address in self.seeds:
-            yield "seeds", "this daemon's own address is among them", "list other daemons only"
+            yield "seeds", "the list contains the address of this daemon", "list only other daemons"
 
 
 class PlatformSettings(Section):
-    """Where the platform's services are, and how much the whole fleet may ask of them."""
+    """Addresses of the platform's services and rate limits of the fleet."""
 
     heading = "platform"
 
-    tables = Address("The transactional table service.")
-    objects = Address("The object store.")
-    list = Address("The list of live and leaving VMs.")
-    fleet_writes = Integer("Writes a second that all VMs together may make.", 300, minimum=1)
-    fleet_reads = Integer("Reads a second that all VMs together may make.", 2000, minimum=1)
+    tables = Address("Address of the transactional table service.")
+    objects = Address("Address of the object store.")
+    list = Address("Address of the list of live and leaving VMs.")
+    fleet_writes = Integer(
+        "Maximum number of writes per second by all VMs together.", 300, minimum=1
+    )
+    fleet_reads = Integer(
+        "Maximum number of reads per second by all VMs together.", 2000, minimum=1
+    )
 
 
 class LogSettings(Section):
-    """What is logged."""
+    """Logging."""
 
     heading = "log"
 
-    level = Choice("Least weight of what is logged.", ("debug", "info", "warning", "error"), "info")
+    level = Choice(
+        "Lowest level of messages that are logged.", ("debug", "info", "warning", "error"), "info"
+    )
 
 
 SECTIONS: dict[str, type[Section]] = {
@@ -126,11 +138,11 @@
         LogSettings,
     )
 }
-"""All sections of a settings file by header."""
+"""Sections of a settings file by header."""
 
 
 class Settings:
-    """All settings of one daemon; `source` is the file."""
+    """All settings of one daemon; `source` is the file name."""
 
     __slots__ = ("source", "vm", "callers", "admin", "fleet", "platform", "log")
 
@@ -154,12 +166,12 @@
 
     @classmethod
     def load(cls, path: str | Path) -> Result[Self, list[Problem]]:
-        """Read a settings file; on failure return every problem in it."""
+        """Read a settings file; return all problems on failure."""
         return read_file(path).bind(lambda text: cls.parse(text, str(path)))
 
     @classmethod
     def parse(cls, text: str, source: str = "settings") -> Result[Self, list[Problem]]:
-        """Read the text of a settings file; on failure return every problem in it."""
+        """Parse the text of a settings file; return all problems on failure."""
         sections, problems = read_sections(text, source)
         problems += [unknown_section(h, source) for h in sections if h not in SECTIONS]
         read = {}
@@ -178,25 +190,25 @@
         return Ok(cls(source, **read))
 
     def dump(self) -> dict:
-        """Return all settings for the state dump, secrets hidden."""
+        """Return all settings for the state dump, without secrets."""
         return {header: getattr(self, header).dump() for header in SECTIONS}
 
 
 def unknown_section(header: str, source: str) -> Problem:
-    """Return the problem of a section that settings do not have."""
+    """Return the problem of an unknown section, with the closest known one."""
     closest = get_close_matches(header, SECTIONS, n=1)
     instead = f"write [{closest[0]}]" if closest else "use " + ", ".join(f"[{s}]" for s in SECTIONS)
-    return Problem(source, header, "", "there is no such section in settings", instead)
+    return Problem(source, header, "", "there is no such section", instead)
 
 
 def missing_section(header: str, source: str) -> Problem:
-    """Return the problem of a section that must be there."""
+    """Return the problem of a missing section."""
     needed = [key for key, field in SECTIONS[header].fields.items() if field.required]
     return Problem(source, header, "", "the section is missing", "add it with " + ", ".join(needed))
 
 
 def find_address_conflicts(read: dict[str, Section], source: str) -> list[Problem]:
-    """Return a problem for each address of this daemon that two of its ports share."""
+    """Return a problem for each address that conflicts with that of an earlier section."""
     problems: list[Problem] = []
     seen: dict[str, str] = {}
     for header in ("callers", "admin", "fleet"):
@@ -205,19 +217,19 @@
         address = read[header].address
         other = next((a for a in seen if addresses_conflict(a, address)), None)
         if other is not None:
-            wrong = f"{address} cannot be bound beside {other} of [{seen[other]}]"
-            problems.append(Problem(source, header, "address", wrong, "give each its own port"))
+            wrong = f"{address} conflicts with {other} of [{seen[other]}]"
+            problems.append(Problem(source, header, "address", wrong, "use a different port"))
         seen.setdefault(address, header)
     return problems
 
 
 def is_unspecified(address: str) -> bool:
-    """Return True if `IP:port` stands for all addresses of the VM."""
+    """Return True if the IP address is unspecified, such as 0.0.0.0."""
     return ipaddress.ip_address(split_address(address)[0]).is_unspecified
 
 
 def addresses_conflict(one: str, other: str) -> bool:
-    """Return True if two addresses cannot both be bound."""
+    """Return True if a process cannot bind both addresses."""
     if split_address(one)[1] != split_address(other)[1]:
         return False
     return one == other or is_unspecified(one) or is_unspecified(other)
--- a/sequoiabridge/config/units.py
+++ b/sequoiabridge/config/units.py
@@ -1,4 +1,4 @@
-"""Fields with units (durations, sizes), addresses, host and path patterns."""
+"""Types of options for durations, sizes, addresses, and host and path patterns."""
 
 import ipaddress
 import re
@@ -10,7 +10,7 @@
 SIZE = re.compile(r"([0-9]{1,15})\s*(B|KB|MB|GB|TB)?", re.IGNORECASE)
 
 DURATION_DECIMALS = 9
-"""Durations are kept to the nanosecond, so that each can be written without loss."""
+"""Digits of a duration after the decimal point; durations are rounded to nanoseconds."""
 
 SECONDS = {"s": 1, "m": 60, "h": 3600}
 BYTES = {"TB": 1000**4, "GB": 1000**3, "MB": 1000**2, "KB": 1000, "B": 1}
@@ -20,11 +20,11 @@
 MAX_PORT = 65535
 
 MAX_HOST_LENGTH = 253
-"""Characters of the longest host name (RFC 1035)."""
+"""Maximum number of characters in a host name (RFC 1035)."""
 
 
 class Duration(Bounded):
-    """A time such as `250ms`, `3s` or `5m`; seconds as a float at run time."""
+    """A duration such as `250ms`, `3s` or `5m`; seconds as a float at run time."""
 
     maximum = 86400.0
 
@@ -55,7 +55,7 @@
 
 
 class Size(Bounded):
-    """A number of bytes such as `64KB` or `10MB` (1 KB = 1,000 bytes); an int at run time."""
+    """A size such as `64KB` or `10MB` (1 KB = 1,000 bytes); bytes as an int at run time."""
 
     maximum = 10**12
 
@@ -78,13 +78,13 @@
 
 
 class Address(Field):
-    """`IP:port`, an IP number and never a host name; `[IP]:port` for IPv6. A str at run time.
+    """`IP:port`, or `[IP]:port` for IPv6, without host names; a str at run time.
 
     Args:
-        listen: The daemon binds it, so port 0 (any free one) is allowed.
+        listen: Whether the daemon listens there; if so, port 0 (any free port) is allowed.
     """
 
-    expected = "an IP number and a port, such as 10.0.0.5:8080 or [fd00::5]:8080"
+    expected = "an IP address and a port, such as 10.0.0.5:8080 or [fd00::5]:8080"
 
     def __init__(self, help: str, default: Any = REQUIRED, *, listen: bool = False):
         super().__init__(help, default)
@@ -96,14 +96,14 @@
         except ValueError:
             raise self.invalid(text) from None
         if port == 0 and not self.listen:
-            raise InvalidValue("port 0 stands for no port", f"write {self.expected}")
+            raise InvalidValue("port 0 is not valid here", f"write {self.expected}")
         return join_address(ip, port)
 
 
 class HostPattern(Field):
-    """A host name without a port, or `*.` and a name for all hosts below it; in lower case."""
+    """A host name without a port, or `*.` and a name for all subdomains; in lower case."""
 
-    expected = "a host name such as a.example.org, or *.example.org for all below it"
+    expected = "a host name such as a.example.org, or *.example.org for all subdomains"
 
     def parse(self, text: str) -> str:
         if len(text) > MAX_HOST_LENGTH or not HOST.fullmatch(text):
@@ -112,9 +112,9 @@
 
 
 class PathPrefix(Field):
-    """The start of a path, cut at a slash: `/a` covers `/a` and `/a/b`, not `/ab`."""
+    """A path prefix of whole segments: `/a` matches `/a` and `/a/b`, not `/ab`."""
 
-    expected = "a path such as / or /reports, without ?, * or a slash at its end"
+    expected = "a path such as / or /reports, without ?, * or trailing slash"
 
     def parse(self, text: str) -> str:
         if text == "/":
@@ -127,10 +127,10 @@
 class PathGlob(Field):
     """A path pattern: `*` is any text inside a segment, `**` any number of whole segments.
 
-    One `**` and one `*` a segment keep matching linear in the path's length.
+    At most one `**`, and one `*` per segment, bound the time of matching.
     """
 
-    expected = "a path such as /a/*/b or /a/**, with at most one ** and one * a segment"
+    expected = "a path such as /a/*/b or /a/**, with at most one ** and one * per segment"
 
     def parse(self, text: str) -> str:
         if not re.fullmatch(r"/[A-Za-z0-9._~!$&'()+,;=:@%*/-]*", text) or "//" in text:
@@ -145,7 +145,7 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Return the IP number and the port of `IP:port`; raise `ValueError` if it is not one."""
+    """Return IP address and port of `IP:port`; raise `ValueError` if it is not valid."""
     host, colon, port = text.rpartition(":")
     if not colon or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > MAX_PORT:
         raise ValueError(f"{text!r} is not IP:port")
@@ -157,5 +157,5 @@
 
 
 def join_address(ip: str, port: int) -> str:
-    """Return `IP:port`, with brackets around an IPv6 number."""
+    """Return `IP:port`, with brackets around an IPv6 address."""
     return f"[{ip}]:{port}" if ":" in ip else f"{ip}:{port}"
--- a/sequoiabridge/config/upstream.py
+++ b/sequoiabridge/config/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream: one server that runs requests."""
+"""An upstream: a server that runs requests."""
 
 from .fields import Boolean, Integer, Name
 from .section import Section
@@ -6,17 +6,21 @@
 
 
 class Upstream(Section):
-    """`[upstream NAME]`: its address, and what differs from its pool."""
+    """`[upstream NAME]`: its address and the limits that differ from its pool."""
 
     heading = "upstream"
 
-    pool = Name("Pool that it belongs to.")
-    address = Address("Where it takes requests; no other upstream may have the same.")
-    data_centre = Name("Data centre in which it runs.", "unknown")
-    slots = Integer("Requests that it runs at a time; 0 for the pool's figure.", 0, maximum=10_000)
+    pool = Name("Pool to which the upstream belongs.")
+    address = Address("Address for requests; unique among upstreams.")
+    data_centre = Name("Data centre in which the upstream runs.", "unknown")
+    slots = Integer(
+        "Number of requests that it runs at the same time; 0 for the value of the pool.",
+        0,
+        maximum=10_000,
+    )
     connections = Integer(
-        "Connections that it takes from all VMs together; 0 for the pool's figure.",
+        "Number of connections that it accepts from all VMs together; 0 for the value of the pool.",
         0,
         maximum=100_000,
     )
-    drained = Boolean("Whether the operator keeps new work away from it.", False)
+    drained = Boolean("Whether the upstream is drained: it receives no new requests.", False)
--- a/sequoiabridge/tests/commands/test_tool.py
+++ b/sequoiabridge/tests/commands/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool against a daemon that refuses, conflicts, falls silent or is not there."""
+"""The tool with a daemon that answers, refuses, does not answer or is not running."""
 
 import json
 import sys
@@ -25,12 +25,12 @@
 }
 
 
-class Admin(BaseHTTPRequestHandler):
-    """Answers with what the test put into the server; status 0 means silence."""
+class FakeAdminPort(BaseHTTPRequestHandler):
+    """Sends the answer that the test set on the server; no answer if the status is 0."""
 
     def do_GET(self):
         body = self.rfile.read(int(self.headers["Content-Length"])).decode()
-        self.server.seen.append((self.command, self.path, self.headers["Authorization"], body))
+        self.server.requests.append((self.command, self.path, self.headers["Authorization"], body))
         status, answer = self.server.answer
         if status == 0:
             return
@@ -49,8 +49,8 @@
 @pytest.fixture
 def admin(monkeypatch):
     monkeypatch.setenv("SEQUOIA_TOKEN", TOKEN)
-    server = HTTPServer(("127.0.0.1", 0), Admin)
-    server.seen, server.answer = [], (200, TABLE)
+    server = HTTPServer(("127.0.0.1", 0), FakeAdminPort)
+    server.requests, server.answer = [], (200, TABLE)
     server.flag = f"--admin=127.0.0.1:{server.server_port}"
     thread = threading.Thread(target=server.serve_forever, args=(0.01,))
     thread.start()
@@ -62,7 +62,7 @@
 
 def test_a_command_is_sent_with_the_token_and_shown_as_a_table(admin, capsys):
     assert main(["ask", "show", "upstreams", admin.flag]) == 0
-    assert admin.seen == [("POST", "/ask", f"Bearer {TOKEN}", "show upstreams")]
+    assert admin.requests == [("POST", "/ask", f"Bearer {TOKEN}", "show upstreams")]
     assert capsys.readouterr().out.splitlines() == [
         "upstream    in_flight",
         "----------  ---------",
@@ -74,11 +74,11 @@
     assert main(["ask", "show upstreams", admin.flag, "--strict"]) == 1
 
 
-def test_an_answer_without_rows_is_its_sentence_and_empty_values_are_dashes(admin, capsys):
+def test_an_answer_without_rows_shows_its_message_and_empty_values_are_dashes(admin, capsys):
     admin.answer = 200, TABLE | {"rows": [], "not_heard": {}, "message": "Nothing to change."}
     assert main(["ask", "drain upstream katalog-1", admin.flag]) == 0
-    said = capsys.readouterr().out.splitlines()
-    assert said == ["Nothing to change.", "configuration version 7; heard 1 VM"]
+    output = capsys.readouterr().out.splitlines()
+    assert output == ["Nothing to change.", "configuration version 7; heard 1 VM"]
     admin.answer = 200, {"vm": "vm-1", "why": "", "members": []}
     assert main(["dump", admin.flag]) == 0
     assert capsys.readouterr().out.splitlines() == ["vm: vm-1", "why: -", "members: -"]
@@ -95,28 +95,28 @@
         (500, {}, 1),
     ],
 )
-def test_each_refusal_has_its_exit_code_and_one_sentence(admin, capsys, status, error, code):
+def test_each_error_has_its_exit_code_and_a_one_line_message(admin, capsys, status, error, code):
     admin.answer = status, {"error": error}
     assert main(["explain", "a/b", admin.flag]) == code
-    assert admin.seen[0][1] == "/explain/a%2Fb"
-    said = capsys.readouterr()
-    assert said.err.count("\n") == 1 and error.get("message", "status 500") in said.err
-    assert ("column 6" in said.err) == (status == 400) and said.out == ""
+    assert admin.requests[0][1] == "/explain/a%2Fb"
+    output = capsys.readouterr()
+    assert output.err.count("\n") == 1 and error.get("message", "status 500") in output.err
+    assert ("column 6" in output.err) == (status == 400) and output.out == ""
 
 
-def test_a_lost_answer_to_a_command_says_that_it_may_have_run(admin, capsys):
+def test_an_unanswered_change_is_reported_as_possibly_done(admin, capsys):
     admin.answer = 0, None
     assert main(["ask", "drain upstream katalog-1", admin.flag, "--json"]) == 4
-    said = capsys.readouterr()
-    assert "may have been done" in said.err
-    assert json.loads(said.out)["error"]["exit"] == 4
+    output = capsys.readouterr()
+    assert "may have been done" in output.err
+    assert json.loads(output.out)["error"]["exit"] == 4
     assert main(["dump", "fleet", admin.flag]) == 4
     assert main(["ask", "Show", "vms", admin.flag]) == 4
     assert "may have been done" not in capsys.readouterr().err
-    assert admin.seen[1][1] == "/dump?part=fleet"
+    assert admin.requests[1][1] == "/dump?part=fleet"
 
 
-def test_an_answer_that_is_no_json_and_a_daemon_that_is_gone(admin, capsys):
+def test_an_answer_that_is_not_json_and_a_daemon_that_is_not_running(admin, capsys):
     admin.answer = 200, b"<html>"
     assert main(["dump", admin.flag]) == 5
     admin.shutdown()
@@ -128,16 +128,16 @@
 def test_a_file_is_checked_before_it_is_sent(admin, capsys, tmp_path):
     file = tmp_path / "fleet.ini"
     file.write_text("[service a]\n[rule r]\nservice = b\n")
-    assert main(["apply", str(file), admin.flag]) == 2 and admin.seen == []
+    assert main(["apply", str(file), admin.flag]) == 2 and admin.requests == []
     assert "there is no service b" in capsys.readouterr().err
     file.write_text("[service a]\n")
-    assert main(["apply", str(file), admin.flag, "--strict"]) == 2 and admin.seen == []
+    assert main(["apply", str(file), admin.flag, "--strict"]) == 2 and admin.requests == []
     assert main(["apply", str(file), admin.flag, "--expect=7", "--dry-run"]) == 0
-    method, target, _, body = admin.seen[0]
+    method, target, _, body = admin.requests[0]
     assert (method, target, body) == ("POST", "/apply?dry_run=1&expect=7", "[service a]\n")
 
 
-def test_check_tells_the_files_apart_and_reports_all_of_them(capsys, tmp_path):
+def test_check_detects_the_type_of_each_file_and_reports_all_errors(capsys, tmp_path):
     texts = {"vm.ini": "[vm]\nname = a\n", "fleet.ini": "[pool p]\nslots = 0\n", "x.ini": "[x]\n"}
     for name, text in texts.items():
         (tmp_path / name).write_text(text)
@@ -161,13 +161,13 @@
         ["dump", "--admin=x"],
     ],
 )
-def test_wrong_use_ends_with_one_sentence(argv, capsys, monkeypatch):
+def test_invalid_usage_is_reported_in_one_line(argv, capsys, monkeypatch):
     monkeypatch.setenv("SEQUOIA_TOKEN", TOKEN)
     assert main(argv) == 2
     assert capsys.readouterr().err.startswith("sequoiactl: ")
 
 
-def test_the_daemon_does_not_start_with_wrong_settings(capsys, tmp_path):
+def test_the_daemon_does_not_start_with_invalid_settings(capsys, tmp_path):
     file = tmp_path / "vm.ini"
     file.write_text("[vm]\nname = a\n")
     assert daemon.main([str(file)]) == 2
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(
     ("error", "code"), [(None, 0), (StoreUnavailable("The store is down."), 4)]
 )
-def test_the_daemons_end_is_its_exit_code(monkeypatch, capsys, error, code):
+def test_the_exit_code_of_the_daemon(monkeypatch, capsys, error, code):
     class Daemon:
         def __init__(self, settings):
             assert settings.vm.name == "entry-1"
@@ -193,7 +193,7 @@
     assert ("sequoiabridged: The store is down.\n" in capsys.readouterr().err) == bool(error)
 
 
-def test_the_daemon_runs_on_the_selector_that_keeps_sockets_registered(monkeypatch):
+def test_the_daemon_runs_with_the_lazy_selector(monkeypatch):
     ran = []
     monkeypatch.setattr(daemon.curio, "run", lambda main, **options: ran.append(options))
     settings = Path(__file__).parents[3] / "examples" / "vm.ini"
--- a/sequoiabridge/tests/config/fleet.py
+++ b/sequoiabridge/tests/config/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet's configuration that the tests change."""
+"""Configuration of a small fleet for tests."""
 
 from ...config.change import Change
 
@@ -46,5 +46,5 @@
 
 
 def change(document, *entries, **more):
-    """Apply one change by anna, with the next version."""
+    """Apply a change by the author anna as the next version."""
     return document.with_change(Change(list(entries)), document.version + 1, "anna", 5.0, **more)
--- a/sequoiabridge/tests/config/test_document.py
+++ b/sequoiabridge/tests/config/test_document.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration: validated whole, shared between versions, nothing lost on the way."""
+"""Changes of the configuration document: validation, sharing, and options of newer releases."""
 
 import msgspec
 import pytest
@@ -42,25 +42,25 @@
     [
         ([RemoveEntry("service", "uploads")], "used by pool big"),
         ([RemoveEntry("pool", "fast")], "used by upstream fast-1, upstream fast-2"),
-        ([RemoveEntry("rule", "none")], "nothing of this name"),
-        ([SetEntry("upstream", "x", DRAINED)], "address of upstream"),
+        ([RemoveEntry("rule", "none")], "no entry of this name"),
+        ([SetEntry("upstream", "x", DRAINED)], "also the address of upstream"),
         ([SetEntry("pool", "x", {"service": "reprots"})], "no service reprots"),
         ([SetEntry("rule", "x", {"service": "reports", "hedge": "yes"})], "not idempotent"),
         ([SetEntry("rule", "x", {"service": "reports", "path": "/**/a/**"})], "not valid"),
         ([SetEntry("service", "x", {"path_prefix": "/uploads"})], "same host and path"),
-        ([SetEntry("service", "x", {"hosts": "b, B"})], "there twice"),
+        ([SetEntry("service", "x", {"hosts": "b, B"})], "appears twice"),
         ([SetEntry("service", "a b", {})], "not valid"),
         ([SetEntry("server", "x", {})], "no such kind"),
     ],
 )
-def test_a_change_that_breaks_the_whole_is_refused(document, entries, wrong):
+def test_an_inconsistent_change_is_rejected(document, entries, wrong):
     (found,) = change(document, *entries).error
     assert wrong in found.wrong
 
 
-def test_an_older_version_is_never_made(document):
-    refused = document.with_change(Change([]), document.version, "anna", 0.0)
-    assert "not newer" in refused.error[0].wrong
+def test_a_change_needs_a_newer_version(document):
+    rejected = document.with_change(Change([]), document.version, "anna", 0.0)
+    assert "not newer" in rejected.error[0].wrong
 
 
 def test_two_upstreams_may_swap_addresses_in_one_change(document):
@@ -77,7 +77,7 @@
     assert new.slots_of(new.upstreams["fast-1"]) == 9
 
 
-def test_one_mistake_is_reported_once(document):
+def test_an_entry_with_an_error_is_not_reported_as_missing_too(document):
     broken = SetEntry("pool", "new", {"service": "reports", "slots": "many"})
     upstream = SetEntry("upstream", "x", {"pool": "new", "address": "10.0.0.9:80"})
     (found,) = change(document, broken, upstream).error
@@ -95,18 +95,18 @@
     again = Document.decode(new.encode()).ok
     assert again.rules["new"].options() == options
     assert again.unknown == {("quota", "q"): {"calls": "7"}}
-    kept = {p.key for p in again.warnings() if "understand" in p.wrong}
+    kept = {p.key for p in again.warnings() if "does not support" in p.wrong}
     assert kept == {"key", "colour", ""}
     assert again.merge_options("rule", "new", {"order": "3"}).options == {**options, "order": "3"}
 
 
-def test_a_hedge_is_not_made_where_idempotence_is_not_understood(document):
+def test_hedging_is_off_if_the_value_of_idempotent_is_unsupported(document):
     options = {"service": "reports", "idempotent": "sometimes", "hedge": "yes"}
     rule = change(document, SetEntry("rule", "new", options), committed=True).ok.rules["new"]
     assert not rule.hedge and not rule.idempotent and rule.options() == options
 
 
-def test_another_format_and_a_torn_message_are_problems(document):
+def test_a_newer_format_version_and_a_truncated_document_are_problems(document):
     later = msgspec.msgpack.encode([[["s", "pool", "p", {}, "more"]], 1, "more"])
     assert Change.decode(later).ok.entries == [SetEntry("pool", "p", {})]
     data = msgspec.msgpack.encode([[], 99])
--- a/sequoiabridge/tests/config/test_matching.py
+++ b/sequoiabridge/tests/config/test_matching.py
@@ -1,4 +1,4 @@
-"""Which service and rule a request meets; no spelling of a path leads around a rule."""
+"""Matching of requests to services and rules, with any spelling of a path."""
 
 import pytest
 
@@ -46,7 +46,7 @@
         (b"POST", b"/orders/7/%2561pprove", "unmatched"),
     ],
 )
-def test_no_spelling_of_a_path_leads_around_a_rule(document, method, path, rule):
+def test_every_spelling_of_a_path_matches_the_same_rule(document, method, path, rule):
     found = document.rule_for("reports", method, path)
     assert found.name == rule
     assert found.idempotent == (rule == "read")
@@ -63,7 +63,7 @@
     assert new.rule_for("reports", b"GET", b"/health").name == "z"
 
 
-def test_a_rule_that_never_matches_is_a_warning(document):
+def test_a_rule_that_never_matches_causes_a_warning(document):
     options = {"service": "reports", "methods": "GET", "path": "/a/**"}
     narrow = SetEntry("rule", "a", {**options, "methods": "PUT", "path": "/a/*/**", "order": "1"})
     seen = SetEntry("rule", "b", {**options, "methods": "PUT", "order": "2"})
--- a/sequoiabridge/tests/config/test_reference.py
+++ b/sequoiabridge/tests/config/test_reference.py
@@ -1,4 +1,4 @@
-"""The committed pages and examples say what the code declares."""
+"""The settings page and the examples agree with the declared options."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 def test_the_settings_page_is_the_generated_one():
     committed = (ROOT / "docs/operators/settings.md").read_text(encoding="utf-8")
-    assert committed == page(), "run make settings-reference"
+    assert committed == page(), "out of date: run make settings-reference"
 
 
 @pytest.mark.parametrize("name", ["vm.ini", "kaleva.ini", "norrvik.ini"])
@@ -29,7 +29,7 @@
         ("norrvik.ini", {"katalog": 17, "aktivera": 12, "mottag": 8}, 260),
     ],
 )
-def test_fleets_have_the_sizes_of_the_brief(file, sizes, connections):
+def test_example_fleets_have_the_expected_sizes(file, sizes, connections):
     document = load_document(ROOT / "examples" / file).ok
     assert {name: len(document.upstreams_of(name)) for name in document.services} == sizes
     for upstream in document.upstreams.values():
@@ -37,7 +37,7 @@
         assert document.connections_of(upstream) == connections
 
 
-def test_work_that_must_not_be_doubled_needs_a_key():
+def test_rules_for_non_idempotent_work_require_a_key():
     kaleva, norrvik = (
         load_document(ROOT / "examples" / f).ok for f in ("kaleva.ini", "norrvik.ini")
     )
--- a/sequoiabridge/tests/config/test_round_trips.py
+++ b/sequoiabridge/tests/config/test_round_trips.py
@@ -1,4 +1,4 @@
-"""Encoded, written as INI, or applied step by step: the same document comes out."""
+"""Encoding, INI text and step-by-step changes all yield the same document."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -34,7 +34,7 @@
 
 
 def lookups(document):
-    """Return what the indexes answer; asking also builds them."""
+    """Return the results of the lookup tables; this also builds the tables."""
     return [
         (
             document.upstreams_of(name),
@@ -47,7 +47,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(st.lists(ENTRY, max_size=4), max_size=6))
-def test_small_changes_and_whole_documents_agree(changes):
+def test_small_changes_yield_the_same_as_whole_documents(changes):
     document = parse_document(BASE).ok
     for entries in changes:
         lookups(document)
@@ -65,7 +65,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.floats(0.0, 86400.0), st.integers(0, 10**12))
-def test_units_are_written_without_loss_down_to_a_nanosecond(seconds, size):
+def test_units_are_formatted_without_loss_down_to_a_nanosecond(seconds, size):
     duration, bytes_ = Duration(""), Size("")
     once = duration.parse(duration.format(seconds))
     assert abs(once - seconds) <= 1e-9 and duration.parse(duration.format(once)) == once
--- a/sequoiabridge/tests/config/test_settings.py
+++ b/sequoiabridge/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every error in one run, secrets never shown, values with units."""
+"""Parsing of a daemon's settings: units, error reports and hidden secrets."""
 
 import pytest
 
@@ -49,7 +49,7 @@
     assert set(found) == expected
 
 
-def test_a_problem_names_the_nearest_option():
+def test_a_problem_names_the_closest_option():
     (found,) = Settings.parse(GOOD.replace("max_head", "max_haed"), "vm.ini").error
     assert found.text == "vm.ini: [callers] max_haed: there is no such option; write max_head"
 
@@ -66,18 +66,18 @@
         ("10.0.1.1:1\n", "10.0.1.1:0\n", ("platform", "tables")),
     ],
 )
-def test_what_does_not_go_together_is_refused(old, new, where):
+def test_inconsistent_options_are_rejected(old, new, where):
     assert problems(GOOD.replace(old, new)) == [where]
 
 
 def test_secrets_are_not_shown():
     settings = Settings.parse(GOOD).ok
     assert "a-token" not in repr(settings.admin) + str(settings.dump())
-    refused = Settings.parse(GOOD.replace("a-token-of-some-length", "hush")).error
-    assert "hush" not in refused[0].text
+    rejected = Settings.parse(GOOD.replace("a-token-of-some-length", "hush")).error
+    assert "hush" not in rejected[0].text
 
 
-def test_a_byte_order_mark_does_no_harm_and_other_encodings_are_named(tmp_path):
+def test_a_byte_order_mark_is_accepted_and_other_encodings_are_rejected(tmp_path):
     file = tmp_path / "vm.ini"
     file.write_text(GOOD, encoding="utf-8-sig")
     assert Settings.load(file).is_ok()
@@ -85,6 +85,6 @@
     assert "UTF-8" in Settings.load(file).error[0].wrong
 
 
-def test_a_file_that_is_not_there_is_a_problem(tmp_path):
+def test_a_missing_file_is_a_problem(tmp_path):
     (found,) = Settings.load(tmp_path / "none.ini").error
     assert "cannot be read" in found.wrong
