--- a/sequoiabridge/operators/admin.py
+++ b/sequoiabridge/operators/admin.py
@@ -70,7 +70,7 @@
         while True:
             self.busy = False
             try:
-                if not await self._serve_one():
+                if not await self._serve_request():
                     return
             except RequestRejected as error:
                 await self._reject(error)
@@ -81,7 +81,7 @@
                 )
                 return
 
-    async def _serve_one(self) -> bool:
+    async def _serve_request(self) -> bool:
         async with curio.timeout_after(self.limits.idle_timeout):
             head = await self._next_event()
         if type(head) is not h11.Request:
--- a/sequoiabridge/operators/changes.py
+++ b/sequoiabridge/operators/changes.py
@@ -31,7 +31,7 @@
 
 
 def propose_command(
-    document: Document, command: ChangeCommand, author: str, at: float
+    document: Document, command: ChangeCommand, author: str, changed_at: float
 ) -> Result[Proposal, SequoiaError]:
     """Return the validated proposal of a command."""
     expected = check_expected_version(document, command.expect)
@@ -40,11 +40,11 @@
     entry = entry_change(document, command)
     if entry.is_error():
         return Error(entry.error)
-    return validate_change(document, Change([entry.ok]), author, at, "command")
+    return validate_change(document, Change([entry.ok]), author, changed_at, "command")
 
 
 def propose_document(
-    document: Document, text: str, author: str, expect: int | None, at: float
+    document: Document, text: str, author: str, expect: int | None, changed_at: float
 ) -> Result[Proposal, SequoiaError]:
     """Return the validated proposal that replaces the configuration with an INI text."""
     expected = check_expected_version(document, expect)
@@ -56,7 +56,7 @@
     if document.services and not parsed.ok.services:
         message = "The document has no service; to remove all services, remove each by name."
         return Error(InvalidChange(message, [message]))
-    return validate_change(document, diff(document, parsed.ok), author, at, "configuration")
+    return validate_change(document, diff(document, parsed.ok), author, changed_at, "configuration")
 
 
 def check_expected_version(document: Document, expect: int | None) -> Result[None, SequoiaError]:
@@ -96,10 +96,10 @@
 
 
 def validate_change(
-    document: Document, change: Change, author: str, at: float, source: str
+    document: Document, change: Change, author: str, changed_at: float, source: str
 ) -> Result[Proposal, SequoiaError]:
     """Return the proposal of a change if the resulting document is valid."""
-    new = document.with_change(change, document.version + 1, author, at, source=source)
+    new = document.with_change(change, document.version + 1, author, changed_at, source=source)
     if new.is_error():
         return Error(invalid_change(new.error))
     return Ok(Proposal(document, new.ok, diff(document, new.ok)))
--- a/sequoiabridge/operators/executor.py
+++ b/sequoiabridge/operators/executor.py
@@ -189,12 +189,12 @@
         if expected.is_error():
             return Error(expected.error)
         if command.dry_run:
-            done = await self.releaser.describe(command.kind, command.name)
+            result = await self.releaser.describe(command.kind, command.name)
         else:
-            done = await self.releaser.release(command.kind, command.name, author)
-        if done.is_error():
-            return Error(done.error)
-        return Ok(self._reply([], [], message=done.ok))
+            result = await self.releaser.release(command.kind, command.name, author)
+        if result.is_error():
+            return Error(result.error)
+        return Ok(self._reply([], [], message=result.ok))
 
     def _reply(
         self,
--- a/sequoiabridge/operators/journal.py
+++ b/sequoiabridge/operators/journal.py
@@ -198,8 +198,8 @@
             self.detailed_bytes -= self.detailed.popleft().size()
 
     def _summary(self, entry: CallEntry) -> str:
-        what = f"{entry.id}: {entry.service or 'no service'}, {entry.kind or 'no kind'}"
-        return f"{what}; ended {self._wall_time(entry.ended)} on {self.vm}"
+        description = f"{entry.id}: {entry.service or 'no service'}, {entry.kind or 'no kind'}"
+        return f"{description}; ended {self._wall_time(entry.ended)} on {self.vm}"
 
     def _refusal_row(self, entry: CallEntry) -> RefusalRow:
         refusal = entry.refusal
@@ -222,13 +222,13 @@
 
 def describe_outcome(entry: CallEntry) -> str:
     """Return one line that says how a call ended."""
-    took = f"after {entry.seconds * 1000:.1f} ms and {format_count(entry.attempts, 'attempt')}"
+    duration = f"after {entry.seconds * 1000:.1f} ms and {format_count(entry.attempts, 'attempt')}"
     if entry.refusal is None:
         hedged = ", hedged" if entry.hedged else ""
-        return f"answered {entry.status} by {entry.upstream or 'this daemon'} {took}{hedged}"
+        return f"answered {entry.status} by {entry.upstream or 'this daemon'} {duration}{hedged}"
     refusal = entry.refusal
-    words = f"{refusal.reason.value}, {refusal.outcome.value}"
-    return f"refused {refusal.status}, {words}, {took}: {refusal}"
+    cause = f"{refusal.reason.value}, {refusal.outcome.value}"
+    return f"refused {refusal.status}, {cause}, {duration}: {refusal}"
 
 
 def note_size(note: object) -> int:
--- a/sequoiabridge/operators/parser.py
+++ b/sequoiabridge/operators/parser.py
@@ -37,7 +37,7 @@
 TERMINAL_KEYWORDS = {
     "SUBJECT": [subject.value for subject in Subject],
     "KIND": [kind.value for kind in EntryKind],
-    "HELD": [held.value for held in HeldKind],
+    "HELD": [kind.value for kind in HeldKind],
 }
 """Keywords that each terminal with a choice of keywords matches."""
 
@@ -91,9 +91,9 @@
 def explain_error(text: str, error: UnexpectedInput) -> LanguageError:
     """Return the `LanguageError` for a lark error, with suggestions of similar keywords."""
     position = error_position(text, error)
-    words, descriptions = expected_terms(error)
+    keywords, descriptions = expected_terms(error)
     found = NEXT_TOKEN.match(text, position)
-    expected = [*words, *descriptions]
+    expected = [*keywords, *descriptions]
     message = f"expected {join_choices(expected)}"
     if found is None:
         return LanguageError(f"{message}, but the command ends here.", position + 1, expected)
@@ -101,7 +101,7 @@
         message = "the closing quote is missing; add one after the value."
         return LanguageError(message, position + 1, ['"'])
     message = f"{message}, but found {quote_token(found.group())}."
-    return LanguageError(message + did_you_mean(found.group(), words), position + 1, expected)
+    return LanguageError(message + did_you_mean(found.group(), keywords), position + 1, expected)
 
 
 def error_position(text: str, error: UnexpectedInput) -> int:
@@ -120,16 +120,16 @@
         terminals = set(error.accepts or error.expected)
     elif isinstance(error, UnexpectedCharacters):
         terminals = set(error.allowed or ())
-    words: list[str] = []
+    keywords: list[str] = []
     descriptions: set[str] = set()
     for terminal in sorted(terminals - {"WS"}):
         if terminal in TERMINAL_KEYWORDS:
-            words += TERMINAL_KEYWORDS[terminal]
+            keywords += TERMINAL_KEYWORDS[terminal]
         elif terminal in TERMINAL_DESCRIPTIONS:
             descriptions.add(TERMINAL_DESCRIPTIONS[terminal])
         else:
-            words.append(terminal.removeprefix("_").lower())
-    return words, sorted(descriptions)
+            keywords.append(terminal.removeprefix("_").lower())
+    return keywords, sorted(descriptions)
 
 
 def quote_token(found: str) -> str:
@@ -146,9 +146,9 @@
     return ", ".join(choices[:-1]) + " or " + choices[-1]
 
 
-def did_you_mean(found: str, words: list[str]) -> str:
+def did_you_mean(found: str, choices: list[str]) -> str:
     """Return a sentence that suggests similar words, or an empty string."""
-    matches = get_close_matches(found.lower(), words, n=MAX_SUGGESTIONS)
+    matches = get_close_matches(found.lower(), choices, n=MAX_SUGGESTIONS)
     return f" Did you mean {join_choices(matches)}?" if matches else ""
 
 
--- a/sequoiabridge/operators/releases.py
+++ b/sequoiabridge/operators/releases.py
@@ -105,8 +105,8 @@
             return Error(
                 NotFound(f"Upload {name} is {state.value}, not held; it needs no release.")
             )
-        of = f"Upload {name} of {manifest.caller} for {manifest.service}"
-        return Ok(f"{of} is held: {manifest.error}.")
+        description = f"Upload {name} of {manifest.caller} for {manifest.service}"
+        return Ok(f"{description} is held: {manifest.error}.")
 
     async def _release_upload(self, name: str, author: str) -> Result[str, SequoiaError]:
         found = await self._describe_upload(name)
--- a/sequoiabridge/operators/routes.py
+++ b/sequoiabridge/operators/routes.py
@@ -82,8 +82,8 @@
         return route
 
     def _check_token(self, request: AdminRequest) -> None:
-        given = request.headers.get("authorization", "")
-        scheme, _, token = given.partition(" ")
+        header = request.headers.get("authorization", "")
+        scheme, _, token = header.partition(" ")
         is_valid = hmac.compare_digest(token.strip().encode(), self.token)
         if is_valid and scheme.lower() == "bearer":
             return
@@ -95,10 +95,12 @@
 
     def _check_vm(self, request: AdminRequest) -> None:
         """Reject a query that was meant for another VM."""
-        asked, own = request.query.get("vm", self.executor.vm), self.executor.vm
-        if asked == own:
+        requested, own = request.query.get("vm", self.executor.vm), self.executor.vm
+        if requested == own:
             return
-        message = f"This is {own}, not {asked}; [admin] address needs the same port on every VM."
+        message = (
+            f"This is {own}, not {requested}; [admin] address needs the same port on every VM."
+        )
         raise RequestRejected(421, "wrong-vm", message)
 
     async def _metrics(self, request: AdminRequest) -> AdminAnswer:
--- a/sequoiabridge/operators/steps.py
+++ b/sequoiabridge/operators/steps.py
@@ -48,12 +48,17 @@
         line = f"chose {self.upstream}" if self.upstream else "no upstream available"
         if not self.candidates:
             return line
-        scores = "; ".join(f"{w.name} {w.score:.3g} ({w.detail})" for w in self.candidates)
+        scores = "; ".join(
+            f"{candidate.name} {candidate.score:.3g} ({candidate.detail})"
+            for candidate in self.candidates
+        )
         more = f"; and {self.omitted} more" if self.omitted else ""
         return f"{line}; scores: {scores}{more}"
 
     def size(self) -> int:
-        return STEP_BYTES + sum(CANDIDATE_BYTES + len(w.detail) for w in self.candidates)
+        return STEP_BYTES + sum(
+            CANDIDATE_BYTES + len(candidate.detail) for candidate in self.candidates
+        )
 
 
 class AttemptFailed(Step):
@@ -69,8 +74,8 @@
 
     def __str__(self) -> str:
         reached = "may have reached the upstream" if self.sent else "did not reach the upstream"
-        took = f"after {self.seconds * 1000:.1f} ms"
-        return f"{self.upstream} failed {took}: {self.failure.value}, {reached}"
+        duration = f"after {self.seconds * 1000:.1f} ms"
+        return f"{self.upstream} failed {duration}: {self.failure.value}, {reached}"
 
 
 class RetryDecision(Step):
--- a/sequoiabridge/tests/operators/fakes.py
+++ b/sequoiabridge/tests/operators/fakes.py
@@ -43,10 +43,10 @@
     """Returns the same rows for every subject."""
 
     def __init__(self, rows):
-        self.found = rows
+        self.all_rows = rows
 
     async def rows(self, subject, of):
-        return Ok(self.found)
+        return Ok(self.all_rows)
 
 
 class FakeConfigurationRepository(ConfigurationRepository):
@@ -69,8 +69,8 @@
         newest = self.documents[max(self.documents)]
         if expect != newest.version:
             return Error(ConflictError(f"{newest.author} set version {newest.version}."))
-        made = newest.with_change(change, newest.version + 1, author, 1_700_000_000.0)
-        return made.map(self._keep)
+        changed = newest.with_change(change, newest.version + 1, author, 1_700_000_000.0)
+        return changed.map(self._keep)
 
     def count_in_force(self, version):
         return self.in_force
@@ -129,7 +129,7 @@
         routes = AdminRoutes(TOKEN, self.readiness, Metrics(), dump, self.executor)
         self.server = AdminServer("127.0.0.1:0", routes, AdminLimits(**limits))
 
-    def ask(self, text):
+    def execute(self, text):
         """Run a command without HTTP; return the reply or the error."""
         result = curio.run(self.executor.execute(text, "anna"))
         return result.ok if result.is_ok() else result.error
--- a/sequoiabridge/tests/operators/test_admin.py
+++ b/sequoiabridge/tests/operators/test_admin.py
@@ -24,10 +24,10 @@
 
 @pytest.mark.parametrize("token", ["", "wrong", TOKEN + "x", TOKEN[:-1], "é"])
 def test_a_wrong_token_gives_access_to_health_and_metrics_only(token):
-    guarded = ["GET /dump", "POST /ask", "POST /apply", "GET /explain/r1", "GET /rows", "GET /no"]
-    pages = ["GET /ready", "GET /live", "GET /metrics", "HEAD /ready"]
-    answers = serve(*(request(*page.split(), token=token) for page in guarded + pages))
-    assert [status for status, _ in answers] == [401] * len(guarded) + [200] * len(pages)
+    protected = ["GET /dump", "POST /ask", "POST /apply", "GET /explain/r1", "GET /rows", "GET /no"]
+    public = ["GET /ready", "GET /live", "GET /metrics", "HEAD /ready"]
+    answers = serve(*(request(*page.split(), token=token) for page in protected + public))
+    assert [status for status, _ in answers] == [401] * len(protected) + [200] * len(public)
     assert not any(TOKEN.encode() in body for _, body in answers)
 
 
--- a/sequoiabridge/tests/operators/test_journal.py
+++ b/sequoiabridge/tests/operators/test_journal.py
@@ -37,19 +37,19 @@
     notes = [f"note {number}" for number in range(1000)]
     record(journal, "r1", notes=notes)
     notes.append("a late note")
-    story = journal.explain("r1")
-    assert len(story) <= MAX_NOTES + 3
-    assert (story[1], story[-2]) == ("note 0", "note 999")
+    lines = journal.explain("r1")
+    assert len(lines) <= MAX_NOTES + 3
+    assert (lines[1], lines[-2]) == ("note 0", "note 999")
 
 
 def test_explain_lists_candidates_failures_and_retry_decisions():
     journal = Journal(ManualClock(), "vm1", sample_interval=2)
-    weighed = [
+    candidates = [
         ScoredUpstream("a1", 0.5, "1 in flight, 4 ms old"),
         ScoredUpstream("a2", 2.0, "3 in flight"),
     ]
     notes = [
-        UpstreamChosen("a1", weighed),
+        UpstreamChosen("a1", candidates),
         AttemptFailed("a1", Failure.SHED, sent=True, seconds=0.004),
         RetryDecision("retry", True, "the upstream said that it did not run"),
         RetryDecision("hedge", False, "the budget is spent"),
--- a/sequoiabridge/tests/operators/test_tool_and_port.py
+++ b/sequoiabridge/tests/operators/test_tool_and_port.py
@@ -8,13 +8,13 @@
 from .fakes import TOKEN, FakeDaemon
 
 
-def with_client(work, token=TOKEN):
-    """Run `work(client)` in a thread while the admin port is being served."""
+def with_client(use_client, token=TOKEN):
+    """Run `use_client(client)` in a thread while the admin port is being served."""
 
     async def run():
         async with FakeDaemon() as daemon:
             client = AdminClient(daemon.server.address, token)
-            return await curio.run_in_thread(work, client)
+            return await curio.run_in_thread(use_client, client)
 
     return curio.run(run)
 
@@ -40,22 +40,22 @@
     ],
 )
 def test_the_client_raises_the_error_type_of_each_http_status(path, body, error):
-    def work(client):
+    def use_client(client):
         return client.get(*path) if body is None else client.post(*path, body=body)
 
     with pytest.raises(error) as raised:
-        with_client(work)
+        with_client(use_client)
     assert ("column 6: expected services" in str(raised.value)) == ("serices" in str(body))
     with pytest.raises(AdminError, match="bearer token"):
-        with_client(work, token="wrong")
+        with_client(use_client, token="wrong")
 
 
 def test_a_conflict_names_the_operator_who_made_the_newer_version(monkeypatch):
     monkeypatch.setenv("SEQUOIA_AUTHOR", "aino")
 
-    def work(client):
+    def use_client(client):
         client.post("ask", body="drain upstream a1")
         return client.post("ask", body="resume upstream a1 expect version 1")
 
     with pytest.raises(ConflictError, match="aino"):
-        with_client(work)
+        with_client(use_client)
