--- a/sequoiabridge/callers/body.py
+++ b/sequoiabridge/callers/body.py
@@ -6,8 +6,8 @@
 from ..exceptions import CallerGone
 from ..outcome import Outcome
 from ..pipeline.exchange import Body
-from .refusals import bad_request, body_too_large, too_slow
-from .wire import CONTINUE, CallerWire, Phase
+from .refusals import bad_request, body_too_large, caller_too_slow
+from .transport import CONTINUE, CallerTransport, Phase
 
 
 class CallerBody(Body):
@@ -22,10 +22,10 @@
         ended: True after the clean end.
     """
 
-    __slots__ = ("wire", "length", "max_body", "waits", "reader", "received", "ended")
+    __slots__ = ("transport", "length", "max_body", "waits", "reader", "received", "ended")
 
-    def __init__(self, wire: CallerWire, length: int | None, max_body: int, waits: bool):
-        self.wire = wire
+    def __init__(self, transport: CallerTransport, length: int | None, max_body: int, waits: bool):
+        self.transport = transport
         self.length = length
         self.waits = waits
         self.reader = body_reader(length)
@@ -50,7 +50,7 @@
             raise body_too_large(self.max_body, self._outcome())
         if self.waits:
             self.waits = False
-            await self.wire.send(CONTINUE)
+            await self.transport.send(CONTINUE)
         while (event := self._next_event()) is None:
             await self._receive()
         if type(event) is h11.Data:
@@ -77,18 +77,18 @@
 
     def _next_event(self) -> h11.Data | h11.EndOfMessage | None:
         try:
-            return self.wire.received.read_body_event(self.reader)
+            return self.transport.received.read_body_event(self.reader)
         except h11.LocalProtocolError as error:
             refusal = bad_request(f"The request's body is malformed: {error}. Correct it.")
             refusal.outcome = self._outcome()
             raise refusal from error
 
     async def _receive(self) -> None:
-        wire = self.wire
-        if await wire.receive(Phase.BODY, wire.limits.body_timeout):
+        transport = self.transport
+        if await transport.receive(Phase.BODY, transport.limits.body_timeout):
             return
-        if wire.expired:
-            raise too_slow("body", self._outcome())
+        if transport.expired:
+            raise caller_too_slow("body", self._outcome())
         raise CallerGone("It closed its connection within the request's body.")
 
     def _outcome(self) -> Outcome:
--- a/sequoiabridge/callers/connection.py
+++ b/sequoiabridge/callers/connection.py
@@ -25,8 +25,8 @@
 from ..pipeline.exchange import Answer, Body, BytesBody, Request
 from .body import CallerBody
 from .framing import checked_head
-from .refusals import bad_request, internal_error, too_slow, upstream_failed
-from .wire import CallerWire, Phase
+from .refusals import bad_request, caller_too_slow, internal_error, upstream_failed
+from .transport import CallerTransport, Phase
 
 if TYPE_CHECKING:
     from .server import CallerServer
@@ -54,11 +54,11 @@
         version: The caller's version of HTTP.
     """
 
-    __slots__ = ("server", "wire", "peer", "keeps_alive", "version")
+    __slots__ = ("server", "transport", "peer", "keeps_alive", "version")
 
     def __init__(self, server: CallerServer, sock: socket.socket, peer: str):
         self.server = server
-        self.wire = CallerWire(sock, server.limits, server.clock)
+        self.transport = CallerTransport(sock, server.limits, server.clock)
         self.peer = peer
         self.keeps_alive = True
         self.version = HTTP_11
@@ -73,7 +73,7 @@
         except SequoiaError as error:
             log.warning("A connection was given up. %s", error)
         finally:
-            await self.wire.close()
+            await self.transport.close()
 
     async def _serve_one(self) -> bool:
         """Serve the next request; return True if another may follow."""
@@ -95,22 +95,22 @@
 
     async def _read_head(self) -> tuple[h11.Request | None, bytes]:
         """Return the next request and the bytes it was parsed from; None at the caller's end."""
-        wire, limits, now = self.wire, self.server.limits, self.server.clock.now
+        transport, limits, now = self.transport, self.server.limits, self.server.clock.now
         timeout, head_end = limits.idle_timeout, None
         while True:
-            if wire.received:
-                event, raw = wire.received.read_request()
-                if max(len(raw), 0 if event else len(wire.received)) > limits.max_head:
+            if transport.received:
+                event, raw = transport.received.read_request()
+                if max(len(raw), 0 if event else len(transport.received)) > limits.max_head:
                     message = f"The head has more than {limits.max_head} bytes. Send less."
                     raise bad_request(message, 431)
                 if event is not None:
                     return event, raw
                 head_end = head_end or now() + limits.head_timeout
                 timeout = head_end - now()
-            phase = Phase.HEAD if wire.received else Phase.IDLE
-            if not await wire.receive(phase, timeout):
-                if wire.received and wire.expired:
-                    raise too_slow("head")
+            phase = Phase.HEAD if transport.received else Phase.IDLE
+            if not await transport.receive(phase, timeout):
+                if transport.received and transport.expired:
+                    raise caller_too_slow("head")
                 return None, b""
 
     async def _exchange(self, event: h11.Request, head: MessageHead) -> bool:
@@ -119,9 +119,9 @@
         body = request.body  # The handler may put another in its place.
         self.keeps_alive = head.keeps_alive
         self.version = event.http_version
-        self.wire.probeable = self.version == HTTP_11
+        self.transport.probeable = self.version == HTTP_11
         handler = self.server.handler
-        self.wire.handling()
+        self.transport.handling()
         try:
             answer = await handler.answer(request)
         except CallerGone:
@@ -149,7 +149,7 @@
         body = None
         if length != 0:
             limit = self.server.limits.max_body
-            body = CallerBody(self.wire, length, limit, head.expects_continue)
+            body = CallerBody(self.transport, length, limit, head.expects_continue)
         return Request(event.method, event.target, head.pairs, length, body, self.peer)
 
     def _refused(self, error: Exception) -> Answer:
@@ -176,7 +176,7 @@
             CallerGone: The caller left.
             SequoiaError: The answer could not be completed.
         """
-        wire, source, status = self.wire, answer.body, answer.status
+        transport, source, status = self.transport, answer.body, answer.status
         if isinstance(source, BytesBody):
             size = len(source.data)
             if answer.length not in (size, None):
@@ -185,26 +185,26 @@
         unread = body is not None and not body.ended and not body.skip_buffered()
         if unread or self.server.stopping:
             self.keeps_alive = False
-        wire.probeable = False
+        transport.probeable = False
         bodiless = method == b"HEAD" or status in BODILESS_STATUSES
         fields = self._fields(answer, bodiless)
         reason = REASON_PHRASES.get(status, b"")
         head = encode_response_head(h11.Response(status_code=status, headers=fields, reason=reason))
         if bodiless or source is None:
-            await wire.send(head)
+            await transport.send(head)
         elif isinstance(source, BytesBody):
-            await wire.send(head + source.data)
+            await transport.send(head + source.data)
         else:
-            await wire.send(head)
+            await transport.send(head)
             await self._stream(source, answer.length)
 
     async def _stream(self, body: Body, length: int | None) -> None:
         writer = body_writer(length, chunked=self.version == HTTP_11)
         try:
             while piece := await body.read():
-                await self.wire.send(encode_body_event(writer, h11.Data(piece)))
+                await self.transport.send(encode_body_event(writer, h11.Data(piece)))
             if end := encode_body_event(writer, END_OF_MESSAGE):
-                await self.wire.send(end)
+                await self.transport.send(end)
         except h11.LocalProtocolError as error:
             message = f"The answer's body is not as long as it says: {error}."
             raise UpstreamFailed(message, sent=True) from error
@@ -229,11 +229,11 @@
         (HTTP/1.0) shows it only by a reset.
         """
         if answer.length is None and self.version != HTTP_11:
-            self.wire.abort_on_close()
+            self.transport.abort_on_close()
 
     async def _next_cycle(self, body: CallerBody | None = None) -> bool:
         """Get ready for the next request; False if there can be none."""
         if self.keeps_alive and (body is None or body.ended):
             return True
-        await self.wire.drain()
+        await self.transport.drain()
         return False
--- a/sequoiabridge/callers/refusals.py
+++ b/sequoiabridge/callers/refusals.py
@@ -36,7 +36,7 @@
     return Refusal(status, Outcome.NOT_RUN, reason, message)
 
 
-def too_slow(what: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
+def caller_too_slow(what: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
     """Return the refusal of a caller that did not send `what` in time."""
     message = f"The request's {what} did not come in time. Send it again over a faster line."
     return Refusal(408, outcome, Reason.CALLER_TOO_SLOW, message)
--- a/sequoiabridge/callers/server.py
+++ b/sequoiabridge/callers/server.py
@@ -17,7 +17,7 @@
 from .connection import CallerConnection, standalone
 from .limits import CallerLimits
 from .refusals import RefusalWriter, refusal_answer, too_many_connections
-from .wire import Phase
+from .transport import Phase
 
 log = get_log("callers")
 
@@ -63,7 +63,7 @@
         clock: Source of time.
         ids: Returns a new request id, for answers that no handler made.
         refuse: Writes the answers that no handler made.
-        half_close_is_leaving: A caller that ends its sending side has left; else it is sent an
+        cancel_on_half_close: A caller that ends its sending side has left; else it is sent an
             interim answer, to find out. For callers that never half-close and know no interim
             answers.
         sweep_interval: Seconds between two looks at all connections.
@@ -83,7 +83,7 @@
         clock: Clock,
         ids: Callable[[], str],
         refuse: RefusalWriter = refusal_answer,
-        half_close_is_leaving: bool = False,
+        cancel_on_half_close: bool = False,
         sweep_interval: float = SWEEP_INTERVAL,
     ):
         self.handler = handler
@@ -91,11 +91,11 @@
         self.clock = clock
         self.ids = ids
         self.refuse = refuse
-        self.half_close_is_leaving = half_close_is_leaving
+        self.cancel_on_half_close = cancel_on_half_close
         self.sweep_interval = sweep_interval
         self.address = ""
         self.listener: socket.socket | None = None
-        self.open: set[CallerConnection] = set()
+        self.open_connections: set[CallerConnection] = set()
         self.refused: deque[socket.socket] = deque()
         self.in_flight = 0
         self.accepted = 0
@@ -107,7 +107,7 @@
     @property
     def connections(self) -> int:
         """Return how many callers' connections are open."""
-        return len(self.open)
+        return len(self.open_connections)
 
     def bind(self, address: str) -> None:
         """Listen on `address` ("IP:port"; port 0 picks a free one).
@@ -142,8 +142,8 @@
                 await self.sweep()
         finally:
             await self.acceptor.cancel()
-            for connection in list(self.open):
-                await connection.wire.task.cancel()
+            for connection in list(self.open_connections):
+                await connection.transport.task.cancel()
 
     def announce_stop(self) -> None:
         """Begin a planned stop: go on serving, but let each answer carry `Connection: close`."""
@@ -163,25 +163,25 @@
             pass
         self.listener.close()
         end = self.clock.now() + IDLE_GRACE
-        for connection in self.open:
-            if connection.wire.phase is Phase.IDLE:
-                connection.wire.deadline = min(connection.wire.deadline, end)
+        for connection in self.open_connections:
+            if connection.transport.phase is Phase.IDLE:
+                connection.transport.deadline = min(connection.transport.deadline, end)
         log.info("Accepting no more; %d requests are in flight.", self.in_flight)
 
     async def wait_idle(self) -> None:
         """Wait until the last connection is closed, however long its request takes."""
-        while self.open:
+        while self.open_connections:
             await curio.sleep(SWEEP_INTERVAL)
 
     async def sweep(self) -> None:
         """End waits that are over and cancel handlers whose caller has gone."""
         now = self.clock.now()
         handling: dict[int, CallerConnection] = {}
-        for connection in list(self.open):
-            if connection.wire.phase is Phase.HANDLER:
-                handling[connection.wire.sock.fileno()] = connection
+        for connection in list(self.open_connections):
+            if connection.transport.phase is Phase.HANDLER:
+                handling[connection.transport.sock.fileno()] = connection
             else:
-                connection.wire.check(now)
+                connection.transport.check(now)
         while self.refused:
             self.refused.popleft().close()
         if handling:
@@ -189,7 +189,7 @@
 
     def dump(self) -> dict:
         """Describe the server for the state dump."""
-        phases = Counter(connection.wire.phase.value for connection in self.open)
+        phases = Counter(connection.transport.phase.value for connection in self.open_connections)
         return {
             "address": self.address,
             "stopping": self.stopping,
@@ -209,11 +209,11 @@
             connection = handling[fileno]
             if events & GONE:
                 log.debug("A caller left; its request is cancelled.")
-                await connection.wire.task.cancel(blocking=False)
-            elif events & HALF_CLOSED and self.half_close_is_leaving:
-                await connection.wire.task.cancel(blocking=False)
+                await connection.transport.task.cancel(blocking=False)
+            elif events & HALF_CLOSED and self.cancel_on_half_close:
+                await connection.transport.task.cancel(blocking=False)
             elif events & HALF_CLOSED:
-                connection.wire.probe()
+                connection.transport.probe()
 
     async def _accept(self) -> None:
         try:
@@ -241,15 +241,15 @@
             self._turn_away(sock)
             return True
         connection = CallerConnection(self, sock, f"{peer[0]}:{peer[1]}")
-        self.open.add(connection)
-        connection.wire.task = await curio.spawn(self._run(connection), daemon=True)
+        self.open_connections.add(connection)
+        connection.transport.task = await curio.spawn(self._run(connection), daemon=True)
         return True
 
     async def _run(self, connection: CallerConnection) -> None:
         try:
             await connection.run()
         finally:
-            self.open.discard(connection)
+            self.open_connections.discard(connection)
 
     def _turn_away(self, sock: socket.socket) -> None:
         """Tell a caller beyond the limit so; the socket is closed by the next sweep."""
--- a/sequoiabridge/callers/wire.py
+++ b/sequoiabridge/callers/transport.py
@@ -43,7 +43,7 @@
     CLOSING = "closing"
 
 
-class CallerWire:
+class CallerTransport:
     """A caller's connection below the level of requests.
 
     Attributes:
--- a/sequoiabridge/gateway.py
+++ b/sequoiabridge/gateway.py
@@ -249,7 +249,7 @@
             clock,
             self.relay.next_id,
             self.dialect.refusal,
-            half_close_is_leaving=True,
+            cancel_on_half_close=True,
             sweep_interval=CALLER_POLL_INTERVAL,
         )
         self.ready = CallerServer(
@@ -302,7 +302,7 @@
         await curio.sleep(BALANCER_DELAY)
         await self.callers.stop_accepting()
         end = began + self.settings.bounds.grace - STOP_MARGIN
-        while self.callers.open and self.clock.now() < end:
+        while self.callers.open_connections and self.clock.now() < end:
             await curio.sleep(STOP_POLL_INTERVAL)
         await self.connector.close()
         self.decisions.event("stopped", cut_off=self.callers.in_flight)
--- a/sequoiabridge/relay/bodies.py
+++ b/sequoiabridge/relay/bodies.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from ..callers.refusals import too_slow
+from ..callers.refusals import caller_too_slow
 from ..pipeline.buffering import ReplayableBody
 from ..pipeline.exchange import Request
 from .attempt import PrefixedBody
@@ -32,7 +32,7 @@
                 chunks.append(chunk)
                 size += len(chunk)
     except curio.TaskTimeout:
-        raise too_slow("body") from None
+        raise caller_too_slow("body") from None
     prefix = b"".join(chunks)
     if size > MAX_BUFFERED_BODY:
         request.body = PrefixedBody(prefix, body)
--- a/sequoiabridge/tests/matrix/breaks.py
+++ b/sequoiabridge/tests/matrix/breaks.py
@@ -288,8 +288,8 @@
 
 def cut_off_on_stop() -> list[Patch]:
     async def cut(self) -> None:
-        for connection in list(self.open):
-            await connection.wire.task.cancel()
+        for connection in list(self.open_connections):
+            await connection.transport.task.cancel()
 
     return [(CallerServer, "wait_idle", cut)]
 
--- a/sequoiabridge/tests/matrix/vm.py
+++ b/sequoiabridge/tests/matrix/vm.py
@@ -184,6 +184,6 @@
         self.ends.add(far)
         server = self.daemon.callers
         connection = CallerConnection(server, far, "127.0.0.1:9999")
-        server.open.add(connection)
-        connection.wire.task = await adopt(self.owner, server._run, connection)
+        server.open_connections.add(connection)
+        connection.transport.task = await adopt(self.owner, server._run, connection)
         return Socket(near)
