--- a/sequoiabridge/policy/admission.py
+++ b/sequoiabridge/policy/admission.py
@@ -13,8 +13,8 @@
 
 from ..outcome import Reason
 from .concurrency import ConcurrencyLimit
+from .latency_estimate import ESTIMATE_DECAY_SECONDS, LatencyEstimate
 from .tickets import ADMITTED, QUEUED, Decision, Ticket, Verdict
-from .usual import ESTIMATE_DECAY_SECONDS, LatencyEstimate
 
 INTERVAL_WEIGHT = 0.1
 """Weight of the newest interval between ends of calls in the moving average."""
