--- a/sequoiabridge/pipeline/services.py
+++ b/sequoiabridge/pipeline/services.py
@@ -14,13 +14,13 @@
 from ..policy.admission import AdmissionQueue
 from ..policy.choosers import chooser_named
 from ..policy.concurrency import ConcurrencyLimit
+from ..policy.connection_shares import LiveVmCount, connection_share
 from ..policy.crashes import CrashLedger
 from ..policy.options import PoolOptions
 from ..policy.pool import PoolState
 from ..policy.probing import ProbeBudget
 from ..policy.quantiles import LatencyHistogram
 from ..policy.retries import RetryBudget, hedge_delay
-from ..policy.shares import LiveVmCount, connection_share
 from ..policy.upstream_state import UpstreamSpec
 from ..timers import Clock, Timers
 from .exchange import Exchange
--- a/sequoiabridge/tests/policy/test_retries.py
+++ b/sequoiabridge/tests/policy/test_retries.py
@@ -3,9 +3,9 @@
 from itertools import product
 from types import SimpleNamespace
 
+from ...policy.connection_shares import LiveVmCount, connection_share
 from ...policy.quantiles import LatencyHistogram
 from ...policy.retries import MIN_FLEET_RETRIES, RetryBudget, hedge_delay, may_retry
-from ...policy.shares import LiveVmCount, connection_share
 
 
 def test_may_retry_truth_table():
