--- a/sequoiabridge/config/document.py
+++ b/sequoiabridge/config/document.py
@@ -32,7 +32,7 @@
         services, pools, upstreams, rules: Entries by name.
         unknown: Options of entries whose kind this release does not support, by (kind, name).
         by_address: Names of upstreams by address.
-        members: Ids of the entries that refer to a service or pool, by (kind, name) of the latter.
+        dependants: Ids of the entries that refer to a service or pool, by its (kind, name).
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "rules",
         "unknown",
         "by_address",
-        "members",
+        "dependants",
         "host_table",
         "rule_tables",
         "upstream_lists",
@@ -61,7 +61,7 @@
         self.rules: dict[str, Rule] = {}
         self.unknown: dict[EntryId, dict[str, str]] = {}
         self.by_address: dict[str, str] = {}
-        self.members: dict[EntryId, set[EntryId]] = {}
+        self.dependants: dict[EntryId, set[EntryId]] = {}
         self.host_table: HostTable | None = None
         self.rule_tables: dict[str, RuleTable] = {}
         self.upstream_lists: dict[str, tuple[Upstream, ...]] = {}
@@ -106,7 +106,7 @@
 
     def rules_for_service(self, service: str) -> list[Rule]:
         """Return the rules of a service in the order in which they are tried."""
-        names = self.members.get(("service", service), ())
+        names = self.dependants.get(("service", service), ())
         rules = [self.rules[name] for kind, name in names if kind == "rule"]
         return sorted(rules, key=lambda rule: (rule.order, rule.name))
 
@@ -115,8 +115,8 @@
         name = service if isinstance(service, str) else service.name
         found = self.upstream_lists.get(name)
         if found is None:
-            pools = [n for kind, n in self.members.get(("service", name), ()) if kind == "pool"]
-            names = sorted(n for pool in pools for _, n in self.members.get(("pool", pool), ()))
+            pools = [n for kind, n in self.dependants.get(("service", name), ()) if kind == "pool"]
+            names = sorted(n for pool in pools for _, n in self.dependants.get(("pool", pool), ()))
             found = self.upstream_lists[name] = tuple(self.upstreams[n] for n in names)
         return found
 
--- a/sequoiabridge/config/draft.py
+++ b/sequoiabridge/config/draft.py
@@ -32,7 +32,7 @@
         added: New sections.
         removed: Entries that the change removes.
         unreadable: Entries with errors; references to them are not reported.
-        copied_members: Owners whose set of members has been copied already.
+        copied_dependants: Owners whose set of dependants has been copied already.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "added",
         "removed",
         "unreadable",
-        "copied_members",
+        "copied_dependants",
     )
 
     def __init__(self, old: Document, new: Document, source: str, committed: bool):
@@ -58,7 +58,7 @@
         self.added: dict[EntryId, Section] = {}
         self.removed: set[EntryId] = set()
         self.unreadable: set[EntryId] = set()
-        self.copied_members: set[EntryId] = set()
+        self.copied_dependants: set[EntryId] = set()
 
     def apply(self, change: Change) -> Result[Document, list[Problem]]:
         """Return the new document, or every problem of the change."""
@@ -84,7 +84,7 @@
             entries = old.entries(kind)
             setattr(new, kind + "s", dict(entries) if kind in touched else entries)
         new.by_address = dict(old.by_address) if "upstream" in touched else old.by_address
-        new.members = dict(old.members)
+        new.dependants = dict(old.dependants)
         new.unknown = dict(old.unknown)
 
     def add_problem(self, entry: EntryId, key: str, wrong: str, instead: str) -> None:
@@ -111,7 +111,7 @@
         self.new.entries(kind)[name] = self.added[entry_id] = read.ok
         self.removed.discard(entry_id)
         if kind in OWNERS:
-            self.mutable_members(owner_of(read.ok)).add(entry_id)
+            self.mutable_dependants(owner_of(read.ok)).add(entry_id)
 
     def keep_unknown_entry(self, entry: SetEntry) -> None:
         """Keep a committed entry of an unsupported kind; reject any other."""
@@ -143,17 +143,17 @@
         if self.added.pop(entry_id, None) is None:
             self.replaced.append(present)
         if present.heading in OWNERS:
-            self.mutable_members(owner_of(present)).discard(entry_id)
+            self.mutable_dependants(owner_of(present)).discard(entry_id)
         if present.heading == "upstream":
             self.new.by_address.pop(present.address, None)
         return True
 
-    def mutable_members(self, owner: EntryId) -> set[EntryId]:
+    def mutable_dependants(self, owner: EntryId) -> set[EntryId]:
         """Return the ids of the entries that refer to `owner`, as a set that may be modified."""
-        if owner not in self.copied_members:
-            self.copied_members.add(owner)
-            self.new.members[owner] = set(self.new.members.get(owner, ()))
-        return self.new.members[owner]
+        if owner not in self.copied_dependants:
+            self.copied_dependants.add(owner)
+            self.new.dependants[owner] = set(self.new.dependants.get(owner, ()))
+        return self.new.dependants[owner]
 
     def check_references(self) -> None:
         """Check the touched entries against the whole document."""
@@ -191,9 +191,9 @@
 
     def check_no_dependants(self, entry_id: EntryId) -> None:
         """Check that no entry refers to a removed one."""
-        left = sorted(" ".join(member) for member in self.new.members.get(entry_id, ()))
+        left = sorted(" ".join(dependant) for dependant in self.new.dependants.get(entry_id, ()))
         if not left:
-            self.new.members.pop(entry_id, None)
+            self.new.dependants.pop(entry_id, None)
             return
         shown = ", ".join(left[:MAX_LISTED_DEPENDANTS])
         more = (
--- a/sequoiabridge/config/settings.py
+++ b/sequoiabridge/config/settings.py
@@ -65,7 +65,7 @@
 
     def check(self) -> Iterator[tuple[str, str, str]]:
         if self.idle_timeout < self.head_timeout:
-            wrong = "it is shorter than head_timeout, so the idle timeout would end slow requests"
+            wrong = "it is shorter than head_timeout, so slow request heads would time out early"
             yield "idle_timeout", wrong, "make it at least as long as head_timeout"
 
 
