--- a/sequoiabridge/tests/experiment/test_gains.py
+++ b/sequoiabridge/tests/experiment/test_gains.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_runs_with_the_same_seed_are_equal(seed):
-    from ...experiment.play import simulate
+    from ...experiment.simulation import simulate
 
     scene = parse_scene(CROWDED.replace("seconds = 12.0", "seconds = 4.0"), "test")
     first, again = simulate(scene, seed, "own"), simulate(scene, seed, "own")
--- a/sequoiabridge/tests/experiment/test_model.py
+++ b/sequoiabridge/tests/experiment/test_model.py
@@ -10,9 +10,9 @@
 from ...experiment import mechanisms
 from ...experiment.figures import Mean, RequestRecord, RunResult
 from ...experiment.mechanisms import WITHOUT, ExperimentError, parse_overrides, tunable_constants
-from ...experiment.play import Simulation
 from ...experiment.scene import SceneError, load_scene, parse_scene
 from ...experiment.scheduler import Scheduler
+from ...experiment.simulation import Simulation
 from ...experiment.upstream import Job, ModelUpstream
 from .test_gains import CROWDED
 
