--- a/sequoiabridge/commands/experiment.py
+++ b/sequoiabridge/commands/experiment.py
@@ -6,9 +6,9 @@
 
 from ..exceptions import SequoiaError
 from ..experiment.mechanisms import ExperimentError, parse_overrides
-from ..experiment.players import OWN, STRATEGIES
 from ..experiment.plots import draw
 from ..experiment.scene import load_scene
+from ..experiment.strategies import OWN, STRATEGIES
 from ..experiment.trial import REPORTED_FIELDS, Trial, run_trials
 from .tables import format_table
 
--- a/sequoiabridge/experiment/simulation.py
+++ b/sequoiabridge/experiment/simulation.py
@@ -6,9 +6,9 @@
 
 from .callers import Callers
 from .figures import RunResult
-from .players import chooser_factory
 from .scene import Fault, Scene
 from .scheduler import Scheduler
+from .strategies import chooser_factory
 from .upstream import ModelUpstream
 from .vm import ModelVm
 
--- a/sequoiabridge/experiment/trial.py
+++ b/sequoiabridge/experiment/trial.py
@@ -7,9 +7,9 @@
 
 from .figures import Mean, RunResult
 from .mechanisms import apply_overrides
-from .players import OWN
 from .scene import Scene
 from .simulation import simulate
+from .strategies import OWN
 
 REPORTED_FIELDS = ("worth", "in_time", "late", "refused", "worst", "p99", "probes_per_call")
 """Fields of `RunResult` that are shown and written, in order."""
