--- a/sequoiabridge/experiment/callers.py
+++ b/sequoiabridge/experiment/callers.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from ..balancing.routes import Route, Target
-from .figures import RequestOutcome, RequestRecord
+from .results import RequestOutcome, RequestRecord
 from .scene import CallKind
 from .scheduler import Scheduler
 from .vm import ModelCall, ModelVm
--- a/sequoiabridge/experiment/simulation.py
+++ b/sequoiabridge/experiment/simulation.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from .callers import Callers
-from .figures import RunResult
+from .results import RunResult
 from .scene import Fault, Scene
 from .scheduler import Scheduler
 from .strategies import chooser_factory
--- a/sequoiabridge/experiment/trial.py
+++ b/sequoiabridge/experiment/trial.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from multiprocessing import get_context
 
-from .figures import Mean, RunResult
 from .mechanisms import apply_overrides
+from .results import Mean, RunResult
 from .scene import Scene
 from .simulation import simulate
 from .strategies import OWN
--- a/sequoiabridge/tests/experiment/test_model.py
+++ b/sequoiabridge/tests/experiment/test_model.py
@@ -8,8 +8,8 @@
 from ...balancing.chooser import HOLD_SHARE
 from ...commands.main import main
 from ...experiment import mechanisms
-from ...experiment.figures import Mean, RequestRecord, RunResult
 from ...experiment.mechanisms import WITHOUT, ExperimentError, parse_overrides, tunable_constants
+from ...experiment.results import Mean, RequestRecord, RunResult
 from ...experiment.scene import SceneError, load_scene, parse_scene
 from ...experiment.scheduler import Scheduler
 from ...experiment.simulation import Simulation
