--- a/sequoiabridge/tests/upstreams/scripted.py
+++ b/sequoiabridge/tests/upstreams/scripted.py
@@ -25,24 +25,24 @@
     return answer, data
 
 
-def play(upstream, test, **limits):
+def run_against(upstream, test, **limits):
     """Run `test(connector, address, socks)` against `upstream(sock)`, played on each connection."""
 
     async def main():
         listener = curio.tcp_server_socket("127.0.0.1", 0)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        socks = []
+        connections = []
 
         async def serve():
             while True:
                 sock, _ = await listener.accept()
-                socks.append(sock)
+                connections.append(sock)
                 await curio.spawn(upstream, sock, daemon=True)
 
         task = await curio.spawn(serve)
         connector = HttpConnector(ManualClock(), ConnectorLimits(**limits))
         try:
-            await curio.timeout_after(10, test, connector, address, socks)
+            await curio.timeout_after(10, test, connector, address, connections)
         finally:
             await task.cancel()
             await listener.close()
@@ -50,7 +50,7 @@
     curio.run(main, selector=LazySelector())
 
 
-def answering(*answers):
+def answer_with(*answers):
     """Return an upstream that gives each connection these answers, one for each read, then ends."""
 
     async def upstream(sock):
@@ -62,7 +62,7 @@
     return upstream
 
 
-async def hello(sock):
+async def answer_hello(sock):
     """Answer each read on a connection."""
     while await sock.recv(65536):
         await sock.sendall(HELLO)
--- a/sequoiabridge/tests/upstreams/test_connections.py
+++ b/sequoiabridge/tests/upstreams/test_connections.py
@@ -5,7 +5,7 @@
 
 from ...exceptions import UpstreamFailed
 from ...pipeline.exchange import Body
-from .scripted import HELLO, answering, call, get, hello, play
+from .scripted import HELLO, answer_hello, answer_with, call, get, run_against
 
 
 class Pieces(Body):
@@ -23,20 +23,20 @@
         return b"x" * 65536
 
 
-async def lend(connector, address, fresh=False):
+async def acquire(connector, address, fresh=False):
     return await connector.acquire(address, fresh=fresh, timeout=1)
 
 
 def test_connection_is_reused_after_a_clean_end_unless_a_fresh_one_is_asked_for():
-    async def test(connector, address, socks):
+    async def test(connector, address, connections):
         for _ in range(3):
-            _, data = await call(await lend(connector, address))
+            _, data = await call(await acquire(connector, address))
             assert data == b"hello"
-        assert len(socks) == 1
-        await call(await lend(connector, address, fresh=True))
-        assert len(socks) == 2
+        assert len(connections) == 1
+        await call(await acquire(connector, address, fresh=True))
+        assert len(connections) == 2
 
-    play(hello, test)
+    run_against(answer_hello, test)
 
 
 @pytest.mark.parametrize(
@@ -52,8 +52,8 @@
     ],
 )
 def test_answer_that_is_not_surely_whole_fails_as_sent_and_closes(answer):
-    async def test(connector, address, socks):
-        connection = await lend(connector, address)
+    async def test(connector, address, connections):
+        connection = await acquire(connector, address)
         with pytest.raises(UpstreamFailed) as failed:
             await call(connection)
         assert failed.value.sent
@@ -61,27 +61,27 @@
         await connector.release(connection)
         assert connector.pools[address].count == 0
 
-    play(answering(answer), test, max_head=8192)
+    run_against(answer_with(answer), test, max_head=8192)
 
 
 def test_bytes_after_an_answer_are_never_anothers_answer():
-    async def test(connector, address, socks):
-        await call(await lend(connector, address))
-        await call(await lend(connector, address))
-        assert len(socks) == 2
+    async def test(connector, address, connections):
+        await call(await acquire(connector, address))
+        await call(await acquire(connector, address))
+        assert len(connections) == 2
 
-    play(answering(HELLO + HELLO), test)
+    run_against(answer_with(HELLO + HELLO), test)
 
 
 def test_connection_closed_by_its_upstream_is_not_lent():
-    async def test(connector, address, socks):
-        await call(await lend(connector, address))
-        await socks[0].close()
+    async def test(connector, address, connections):
+        await call(await acquire(connector, address))
+        await connections[0].close()
         await curio.sleep(0)
-        assert (await call(await lend(connector, address)))[1] == b"hello"
-        assert len(socks) == 2
+        assert (await call(await acquire(connector, address)))[1] == b"hello"
+        assert len(connections) == 2
 
-    play(hello, test)
+    run_against(answer_hello, test)
 
 
 def test_cancelled_wait_can_go_on_and_a_given_up_one_is_closed():
@@ -90,8 +90,8 @@
         await started.wait()
         await sock.sendall(b"HTTP/1.1 103 Early Hints\r\n\r\n" + HELLO)
 
-    async def test(connector, address, socks):
-        connection = await lend(connector, address)
+    async def test(connector, address, connections):
+        connection = await acquire(connector, address)
         await connection.send(get())
         with pytest.raises(curio.TaskTimeout):
             await curio.timeout_after(0.01, connection.read_head)
@@ -99,7 +99,7 @@
         assert (await connection.read_head()).status == 200
         assert connection.is_reusable
         started.clear()
-        loser = await lend(connector, address, fresh=True)
+        loser = await acquire(connector, address, fresh=True)
         await loser.send(get())
         task = await curio.spawn(loser.read_head)
         await curio.sleep(0.01)
@@ -110,7 +110,7 @@
         assert connector.pools[address].count == 1
 
     started = curio.Event()
-    play(slow, test)
+    run_against(slow, test)
 
 
 @pytest.mark.parametrize("close", [True, False])
@@ -121,15 +121,15 @@
         if close:
             await sock.close()
 
-    async def test(connector, address, socks):
+    async def test(connector, address, connections):
         body = Pieces(1000)
-        connection = await lend(connector, address)
+        connection = await acquire(connector, address)
         answer, data = await call(connection, get(b"PUT", length=None, body=body))
         assert answer.status == 413 and data == b"hello"
         assert body.read_count < 1000
         assert connector.pools[address].count == 0
 
-    play(refuse, test)
+    run_against(refuse, test)
 
 
 def test_early_acceptance_counts_only_once_all_of_the_body_was_taken():
@@ -139,42 +139,42 @@
         await curio.sleep(0.02)
         await sock.close()
 
-    async def test(connector, address, socks):
-        connection = await lend(connector, address)
+    async def test(connector, address, connections):
+        connection = await acquire(connector, address)
         with pytest.raises(UpstreamFailed) as failed:
             await call(connection, get(b"PUT", length=None, body=Pieces(1000)))
         assert failed.value.sent
 
-    play(too_soon, test)
+    run_against(too_soon, test)
 
 
 def test_share_refuses_with_nothing_sent_and_so_does_a_closed_port():
-    async def test(connector, address, socks):
+    async def test(connector, address, connections):
         connector.set_share(address, 1)
-        first = await lend(connector, address)
+        first = await acquire(connector, address)
         with pytest.raises(UpstreamFailed) as failed:
-            await lend(connector, address)
+            await acquire(connector, address)
         assert not failed.value.sent
         await connector.release(first)
-        await lend(connector, address)
+        await acquire(connector, address)
         with pytest.raises(UpstreamFailed) as failed:
-            await lend(connector, "127.0.0.1:1")
+            await acquire(connector, "127.0.0.1:1")
         assert not failed.value.sent
 
-    play(hello, test)
+    run_against(answer_hello, test)
 
 
 def test_suspected_and_old_connections_are_not_reused():
-    async def test(connector, address, socks):
-        idle, busy = await lend(connector, address), await lend(connector, address)
+    async def test(connector, address, connections):
+        idle, busy = await acquire(connector, address), await acquire(connector, address)
         await call(idle)
         connector.clock.advance(1)
         await connector.close_older(address, connector.clock.now())
         await call(busy)
         assert connector.pools[address].count == 0, "the busy one was suspected too"
-        await call(await lend(connector, address))
+        await call(await acquire(connector, address))
         connector.clock.advance(31)
         await connector.close_expired()
         assert not connector.pools
 
-    play(hello, test)
+    run_against(answer_hello, test)
--- a/sequoiabridge/tests/upstreams/test_fetch.py
+++ b/sequoiabridge/tests/upstreams/test_fetch.py
@@ -4,13 +4,13 @@
 
 from ...pipeline.exchange import Answer, Body
 from ...upstreams.base import Connector, UpstreamConnection
-from ...upstreams.fetch import STEP, fetch
+from ...upstreams.fetch import STEP_BYTES, fetch
 
 SIZE = 4 << 20
 BODY = bytes(range(256)) * (SIZE // 256)
 
 
-class Ready(Connector, UpstreamConnection):
+class ImmediateConnector(Connector, UpstreamConnection):
     """Takes and gives bytes without ever waiting, as a fast platform does."""
 
     is_reusable = True
@@ -55,7 +55,7 @@
         return bytes(piece)
 
 
-async def fetched(connector, body):
+async def fetch_and_count_turns(connector, body):
     """Return the answer, and how often another task ran meanwhile."""
     turns = 0
 
@@ -72,12 +72,12 @@
 
 
 def test_a_large_body_goes_in_steps_with_turns_for_others():
-    connector = Ready()
-    found, turns = curio.run(fetched, connector, BODY)
+    connector = ImmediateConnector()
+    found, turns = curio.run(fetch_and_count_turns, connector, BODY)
     assert found.status == 200 and bytes(connector.sent) == BODY
-    assert connector.largest <= STEP and turns >= SIZE // STEP
+    assert connector.largest <= STEP_BYTES and turns >= SIZE // STEP_BYTES
 
 
 def test_a_large_answer_comes_in_steps_with_turns_for_others():
-    found, turns = curio.run(fetched, Ready(BODY), b"")
-    assert found.body == BODY and turns >= SIZE // STEP
+    found, turns = curio.run(fetch_and_count_turns, ImmediateConnector(BODY), b"")
+    assert found.body == BODY and turns >= SIZE // STEP_BYTES
--- a/sequoiabridge/tests/upstreams/test_probes.py
+++ b/sequoiabridge/tests/upstreams/test_probes.py
@@ -5,7 +5,7 @@
 
 from ...upstreams.probes import Prober
 from ...upstreams.reports import parse_incarnation, parse_load
-from .scripted import answering, play
+from .scripted import answer_with, run_against
 
 
 @pytest.mark.parametrize("more", [b"", b";later=x"])
@@ -35,22 +35,22 @@
     head += b"Sequoia-Incarnation: 7\r\nSequoia-Load: "
     good, bad = head + b"in_flight=1;slots=2\r\n\r\n", head + b"none\r\n\r\n"
 
-    async def test(connector, address, socks):
+    async def test(connector, address, connections):
         prober = Prober(connector, connector.clock)
         probe = await prober.probe(address, 1)
         assert probe.healthy and probe.load.in_flight == 1 and probe.drain == probe.incarnation == 7
         assert probe.size > 80
         probe = await prober.probe(address, 1)
-        assert probe.healthy and probe.load is None and prober.bad_headers == 1
+        assert probe.healthy and probe.load is None and prober.invalid_headers == 1
 
-    play(answering(good, bad), test)
+    run_against(answer_with(good, bad), test)
 
 
 def test_silent_and_absent_upstreams_are_results_and_leave_no_connection():
     async def silent(sock):
         await curio.sleep(100)
 
-    async def test(connector, address, socks):
+    async def test(connector, address, connections):
         prober = Prober(connector, connector.clock)
         probe = await prober.probe(address, 0.01)
         assert not probe.healthy and probe.failure.timed_out and probe.failure.sent
@@ -58,7 +58,7 @@
         probe = await prober.probe("127.0.0.1:1", 0.5)
         assert not probe.healthy and not probe.failure.sent and probe.size == 0
 
-    play(silent, test)
+    run_against(silent, test)
 
 
 def test_an_incarnation_may_be_a_wall_time():
--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -12,7 +12,7 @@
 
 DEFAULT_SHARE = 16
 """Connections to one upstream until `set_share` says otherwise."""
-NEVER_SUSPECTED = float("-inf")
+NO_MIN_OPENED_AT = float("-inf")
 
 
 class ConnectorLimits:
@@ -41,13 +41,13 @@
         suspected: Connections opened before this time are not reused.
     """
 
-    __slots__ = ("idle", "count", "share", "suspected")
+    __slots__ = ("idle", "count", "share", "min_opened_at")
 
     def __init__(self, share: int):
         self.idle: deque[Link] = deque()
         self.count = 0
         self.share = share
-        self.suspected = NEVER_SUSPECTED
+        self.min_opened_at = NO_MIN_OPENED_AT
 
 
 class HttpConnector(Connector, Component):
@@ -80,7 +80,7 @@
         pool = self.pools.get(address) or self._add_pool(address)
         while pool.idle and not fresh:
             link = pool.idle.pop()
-            if self._trusted(pool, link):
+            if self._is_reusable(pool, link):
                 self.reused_count += 1
                 return HttpConnection(self, link)
             await self._close(pool, link)
@@ -92,20 +92,20 @@
         return HttpConnection(self, await self._open(pool, address, timeout))
 
     async def release(self, connection: UpstreamConnection) -> None:
-        await connection.give_back()
+        await connection.release()
 
     async def close_older(self, address: str, opened_before: float) -> None:
         pool = self.pools.get(address)
         if pool is None:
             return
-        pool.suspected = max(pool.suspected, opened_before)
+        pool.min_opened_at = max(pool.min_opened_at, opened_before)
         await self._close_where(pool, lambda link: link.opened_at < opened_before)
 
     def retire(self, address: str) -> None:
         """Let no connection to `address` that is open now be used for another request."""
         pool = self.pools.get(address)
         if pool is not None:
-            pool.suspected = self.clock.now()
+            pool.min_opened_at = self.clock.now()
 
     async def is_reachable(self, address: str, timeout: float) -> bool:
         try:
@@ -115,12 +115,12 @@
         await link.close()
         return True
 
-    async def take_back(self, link: Link) -> None:
+    async def release_link(self, link: Link) -> None:
         """Keep a link whose last answer ended cleanly for reuse; close any other."""
         pool = self.pools[link.address]
         if (
             link.prepare_for_reuse()
-            and link.opened_at >= pool.suspected
+            and link.opened_at >= pool.min_opened_at
             and pool.count <= pool.share
         ):
             pool.idle.append(link)
@@ -131,7 +131,7 @@
         """Close connections that have been idle too long; the daemon's timers call it."""
         now, limit = self.clock.now(), self.limits.idle_timeout
         for address, pool in list(self.pools.items()):
-            await self._close_where(pool, partial(useless, now, limit, pool.suspected))
+            await self._close_where(pool, partial(is_expired, now, limit, pool.min_opened_at))
             if not pool.count:
                 del self.pools[address]
 
@@ -148,13 +148,13 @@
         }
         return {"opened": self.opened_count, "reused": self.reused_count, "upstreams": pools}
 
-    def _trusted(self, pool: AddressPool, link: Link) -> bool:
-        if link.opened_at < pool.suspected:
+    def _is_reusable(self, pool: AddressPool, link: Link) -> bool:
+        if link.opened_at < pool.min_opened_at:
             return False
         idle_for = self.clock.now() - link.last_received_at
         if idle_for > min(self.limits.idle_timeout, link.keep_alive_timeout):
             return False
-        return link.usable()
+        return link.is_unused()
 
     def _add_pool(self, address: str) -> AddressPool:
         pool = AddressPool(self.shares.get(address, self.share))
@@ -172,8 +172,8 @@
         self.opened_count += 1
         return link
 
-    async def _close_where(self, pool: AddressPool, unwanted) -> None:
-        closing = [link for link in pool.idle if unwanted(link)]
+    async def _close_where(self, pool: AddressPool, should_close) -> None:
+        closing = [link for link in pool.idle if should_close(link)]
         for link in closing:
             pool.idle.remove(link)
             await self._close(pool, link)
@@ -183,7 +183,7 @@
         await link.close()
 
 
-def useless(now: float, idle_timeout: float, suspected: float, link: Link) -> bool:
+def is_expired(now: float, idle_timeout: float, min_opened_at: float, link: Link) -> bool:
     """Return whether an idle connection will not be used again."""
     idle_for = now - link.last_received_at
-    return link.opened_at < suspected or idle_for > min(idle_timeout, link.keep_alive_timeout)
+    return link.opened_at < min_opened_at or idle_for > min(idle_timeout, link.keep_alive_timeout)
--- a/sequoiabridge/upstreams/fetch.py
+++ b/sequoiabridge/upstreams/fetch.py
@@ -7,11 +7,11 @@
 from ..pipeline.exchange import Body
 from .base import Connector, UpstreamRequest
 
-STEP = 256 * 1024
+STEP_BYTES = 256 * 1024
 """Bytes of a body that are sent or read in one go; other tasks run in between."""
 
 
-class SteppedBody(Body):
+class StepwiseBody(Body):
     """A body in memory that is given out in steps."""
 
     __slots__ = ("rest",)
@@ -24,7 +24,7 @@
         # Not before the end: an answer that came meanwhile would look like one to half a body.
         if self.rest:
             await curio.sleep(0)
-        piece, self.rest = self.rest[:STEP], self.rest[STEP:]
+        piece, self.rest = self.rest[:STEP_BYTES], self.rest[STEP_BYTES:]
         return bytes(piece)
 
 
@@ -55,19 +55,19 @@
     Raises:
         UpstreamFailed: There was no whole answer.
     """
-    source = SteppedBody(body) if body else None
+    source = StepwiseBody(body) if body else None
     fields = [(b"host", address.encode()), *headers]
     request = UpstreamRequest(method, target, fields, len(body), source)
     connection = await connector.acquire(address, fresh=False, timeout=timeout)
     try:
         await connection.send(request)
         answer = await connection.read_head()
-        pieces, unpaused = [], 0
+        pieces, since_pause = [], 0
         while answer.body is not None and (piece := await answer.body.read()):
             pieces.append(piece)
-            unpaused += len(piece)
-            if unpaused >= STEP:
-                unpaused = 0
+            since_pause += len(piece)
+            if since_pause >= STEP_BYTES:
+                since_pause = 0
                 await curio.sleep(0)
         return FetchedAnswer(answer.status, b"".join(pieces))
     finally:
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -13,16 +13,16 @@
 from ..selector import Descriptor
 from ..timers import Clock
 
-SWITCHING = 101
-LEAST_REFUSAL = 400
+SWITCHING_PROTOCOLS = 101
+MIN_REFUSAL_STATUS = 400
 """An early answer with this status or above ends the sending of the request's body."""
 
 
-KEEPALIVE_IDLE = 1
+KEEPALIVE_IDLE_SECONDS = 1
 """Seconds of silence after which the system asks whether the other end is there; its least."""
-KEEPALIVE_INTERVAL = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 """Seconds between two such questions; the least that the system knows."""
-KEEPALIVE_COUNT = 2
+KEEPALIVE_MAX_PROBES = 2
 """Questions without an answer that end a connection: a silent one is known after 3 seconds."""
 UNACKNOWLEDGED_MS = 3000
 """Milliseconds that sent bytes may stay unacknowledged; as long as the questions take."""
@@ -55,15 +55,15 @@
         "last_received_at",
         "requests",
         "sent",
-        "early",
+        "early_response",
         "request_ended",
         "answer_ended",
         "keeps_alive",
         "keep_alive_timeout",
-        "spoiled",
+        "is_out_of_sync",
         "waiting",
         "closed",
-        "both",
+        "send_epoll",
     )
 
     def __init__(self, address: str, sock: socket.socket, clock: Clock):
@@ -74,21 +74,24 @@
         self.opened_at = clock.now()
         self.last_received_at = self.opened_at
         self.requests = 0
-        self.early: h11.Response | None = None
+        self.early_response: h11.Response | None = None
         self.received = InputBuffer()
         self._reset_request_state()
         self.keep_alive_timeout = float("inf")
-        self.spoiled = False
+        self.is_out_of_sync = False
         self.waiting = False
         self.closed = False
-        self.both: select.epoll | None = None
+        self.send_epoll: select.epoll | None = None
 
     @property
     def refused(self) -> bool:
         """Return True if the upstream has refused the request before it had all of it."""
-        return self.early is not None and self.early.status_code >= LEAST_REFUSAL
+        return (
+            self.early_response is not None
+            and self.early_response.status_code >= MIN_REFUSAL_STATUS
+        )
 
-    def usable(self) -> bool:
+    def is_unused(self) -> bool:
         """Return True if the upstream has neither closed the connection nor sent anything."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -98,7 +101,7 @@
             return False
         return False
 
-    def failed(self, message: str) -> UpstreamFailed:
+    def make_failure(self, message: str) -> UpstreamFailed:
         """Return the error for a failure on this connection."""
         return UpstreamFailed(f"{self.address}: {message}", sent=self.sent)
 
@@ -106,21 +109,21 @@
         """Wait for bytes from the upstream and take them."""
         self.waiting = True
         try:
-            while not self.receive_now():
+            while not self.try_receive():
                 await _read_wait(self.descriptor)
         finally:
             self.waiting = False
 
-    def receive_now(self) -> bool:
+    def try_receive(self) -> bool:
         """Take what has come; False if nothing has."""
         if self.closed:
-            raise self.failed("The connection was closed to cancel the request.")
+            raise self.make_failure("The connection was closed to cancel the request.")
         try:
             data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
             return False
         except OSError as error:
-            raise self.failed(f"The connection broke: {error}.") from error
+            raise self.make_failure(f"The connection broke: {error}.") from error
         if data:
             self.last_received_at = self.clock.now()
         self.received.feed(data)
@@ -132,17 +135,17 @@
             try:
                 event, raw = self.received.read_response()
             except h11.LocalProtocolError as error:
-                raise self.failed(f"The answer is not valid HTTP: {error}.") from error
+                raise self.make_failure(f"The answer is not valid HTTP: {error}.") from error
             if max(len(raw), 0 if event else len(self.received)) > max_head:
-                raise self.failed(f"The answer's head has more than {max_head} bytes.")
+                raise self.make_failure(f"The answer's head has more than {max_head} bytes.")
             if type(event) is h11.Response:
                 return event
             if event is None:
                 break
-            if event.status_code == SWITCHING:
-                raise self.failed("It changed the protocol, which it was not asked to.")
+            if event.status_code == SWITCHING_PROTOCOLS:
+                raise self.make_failure("It changed the protocol, which it was not asked to.")
         if self.received.closed:
-            raise self.failed("It closed the connection before its answer was whole.")
+            raise self.make_failure("It closed the connection before its answer was whole.")
         return None
 
     async def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage:
@@ -152,22 +155,22 @@
                 if self.received.closed and type(reader) is UntilCloseReader:
                     return END_OF_MESSAGE
                 if self.received.closed:
-                    raise self.failed("It closed the connection within its answer.")
+                    raise self.make_failure("It closed the connection within its answer.")
                 await self.receive()
         except h11.LocalProtocolError as error:
-            raise self.failed(f"The answer's body is malformed: {error}.") from error
+            raise self.make_failure(f"The answer's body is malformed: {error}.") from error
         return event
 
-    def send_now(self, data: bytes | memoryview) -> int:
+    def try_send(self, data: bytes | memoryview) -> int:
         """Return how many bytes the socket took; 0 if it is full."""
         if self.closed:
-            raise self.failed("The connection was closed to cancel the request.")
+            raise self.make_failure("The connection was closed to cancel the request.")
         try:
             count = self.sock.send(data)
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise self.failed(f"The connection broke: {error}.") from error
+            raise self.make_failure(f"The connection broke: {error}.") from error
         self.sent = self.sent or count > 0
         return count
 
@@ -177,22 +180,27 @@
         A curio task waits for one thing on one descriptor; an epoll descriptor that is ready when
         the socket is ready for either is that one thing.
         """
-        if self.early is not None:
+        if self.early_response is not None:
             await _write_wait(self.descriptor)
             return
-        if self.both is None:
-            self.both = select.epoll()
-            self.both.register(self.sock, select.EPOLLIN | select.EPOLLOUT)
+        if self.send_epoll is None:
+            self.send_epoll = select.epoll()
+            self.send_epoll.register(self.sock, select.EPOLLIN | select.EPOLLOUT)
         self.waiting = True
         try:
-            await _read_wait(self.both)
+            await _read_wait(self.send_epoll)
         finally:
             self.waiting = False
 
     def prepare_for_reuse(self) -> bool:
         """Get ready for another request; False if the connection cannot carry one."""
-        whole = self.request_ended and self.answer_ended and self.keeps_alive and not self.spoiled
-        if not whole or self.closed or self.early or self.received or self.received.closed:
+        whole = (
+            self.request_ended
+            and self.answer_ended
+            and self.keeps_alive
+            and not self.is_out_of_sync
+        )
+        if not whole or self.closed or self.early_response or self.received or self.received.closed:
             return False
         self._reset_request_state()
         return True
@@ -214,21 +222,21 @@
                 return
             return
         await _io_release(self.descriptor)
-        if self.both is not None:
-            self.both.close()
+        if self.send_epoll is not None:
+            self.send_epoll.close()
         self.sock.close()
 
 
-def watch_silence(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Let the system end a connection whose other end has fallen silent for good.
 
     Without this, a wait on a connection that something between the two ends has forgotten lasts
     until its own time limit, and one without a limit for ever.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_MAX_PROBES)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
 
 
@@ -245,7 +253,7 @@
     opened = False
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        watch_silence(sock)
+        enable_keepalive(sock)
         error = sock.connect_ex((host.strip("[]"), int(port)))
         if error == EINPROGRESS:
             async with curio.timeout_after(timeout):
--- a/sequoiabridge/upstreams/probes.py
+++ b/sequoiabridge/upstreams/probes.py
@@ -11,11 +11,11 @@
 from .reports import parse_incarnation, parse_load
 
 DEFAULT_PATH = "/health"
-MAX_ANSWER = 4096
+MAX_BODY_BYTES = 4096
 """Bytes of a probe's answer that are read; the rest is not waited for."""
-LINE_EXTRA = 4
+HEADER_LINE_OVERHEAD_BYTES = 4
 """Bytes of a header line beside its name and value."""
-START_LINE = 17
+START_LINE_OVERHEAD_BYTES = 17
 """Bytes of a start line beside method and path, or of a status line."""
 
 
@@ -57,19 +57,19 @@
         self.connector = connector
         self.clock = clock
         self.path = path.encode()
-        self.bad_headers = 0
+        self.invalid_headers = 0
 
     async def probe(self, address: str, timeout: float) -> ProbeResult:
         """Ask `address` ("IP:port") and return what it said within `timeout` seconds."""
         started = self.clock.now()
         headers = [(b"host", address.encode())]
         request = UpstreamRequest(b"GET", self.path, headers)
-        size = START_LINE + len(self.path) + _size(headers)
+        size = START_LINE_OVERHEAD_BYTES + len(self.path) + _headers_size(headers)
         connection = None
         try:
             async with curio.timeout_after(timeout):
                 connection = await self.connector.acquire(address, fresh=False, timeout=timeout)
-                return await self._ask(connection, request, started, size)
+                return await self._exchange(connection, request, started, size)
         except curio.TaskTimeout:
             message = f"{address}: No answer to a probe within {timeout:.3f} s."
             failure = UpstreamFailed(message, sent=connection is not None, timed_out=True)
@@ -80,39 +80,42 @@
                 await self.connector.release(connection)
         return ProbeResult(self.clock.now() - started, size if failure.sent else 0, failure)
 
-    async def _ask(
+    async def _exchange(
         self, connection: UpstreamConnection, request: UpstreamRequest, started: float, size: int
     ) -> ProbeResult:
         await connection.send(request)
         answer = await connection.read_head()
-        probe = ProbeResult(self.clock.now() - started, size + START_LINE + _size(answer.headers))
+        probe = ProbeResult(
+            self.clock.now() - started,
+            size + START_LINE_OVERHEAD_BYTES + _headers_size(answer.headers),
+        )
         probe.status = answer.status
         probe.healthy = answer.status < 400
-        probe.size += await _body_size(answer)
+        probe.size += await _discard_body(answer)
         for name, value in answer.headers:
             if name == LOAD:
-                probe.load = self._counted(parse_load(value))
+                probe.load = self._count_invalid(parse_load(value))
             elif name == DRAIN:
-                probe.drain = self._counted(parse_incarnation(value))
+                probe.drain = self._count_invalid(parse_incarnation(value))
             elif name == INCARNATION:
-                probe.incarnation = self._counted(parse_incarnation(value))
+                probe.incarnation = self._count_invalid(parse_incarnation(value))
         return probe
 
-    def _counted(self, parsed):
-        self.bad_headers += parsed is None
+    def _count_invalid(self, parsed):
+        self.invalid_headers += parsed is None
         return parsed
 
 
-async def _body_size(answer: Answer) -> int:
+async def _discard_body(answer: Answer) -> int:
     """Read at most `MAX_ANSWER` bytes of the body, give up the rest, return how many came."""
     size = 0
     if answer.body is None:
         return size
-    while size < MAX_ANSWER and (piece := await answer.body.read()):
+    while size < MAX_BODY_BYTES and (piece := await answer.body.read()):
         size += len(piece)
     await answer.body.close()
     return size
 
 
-def _size(headers: RawHeaders) -> int:
-    return sum(len(name) + len(value) + LINE_EXTRA for name, value in headers)
+def _headers_size(headers: RawHeaders) -> int:
+    return sum(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in headers)
--- a/sequoiabridge/upstreams/reports.py
+++ b/sequoiabridge/upstreams/reports.py
@@ -4,12 +4,12 @@
 
 from ..policy.base import LoadReport
 
-MAX_VALUE = 64
+MAX_REPORT_BYTES = 64
 """Bytes of a header that are looked at; a report is shorter."""
 MAX_DIGITS = 19
 """Digits of a number that is read; an incarnation may be a wall time in nanoseconds."""
-MILLISECONDS = 1000.0
-USUAL = re.compile(rb"in_flight=(\d{1,18});slots=(\d{1,18});age_ms=(\d{1,18})")
+MS_PER_SECOND = 1000.0
+COMMON_FORM = re.compile(rb"in_flight=(\d{1,18});slots=(\d{1,18});age_ms=(\d{1,18})")
 """The report as it is documented; any other spelling is taken apart."""
 
 
@@ -18,30 +18,30 @@
 
     The age may be left out, and unknown fields are passed over, so that upstreams may say more.
     """
-    if len(value) > MAX_VALUE:
+    if len(value) > MAX_REPORT_BYTES:
         return None
-    usual = USUAL.fullmatch(value)
-    if usual is not None:
-        in_flight, slots, age = map(int, usual.groups())
-        return LoadReport(in_flight, slots, age / MILLISECONDS) if slots else None
-    found: dict[bytes, int] = {}
+    match = COMMON_FORM.fullmatch(value)
+    if match is not None:
+        in_flight, slots, age = map(int, match.groups())
+        return LoadReport(in_flight, slots, age / MS_PER_SECOND) if slots else None
+    fields: dict[bytes, int] = {}
     for part in value.split(b";"):
         name, _, number = part.partition(b"=")
-        count = _number(number)
+        count = _parse_number(number)
         if count is not None:
-            found[name.strip()] = count
-    in_flight, slots = found.get(b"in_flight"), found.get(b"slots")
+            fields[name.strip()] = count
+    in_flight, slots = fields.get(b"in_flight"), fields.get(b"slots")
     if in_flight is None or not slots:
         return None
-    return LoadReport(in_flight, slots, found.get(b"age_ms", 0) / MILLISECONDS)
+    return LoadReport(in_flight, slots, fields.get(b"age_ms", 0) / MS_PER_SECOND)
 
 
 def parse_incarnation(value: bytes) -> int | None:
     """Return the incarnation number that an upstream gives, or None if it is not valid."""
-    return _number(value)
+    return _parse_number(value)
 
 
-def _number(text: bytes) -> int | None:
+def _parse_number(text: bytes) -> int | None:
     text = text.strip()
     if not text.isdigit() or len(text) > MAX_DIGITS:
         return None
