--- a/sequoiabridge/tests/upstreams/scripted.py
+++ b/sequoiabridge/tests/upstreams/scripted.py
@@ -1,4 +1,4 @@
-"""An upstream that plays bytes written by a test, and a connector towards it."""
+"""Upstreams that send scripted bytes, and a connector to them."""
 
 import curio
 
@@ -11,7 +11,7 @@
 
 
 def get(method=b"GET", **more) -> UpstreamRequest:
-    """Return a small request."""
+    """Return a request to `/`, without a body by default."""
     return UpstreamRequest(method, b"/", [(b"host", b"a")], **more)
 
 
@@ -26,7 +26,10 @@
 
 
 def run_against(upstream, test, **limits):
-    """Run `test(connector, address, socks)` against `upstream(sock)`, played on each connection."""
+    """Run `test(connector, address, connections)`; `upstream(sock)` serves each connection.
+
+    `connections` are the sockets that the upstream has accepted.
+    """
 
     async def main():
         listener = curio.tcp_server_socket("127.0.0.1", 0)
@@ -51,7 +54,7 @@
 
 
 def answer_with(*answers):
-    """Return an upstream that gives each connection these answers, one for each read, then ends."""
+    """Return an upstream that sends one answer per read on each connection and then ends it."""
 
     async def upstream(sock):
         for answer in answers:
@@ -63,6 +66,6 @@
 
 
 async def answer_hello(sock):
-    """Answer each read on a connection."""
+    """Send `HELLO` after each read."""
     while await sock.recv(65536):
         await sock.sendall(HELLO)
--- a/sequoiabridge/tests/upstreams/test_connections.py
+++ b/sequoiabridge/tests/upstreams/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: reuse after a clean end only, cut-offs, early answers, shares."""
+"""Connections to upstreams: reuse, incomplete answers, early answers and shares."""
 
 import curio
 import pytest
@@ -9,16 +9,16 @@
 
 
 class Pieces(Body):
-    """A body of many pieces that counts how many were read."""
+    """A body that counts how many of its pieces were read."""
 
     def __init__(self, count):
-        self.left = count
+        self.remaining = count
         self.read_count = 0
 
     async def read(self):
-        if not self.left:
+        if not self.remaining:
             return b""
-        self.left -= 1
+        self.remaining -= 1
         self.read_count += 1
         return b"x" * 65536
 
@@ -27,7 +27,7 @@
     return await connector.acquire(address, fresh=fresh, timeout=1)
 
 
-def test_connection_is_reused_after_a_clean_end_unless_a_fresh_one_is_asked_for():
+def test_connection_is_reused_after_a_complete_answer_unless_a_new_one_is_requested():
     async def test(connector, address, connections):
         for _ in range(3):
             _, data = await call(await acquire(connector, address))
@@ -51,12 +51,12 @@
         b"HTTP/1.1 200 OK\r\nX: " + b"x" * 9000 + b"\r\n\r\n",
     ],
 )
-def test_answer_that_is_not_surely_whole_fails_as_sent_and_closes(answer):
+def test_incomplete_or_ambiguous_answer_fails_as_sent_and_closes_the_connection(answer):
     async def test(connector, address, connections):
         connection = await acquire(connector, address)
-        with pytest.raises(UpstreamFailed) as failed:
+        with pytest.raises(UpstreamFailed) as raised:
             await call(connection)
-        assert failed.value.sent
+        assert raised.value.sent
         await connector.release(connection)
         await connector.release(connection)
         assert connector.pools[address].count == 0
@@ -64,7 +64,7 @@
     run_against(answer_with(answer), test, max_head=8192)
 
 
-def test_bytes_after_an_answer_are_never_anothers_answer():
+def test_connection_with_bytes_after_the_answer_is_not_reused():
     async def test(connector, address, connections):
         await call(await acquire(connector, address))
         await call(await acquire(connector, address))
@@ -73,7 +73,7 @@
     run_against(answer_with(HELLO + HELLO), test)
 
 
-def test_connection_closed_by_its_upstream_is_not_lent():
+def test_connection_closed_by_its_upstream_is_not_reused():
     async def test(connector, address, connections):
         await call(await acquire(connector, address))
         await connections[0].close()
@@ -84,7 +84,7 @@
     run_against(answer_hello, test)
 
 
-def test_cancelled_wait_can_go_on_and_a_given_up_one_is_closed():
+def test_cancelled_wait_can_be_repeated_and_close_cancels_a_request():
     async def slow(sock):
         await sock.recv(65536)
         await started.wait()
@@ -99,14 +99,14 @@
         assert (await connection.read_head()).status == 200
         assert connection.is_reusable
         started.clear()
-        loser = await acquire(connector, address, fresh=True)
-        await loser.send(get())
-        task = await curio.spawn(loser.read_head)
+        cancelled = await acquire(connector, address, fresh=True)
+        await cancelled.send(get())
+        task = await curio.spawn(cancelled.read_head)
         await curio.sleep(0.01)
-        await loser.close()
+        await cancelled.close()
         with pytest.raises(curio.TaskError):
             await task.join()
-        await connector.release(loser)
+        await connector.release(cancelled)
         assert connector.pools[address].count == 1
 
     started = curio.Event()
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("close", [True, False])
-def test_early_refusal_ends_the_body_and_is_not_lost(close):
+def test_early_refusal_stops_the_body_and_is_returned(close):
     async def refuse(sock):
         await sock.recv(1000)
         await sock.sendall(HELLO.replace(b"200 OK", b"413 Too Large"))
@@ -132,8 +132,8 @@
     run_against(refuse, test)
 
 
-def test_early_acceptance_counts_only_once_all_of_the_body_was_taken():
-    async def too_soon(sock):
+def test_early_success_is_not_returned_before_the_body_was_sent():
+    async def answer_early(sock):
         await sock.recv(1000)
         await sock.sendall(HELLO)
         await curio.sleep(0.02)
@@ -141,37 +141,37 @@
 
     async def test(connector, address, connections):
         connection = await acquire(connector, address)
-        with pytest.raises(UpstreamFailed) as failed:
+        with pytest.raises(UpstreamFailed) as raised:
             await call(connection, get(b"PUT", length=None, body=Pieces(1000)))
-        assert failed.value.sent
+        assert raised.value.sent
 
-    run_against(too_soon, test)
+    run_against(answer_early, test)
 
 
-def test_share_refuses_with_nothing_sent_and_so_does_a_closed_port():
+def test_exhausted_share_and_closed_port_fail_as_not_sent():
     async def test(connector, address, connections):
         connector.set_share(address, 1)
         first = await acquire(connector, address)
-        with pytest.raises(UpstreamFailed) as failed:
+        with pytest.raises(UpstreamFailed) as raised:
             await acquire(connector, address)
-        assert not failed.value.sent
+        assert not raised.value.sent
         await connector.release(first)
         await acquire(connector, address)
-        with pytest.raises(UpstreamFailed) as failed:
+        with pytest.raises(UpstreamFailed) as raised:
             await acquire(connector, "127.0.0.1:1")
-        assert not failed.value.sent
+        assert not raised.value.sent
 
     run_against(answer_hello, test)
 
 
-def test_suspected_and_old_connections_are_not_reused():
+def test_connections_older_than_a_failure_or_idle_for_too_long_are_not_reused():
     async def test(connector, address, connections):
         idle, busy = await acquire(connector, address), await acquire(connector, address)
         await call(idle)
         connector.clock.advance(1)
         await connector.close_older(address, connector.clock.now())
         await call(busy)
-        assert connector.pools[address].count == 0, "the busy one was suspected too"
+        assert connector.pools[address].count == 0, "the busy connection must not be reused either"
         await call(await acquire(connector, address))
         connector.clock.advance(31)
         await connector.close_expired()
--- a/sequoiabridge/tests/upstreams/test_fetch.py
+++ b/sequoiabridge/tests/upstreams/test_fetch.py
@@ -1,4 +1,4 @@
-"""Large bodies to and from the platform do not hold up the calls beside them."""
+"""Large bodies to and from the platform do not block other tasks."""
 
 import curio
 
@@ -11,7 +11,7 @@
 
 
 class ImmediateConnector(Connector, UpstreamConnection):
-    """Takes and gives bytes without ever waiting, as a fast platform does."""
+    """A connector and connection that never wait, like those of a fast platform."""
 
     is_reusable = True
 
@@ -45,7 +45,7 @@
 
 
 class Pieces(Body):
-    """A body in pieces as a socket gives them."""
+    """A body in pieces of the size that a socket delivers."""
 
     def __init__(self, data: bytes):
         self.rest = memoryview(data)
@@ -56,28 +56,28 @@
 
 
 async def fetch_and_count_turns(connector, body):
-    """Return the answer, and how often another task ran meanwhile."""
+    """Return the answer and how often another task ran during the fetch."""
     turns = 0
 
-    async def beside():
+    async def other_task():
         nonlocal turns
         while True:
             turns += 1
             await curio.sleep(0)
 
-    other = await curio.spawn(beside)
-    found = await fetch(connector, "a:1", b"PUT", b"/o", 1.0, body)
+    other = await curio.spawn(other_task)
+    answer = await fetch(connector, "a:1", b"PUT", b"/o", 1.0, body)
     await other.cancel()
-    return found, turns
+    return answer, turns
 
 
-def test_a_large_body_goes_in_steps_with_turns_for_others():
+def test_other_tasks_run_while_a_large_body_is_sent():
     connector = ImmediateConnector()
-    found, turns = curio.run(fetch_and_count_turns, connector, BODY)
-    assert found.status == 200 and bytes(connector.sent) == BODY
+    answer, turns = curio.run(fetch_and_count_turns, connector, BODY)
+    assert answer.status == 200 and bytes(connector.sent) == BODY
     assert connector.largest <= STEP_BYTES and turns >= SIZE // STEP_BYTES
 
 
-def test_a_large_answer_comes_in_steps_with_turns_for_others():
-    found, turns = curio.run(fetch_and_count_turns, ImmediateConnector(BODY), b"")
-    assert found.body == BODY and turns >= SIZE // STEP_BYTES
+def test_other_tasks_run_while_a_large_answer_is_read():
+    answer, turns = curio.run(fetch_and_count_turns, ImmediateConnector(BODY), b"")
+    assert answer.body == BODY and turns >= SIZE // STEP_BYTES
--- a/sequoiabridge/tests/upstreams/test_probes.py
+++ b/sequoiabridge/tests/upstreams/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes and what upstreams report of themselves."""
+"""Probes, and the headers in which upstreams report load and incarnation."""
 
 import curio
 import pytest
@@ -8,9 +8,9 @@
 from .scripted import answer_with, run_against
 
 
-@pytest.mark.parametrize("more", [b"", b";later=x"])
-def test_report_is_read_and_unknown_fields_are_passed_over(more):
-    report = parse_load(b"in_flight=3;slots=2;age_ms=40" + more)
+@pytest.mark.parametrize("extra", [b"", b";later=x"])
+def test_load_report_is_parsed_and_unknown_fields_are_ignored(extra):
+    report = parse_load(b"in_flight=3;slots=2;age_ms=40" + extra)
     assert (report.in_flight, report.slots, report.age) == (3, 2, 0.04)
 
 
@@ -25,15 +25,15 @@
         b"\xb2" * 90,
     ],
 )
-def test_bad_report_is_none(value):
+def test_invalid_report_is_none(value):
     assert parse_load(value) is None
     assert parse_incarnation(value) is None
 
 
-def test_probe_tells_load_and_drain_counts_bad_headers_and_bytes():
+def test_probe_returns_load_and_drain_and_counts_invalid_headers_and_bytes():
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nSequoia-Drain: 7\r\n"
     head += b"Sequoia-Incarnation: 7\r\nSequoia-Load: "
-    good, bad = head + b"in_flight=1;slots=2\r\n\r\n", head + b"none\r\n\r\n"
+    valid, invalid = head + b"in_flight=1;slots=2\r\n\r\n", head + b"none\r\n\r\n"
 
     async def test(connector, address, connections):
         prober = Prober(connector, connector.clock)
@@ -43,11 +43,11 @@
         probe = await prober.probe(address, 1)
         assert probe.healthy and probe.load is None and prober.invalid_headers == 1
 
-    run_against(answer_with(good, bad), test)
+    run_against(answer_with(valid, invalid), test)
 
 
-def test_silent_and_absent_upstreams_are_results_and_leave_no_connection():
-    async def silent(sock):
+def test_probe_of_unresponsive_or_unreachable_upstream_fails_without_open_connection():
+    async def unresponsive(sock):
         await curio.sleep(100)
 
     async def test(connector, address, connections):
@@ -58,9 +58,9 @@
         probe = await prober.probe("127.0.0.1:1", 0.5)
         assert not probe.healthy and not probe.failure.sent and probe.size == 0
 
-    run_against(silent, test)
+    run_against(unresponsive, test)
 
 
-def test_an_incarnation_may_be_a_wall_time():
+def test_incarnation_may_be_a_wall_time():
     assert parse_incarnation(b"1796236935123") == 1796236935123
     assert parse_incarnation(b"9" * 30) is None
--- a/sequoiabridge/upstreams/base.py
+++ b/sequoiabridge/upstreams/base.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams behind an abstract base, so that the HTTP codec is one module."""
+"""Abstract base classes of the HTTP client: connections to upstreams and their pool."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -7,10 +7,13 @@
 
 
 class UpstreamRequest:
-    """What is sent to an upstream; `headers` carry everything but the body's framing.
+    """A request to an upstream.
 
-    `is_answer` tells by its headers whether an answer belongs to this request; one that does not
-    is a late one of an earlier request and is passed over. None takes any.
+    Args:
+        headers: All headers except those that frame the body, which the connection adds.
+        length: Length of the body in bytes, or None to send it chunked.
+        is_answer: Returns whether an answer with the given headers belongs to this request. Other
+            answers are late ones to earlier requests and are discarded. None accepts any answer.
     """
 
     __slots__ = ("method", "target", "headers", "length", "body", "is_answer")
@@ -35,64 +38,67 @@
 class UpstreamConnection(ABC):
     """One connection, used by one request at a time.
 
-    All methods raise `UpstreamFailed`; after that, or after a cancellation, the connection must
-    be given back with `Connector.release`, which closes everything that did not end cleanly.
+    All methods may raise `UpstreamFailed`. After that, or after a cancellation, the connection must
+    be returned with `Connector.release`, which closes it unless it `is_reusable`.
 
     Attributes:
         opened_at: Time at which it was opened, in seconds on the daemon's clock.
-        last_received_at: Time of the last byte that came from the upstream.
-        requests: How many requests it has carried.
+        last_received_at: Time of the last byte from the upstream, on the same clock.
+        requests: Number of requests sent on it.
     """
 
     @abstractmethod
     async def send(self, request: UpstreamRequest) -> None:
-        """Send the request's head and its whole body."""
+        """Send the request's head and its complete body."""
 
     @abstractmethod
     async def read_head(self) -> Answer:
         """Wait for the answer's head.
 
-        May be cancelled and called again. The answer's body reads from this connection, and
-        gives it back when it has ended or is closed; `Connector.release` is then not needed, and
-        does no harm. Interim answers (1xx) are passed over.
+        May be cancelled and called again. The answer's body reads from this connection and
+        releases it when the body ends or is closed; calling `Connector.release` as well has no
+        effect. Interim answers (1xx) are skipped.
         """
 
     @property
     @abstractmethod
     def is_reusable(self) -> bool:
-        """True if the last answer ended cleanly and another request may be sent."""
+        """Whether the last answer was complete and another request may be sent."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Close at once; also the way to cancel the request that it carries."""
+        """Close immediately; this also cancels the request in flight."""
 
 
 class Connector(ABC):
-    """Opens, lends and takes back connections, at most the daemon's share for each upstream."""
+    """A pool of connections, limited to this daemon's share for each upstream."""
 
     @abstractmethod
     async def acquire(self, address: str, *, fresh: bool, timeout: float) -> UpstreamConnection:
-        """Lend a connection to `address` ("IP:port").
+        """Return a connection to `address` ("IP:port") for exclusive use until its release.
 
         Args:
-            fresh: Open a new one; do not trust one that is open already.
-            timeout: Seconds to wait for it to open.
+            fresh: Open a new connection instead of reusing an idle one.
+            timeout: Maximum seconds to wait for a new connection to open.
 
         Raises:
-            UpstreamFailed: It could not be opened, or the share is used up; `sent` is false.
+            UpstreamFailed: It could not be opened, or the share is in use; `sent` is false.
         """
 
     @abstractmethod
     async def release(self, connection: UpstreamConnection) -> None:
-        """Take a connection back; keep it for reuse only if it is `is_reusable`."""
+        """Return a connection to the pool; it is closed if it cannot be reused."""
 
     @abstractmethod
     async def close_older(self, address: str, opened_before: float) -> None:
-        """Close the idle connections to `address` that were opened before the given time."""
+        """Close idle connections to `address` that were opened before the given time.
+
+        Connections in use that are as old are closed when they are released.
+        """
 
     @abstractmethod
     async def is_reachable(self, address: str, timeout: float) -> bool:
-        """Return whether `address` takes a new connection within `timeout` seconds.
+        """Return whether `address` accepts a new connection within `timeout` seconds.
 
-        The connection is closed at once and counts against no share.
+        The connection is closed immediately and does not count against the share.
         """
--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""The connections to upstreams: opened, lent, taken back, at most this daemon's share of each."""
+"""The connection pool for upstreams, limited to this daemon's share of each."""
 
 from collections import deque
 from functools import partial
@@ -11,17 +11,20 @@
 from .link import Link, open_link
 
 DEFAULT_SHARE = 16
-"""Connections to one upstream until `set_share` says otherwise."""
+"""Maximum number of connections to an upstream for which `set_share` was not called."""
 NO_MIN_OPENED_AT = float("-inf")
+"""Allows the reuse of connections of any age."""
 
 
 class ConnectorLimits:
     """Limits on connections to upstreams.
 
     Args:
-        max_head: Size in bytes of an answer's head.
-        idle_timeout: Seconds that an unused connection is kept; less than upstreams keep theirs.
-        allow_until_close: Take an answer without a length, which ends with its connection.
+        max_head: Maximum size in bytes of an answer's head.
+        idle_timeout: Seconds after which an idle connection is closed; should be shorter than the
+            upstreams' own timeout.
+        allow_until_close: Whether to accept answers that end when the connection is closed, since
+            they have neither a length nor chunked encoding.
     """
 
     __slots__ = ("max_head", "idle_timeout", "allow_until_close")
@@ -35,10 +38,13 @@
 
 
 class AddressPool:
-    """The connections to one upstream: idle ones, the latest used last, and the count of all.
+    """The connections to one upstream.
 
     Attributes:
-        suspected: Connections opened before this time are not reused.
+        idle: Idle connections, the most recently used last.
+        count: Number of open connections, idle and in use.
+        share: Maximum number of open connections.
+        min_opened_at: Connections opened before this time are not reused.
     """
 
     __slots__ = ("idle", "count", "share", "min_opened_at")
@@ -56,7 +62,7 @@
     Args:
         clock: Source of time.
         limits: Limits on each connection.
-        share: Connections to one upstream unless `set_share` says otherwise.
+        share: Maximum number of connections to an upstream for which `set_share` was not called.
     """
 
     name = "connector"
@@ -71,7 +77,7 @@
         self.reused_count = 0
 
     def set_share(self, address: str, count: int) -> None:
-        """Open at most `count` connections to `address` from now on; none is closed for it."""
+        """Open at most `count` connections to `address`; connections in excess stay open."""
         self.shares[address] = count
         if address in self.pools:
             self.pools[address].share = count
@@ -102,7 +108,7 @@
         await self._close_where(pool, lambda link: link.opened_at < opened_before)
 
     def retire(self, address: str) -> None:
-        """Let no connection to `address` that is open now be used for another request."""
+        """Allow no further request on connections to `address` that are open now."""
         pool = self.pools.get(address)
         if pool is not None:
             pool.min_opened_at = self.clock.now()
@@ -116,7 +122,7 @@
         return True
 
     async def release_link(self, link: Link) -> None:
-        """Keep a link whose last answer ended cleanly for reuse; close any other."""
+        """Keep the link for reuse if its last answer was complete, else close it."""
         pool = self.pools[link.address]
         if (
             link.prepare_for_reuse()
@@ -128,7 +134,7 @@
         await self._close(pool, link)
 
     async def close_expired(self) -> None:
-        """Close connections that have been idle too long; the daemon's timers call it."""
+        """Close connections that have been idle for too long; called periodically."""
         now, limit = self.clock.now(), self.limits.idle_timeout
         for address, pool in list(self.pools.items()):
             await self._close_where(pool, partial(is_expired, now, limit, pool.min_opened_at))
@@ -184,6 +190,6 @@
 
 
 def is_expired(now: float, idle_timeout: float, min_opened_at: float, link: Link) -> bool:
-    """Return whether an idle connection will not be used again."""
+    """Return whether an idle connection is too old to be reused."""
     idle_for = now - link.last_received_at
     return link.opened_at < min_opened_at or idle_for > min(idle_timeout, link.keep_alive_timeout)
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -1,4 +1,4 @@
-"""One request to an upstream and its answer, on a connection lent for it."""
+"""One request to an upstream and its answer over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
     from .connections import HttpConnector
 
 DROPPED_ANSWER_FIELDS = PER_CONNECTION_FIELDS | {OUTCOME, REASON, REPLAYED, REQUEST_ID}
-"""What the daemon says to callers itself is not taken from an upstream."""
+"""Header fields that are removed from answers; callers receive the daemon's own values."""
 METHODS_WITH_BODY = frozenset({b"POST", b"PUT", b"PATCH"})
-"""Methods whose requests say so when they have no body (RFC 9110, 8.6)."""
+"""Methods whose requests have a Content-Length even without a body (RFC 9110, section 8.6)."""
 KEEP_ALIVE_USED_SHARE = 0.8
-"""Share of the time for which an upstream keeps an idle connection in which it is used: what is
-sent at the very end meets the close."""
+"""Share of an upstream's keep-alive timeout in which an idle connection is reused. The margin
+avoids sending a request while the upstream closes the connection."""
 CHUNKED_FIELD = (TRANSFER_ENCODING, b"chunked")
 
 
 class HttpConnection(UpstreamConnection):
-    """A link lent for one request.
+    """A link in use for one request.
 
-    Once `read_head` has returned, the answer's body owns the link: it is given back when the body
-    ends or is closed. Before that, `Connector.release` gives it back. It is given back once;
-    later calls do nothing.
+    Once `read_head` has returned, the answer's body owns the link and releases it when the body
+    ends or is closed. Before that, `Connector.release` releases it. Only the first release has an
+    effect.
     """
 
     __slots__ = ("connector", "link", "method", "is_answer", "is_released")
@@ -62,41 +62,41 @@
 
     @property
     def opened_at(self) -> float:
-        """Return the time at which the connection was opened."""
+        """Time at which the connection was opened."""
         return self.link.opened_at
 
     @property
     def last_received_at(self) -> float:
-        """Return the time of the last byte from the upstream."""
+        """Time of the last byte from the upstream."""
         return self.link.last_received_at
 
     @property
     def requests(self) -> int:
-        """Return how many requests the connection has carried."""
+        """Number of requests sent on the connection."""
         return self.link.requests
 
     @property
     def is_reusable(self) -> bool:
-        """Return True if the answer ended cleanly and the connection was kept."""
+        """Whether the answer was complete and the connection was kept."""
         return self.is_released and not self.link.closed
 
     async def close(self) -> None:
-        """Close at once; cancels the request. It must still be given back by `release`."""
+        """Close immediately and cancel the request; `release` must still be called."""
         if not self.is_released:
             await self.link.close()
 
     async def release(self) -> None:
-        """Give the link back, the first time."""
+        """Return the link to the connector; later calls do nothing."""
         if self.is_released:
             return
         self.is_released = True
         await self.connector.release_link(self.link)
 
     async def send(self, request: UpstreamRequest) -> None:
-        """Send the request's head and its whole body.
+        """Send the request's head and its complete body.
 
-        The first piece of a body is read before the head is sent: a caller that leaves or is
-        refused at once has then reached no upstream.
+        The first piece of the body is read before the head is sent, so nothing reaches the
+        upstream if the caller disconnects or is refused before that.
         """
         link = self.link
         link.requests += 1
@@ -109,12 +109,12 @@
             else:
                 await self._send_with_body(head, request.body, body_writer(request.length))
         except h11.LocalProtocolError as error:
-            message = f"The request does not fit HTTP: {error}. Correct the request."
+            message = f"The request is not valid HTTP: {error}. Correct the request."
             raise link.make_failure(message) from error
         link.request_ended = not link.refused
 
     async def _send_with_body(self, head: bytes, body: Body, writer: BodyWriter) -> None:
-        """Send a request with a body until its end, or until the upstream has refused it."""
+        """Send the head and the body; stop early if the upstream refuses the request."""
         link = self.link
         piece = await body.read()
         await self._send(head + encode_body_event(writer, h11.Data(piece)))
@@ -127,7 +127,7 @@
             await self._send(end)
 
     async def read_head(self) -> Answer:
-        """Wait for the answer's head; see the base class. A small body comes with it."""
+        """Wait for the answer's head; a body that was received with it is in memory."""
         link = self.link
         event, head = await self._read_matching_head()
         link.keeps_alive = head.keeps_alive
@@ -144,7 +144,7 @@
         )
 
     async def _read_matching_head(self) -> tuple[h11.Response, MessageHead]:
-        """Return the head of the answer to this request; late ones to others are passed over."""
+        """Return the head of the answer to this request; discard late answers to earlier ones."""
         link = self.link
         event = link.early_response
         while True:
@@ -159,30 +159,30 @@
             event = link.early_response = None
 
     async def _discard_answer(self, head: MessageHead) -> None:
-        """Read and drop the body of an answer that belongs to an earlier request."""
+        """Read and discard the body of an answer to an earlier request."""
         self.link.is_out_of_sync = True
         reader = self._choose_body_reader(head)
         while type(await self.link.read_body_event(reader)) is h11.Data:
             pass
 
     def _choose_body_reader(self, head: MessageHead) -> BodyReader:
-        """Return what reads the body after `head`."""
+        """Return a reader for the body that follows `head`."""
         if head.chunked != (head.length is not None):
             return body_reader(head.length)
         if not head.chunked and self.connector.limits.allow_until_close:
             self.link.keeps_alive = False
             return UntilCloseReader()
-        message = "The answer's length is not known for sure. Send one of Content-Length or "
+        message = "The answer's length is missing or ambiguous. Send either Content-Length or "
         raise self.link.make_failure(message + "Transfer-Encoding: chunked.")
 
     async def _complete(self, answer: Answer) -> Answer:
-        """Give the link back, since all of the answer is here."""
+        """Release the link after the complete answer was received."""
         self.link.answer_ended = True
         await self.release()
         return answer
 
     async def _send(self, data: bytes) -> None:
-        """Send all of `data` unless the upstream refuses the request meanwhile."""
+        """Send all of `data`; stop early if the upstream refuses the request."""
         link = self.link
         try:
             sent = link.try_send(data)
@@ -194,7 +194,7 @@
                 self._check_early_answer()
                 rest = rest[link.try_send(rest) :]
         except UpstreamFailed:
-            # It may have refused the request and closed; that answer is not to be lost.
+            # The upstream may have sent a refusal before it closed the connection.
             self._check_early_answer()
             if not link.refused:
                 raise
@@ -206,7 +206,7 @@
 
 
 class AnswerBody(Body):
-    """An answer's body that is still coming; gives the connection back at its end or close."""
+    """The body of an answer, read from the connection, which is released when the body ends."""
 
     __slots__ = ("connection", "reader")
 
@@ -215,10 +215,10 @@
         self.reader = reader
 
     async def read(self) -> bytes:
-        """Return the next piece, b"" at the clean end.
+        """Return the next piece, or b"" after the complete body.
 
         Raises:
-            UpstreamFailed: The body was cut short; the connection is closed.
+            UpstreamFailed: The body is incomplete; the connection is closed.
         """
         if self.connection.is_released:
             return b""
@@ -235,12 +235,12 @@
         return b""
 
     async def close(self) -> None:
-        """Give the connection back; it is closed if the body has not ended."""
+        """Release the connection; it is closed if the body has not ended."""
         await self.connection.release()
 
 
 def _build_request(request: UpstreamRequest, address: str) -> h11.Request:
-    """Return the request as h11's event, with the framing of its body."""
+    """Return the request as an h11 event, with the header fields that frame its body."""
     pairs = [pair for pair in request.headers if pair[0] not in PER_CONNECTION_FIELDS]
     if request.length is None:
         pairs.append(CHUNKED_FIELD)
--- a/sequoiabridge/upstreams/fetch.py
+++ b/sequoiabridge/upstreams/fetch.py
@@ -1,4 +1,4 @@
-"""One small HTTP exchange: a request with a body in memory, its whole answer."""
+"""Sends one HTTP request and returns its complete answer, both held in memory."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from .base import Connector, UpstreamRequest
 
 STEP_BYTES = 256 * 1024
-"""Bytes of a body that are sent or read in one go; other tasks run in between."""
+"""Maximum number of bytes that are sent or read before other tasks get to run."""
 
 
 class StepwiseBody(Body):
-    """A body in memory that is given out in steps."""
+    """A body in memory that is sent in steps, so that other tasks run in between."""
 
     __slots__ = ("rest",)
 
@@ -20,8 +20,8 @@
         self.rest = memoryview(data)
 
     async def read(self) -> bytes:
-        """Return the next step, after a turn for others."""
-        # Not before the end: an answer that came meanwhile would look like one to half a body.
+        """Return the next step after letting other tasks run."""
+        # No pause at the end: an answer received during it would count as sent before the body.
         if self.rest:
             await curio.sleep(0)
         piece, self.rest = self.rest[:STEP_BYTES], self.rest[STEP_BYTES:]
@@ -29,7 +29,7 @@
 
 
 class FetchedAnswer:
-    """A whole answer."""
+    """A complete answer."""
 
     __slots__ = ("status", "body")
 
@@ -47,13 +47,13 @@
     body: bytes = b"",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> FetchedAnswer:
-    """Send one request, and once only, and return its whole answer.
+    """Send one request without retries and return its complete answer.
 
     Args:
-        timeout: Seconds for opening a connection; the caller limits the whole.
+        timeout: Maximum seconds to open a connection; the rest has no timeout here.
 
     Raises:
-        UpstreamFailed: There was no whole answer.
+        UpstreamFailed: No complete answer was received.
     """
     source = StepwiseBody(body) if body else None
     fields = [(b"host", address.encode()), *headers]
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -1,4 +1,4 @@
-"""One socket to an upstream, kept over many requests, lent to one at a time."""
+"""A socket to an upstream that carries many requests, one at a time."""
 
 import select
 import socket
@@ -15,34 +15,35 @@
 
 SWITCHING_PROTOCOLS = 101
 MIN_REFUSAL_STATUS = 400
-"""An early answer with this status or above ends the sending of the request's body."""
-
+"""An answer with at least this status stops the sending of the request's body."""
 
 KEEPALIVE_IDLE_SECONDS = 1
-"""Seconds of silence after which the system asks whether the other end is there; its least."""
+"""Idle seconds before the first TCP keep-alive probe."""
 KEEPALIVE_INTERVAL_SECONDS = 1
-"""Seconds between two such questions; the least that the system knows."""
+"""Seconds between TCP keep-alive probes."""
 KEEPALIVE_MAX_PROBES = 2
-"""Questions without an answer that end a connection: a silent one is known after 3 seconds."""
+"""Number of unanswered TCP keep-alive probes after which the connection fails."""
 UNACKNOWLEDGED_MS = 3000
-"""Milliseconds that sent bytes may stay unacknowledged; as long as the questions take."""
+"""Milliseconds after which a connection with unacknowledged data fails (TCP_USER_TIMEOUT)."""
 
 
 class Link:
-    """A connection to an upstream below the level of requests.
+    """A connection to an upstream: its socket, input buffer and the state of its current request.
 
     Attributes:
         opened_at: Time at which it was opened, in seconds on the daemon's clock.
-        last_received_at: Time of the last byte from the upstream.
-        requests: How many requests it has carried.
-        sent: True once a byte of the present request may have left.
-        early: The head of an answer that came before the request's body was sent, or None.
-        received: What has come and has not been read.
-        request_ended: True once the whole request was sent.
-        answer_ended: True once the whole answer has been read.
-        keeps_alive: True if the upstream takes another request.
+        last_received_at: Time of the last byte from the upstream, on the same clock.
+        requests: Number of requests sent on it.
+        sent: Whether any byte of the current request may have been sent.
+        early_response: Head of an answer received before the request's body was sent, or None.
+        received: Buffer of received bytes that have not been parsed.
+        request_ended: Whether the complete request was sent.
+        answer_ended: Whether the complete answer was read.
+        keeps_alive: Whether the upstream accepts another request after this one.
         keep_alive_timeout: Seconds until the upstream may close an idle connection, or infinity.
-        spoiled: True once an answer came that belonged to no request of this time.
+        is_out_of_sync: Whether an answer to an earlier request was received; prevents reuse.
+        waiting: Whether a task waits on the socket; `close` then only wakes it.
+        send_epoll: Signals that the socket is readable or writable; created when first needed.
     """
 
     __slots__ = (
@@ -85,14 +86,14 @@
 
     @property
     def refused(self) -> bool:
-        """Return True if the upstream has refused the request before it had all of it."""
+        """Whether the upstream refused the request before it was sent completely."""
         return (
             self.early_response is not None
             and self.early_response.status_code >= MIN_REFUSAL_STATUS
         )
 
     def is_unused(self) -> bool:
-        """Return True if the upstream has neither closed the connection nor sent anything."""
+        """Return whether the upstream has neither closed the connection nor sent data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -102,11 +103,11 @@
         return False
 
     def make_failure(self, message: str) -> UpstreamFailed:
-        """Return the error for a failure on this connection."""
+        """Return an error for this connection, to be raised by the caller."""
         return UpstreamFailed(f"{self.address}: {message}", sent=self.sent)
 
     async def receive(self) -> None:
-        """Wait for bytes from the upstream and take them."""
+        """Wait for data from the upstream and add it to the buffer."""
         self.waiting = True
         try:
             while not self.try_receive():
@@ -115,7 +116,7 @@
             self.waiting = False
 
     def try_receive(self) -> bool:
-        """Take what has come; False if nothing has."""
+        """Receive without waiting; return False if no data is available."""
         if self.closed:
             raise self.make_failure("The connection was closed to cancel the request.")
         try:
@@ -130,7 +131,7 @@
         return True
 
     def response(self, max_head: int) -> h11.Response | None:
-        """Return the answer's head, None while it has not come; interim answers are passed over."""
+        """Return the answer's head, or None if it is incomplete; interim answers are skipped."""
         while True:
             try:
                 event, raw = self.received.read_response()
@@ -143,26 +144,30 @@
             if event is None:
                 break
             if event.status_code == SWITCHING_PROTOCOLS:
-                raise self.make_failure("It changed the protocol, which it was not asked to.")
+                raise self.make_failure("It switched protocols without a request to do so.")
         if self.received.closed:
-            raise self.make_failure("It closed the connection before its answer was whole.")
+            raise self.make_failure(
+                "It closed the connection before the answer's head was complete."
+            )
         return None
 
     async def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage:
-        """Wait for the next part of the answer's body."""
+        """Wait for the next piece or the end of the answer's body."""
         try:
             while (event := self.received.read_body_event(reader)) is None:
                 if self.received.closed and type(reader) is UntilCloseReader:
                     return END_OF_MESSAGE
                 if self.received.closed:
-                    raise self.make_failure("It closed the connection within its answer.")
+                    raise self.make_failure(
+                        "It closed the connection before the answer's body was complete."
+                    )
                 await self.receive()
         except h11.LocalProtocolError as error:
             raise self.make_failure(f"The answer's body is malformed: {error}.") from error
         return event
 
     def try_send(self, data: bytes | memoryview) -> int:
-        """Return how many bytes the socket took; 0 if it is full."""
+        """Send without waiting; return the number of bytes sent, 0 if the buffer is full."""
         if self.closed:
             raise self.make_failure("The connection was closed to cancel the request.")
         try:
@@ -175,10 +180,10 @@
         return count
 
     async def wait_to_send(self) -> None:
-        """Wait until the upstream takes bytes or, before its answer, sends some.
+        """Wait until the socket is writable or, if no early answer was received, readable.
 
-        A curio task waits for one thing on one descriptor; an epoll descriptor that is ready when
-        the socket is ready for either is that one thing.
+        A curio task can wait for only one event. It waits for an epoll descriptor, which is
+        readable when the socket is readable or writable.
         """
         if self.early_response is not None:
             await _write_wait(self.descriptor)
@@ -193,7 +198,7 @@
             self.waiting = False
 
     def prepare_for_reuse(self) -> bool:
-        """Get ready for another request; False if the connection cannot carry one."""
+        """Reset the state for another request; return False if the link cannot be reused."""
         whole = (
             self.request_ended
             and self.answer_ended
@@ -206,14 +211,13 @@
         return True
 
     def _reset_request_state(self) -> None:
-        """Forget the last request."""
         self.sent = False
         self.request_ended = False
         self.answer_ended = False
         self.keeps_alive = False
 
     async def close(self) -> None:
-        """Close at once. A task that waits on the connection is woken and fails."""
+        """Close immediately; a task that waits on the connection is woken and fails."""
         self.closed = True
         if self.waiting:
             try:
@@ -228,10 +232,9 @@
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Let the system end a connection whose other end has fallen silent for good.
+    """Enable TCP keep-alive, so that a connection with an unresponsive peer fails.
 
-    Without this, a wait on a connection that something between the two ends has forgotten lasts
-    until its own time limit, and one without a limit for ever.
+    Otherwise a wait without a timeout on such a connection would never end.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
@@ -244,7 +247,7 @@
     """Open a connection to `address` ("IP:port") within `timeout` seconds.
 
     Raises:
-        UpstreamFailed: It could not be opened; nothing was sent.
+        UpstreamFailed: It could not be opened; `sent` is false.
     """
     host, _, port = address.rpartition(":")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -264,10 +267,10 @@
         opened = True
         return Link(address, sock, clock)
     except curio.TaskTimeout as late:
-        message = f"{address}: No connection within {timeout:.3f} s. Try another upstream."
+        message = f"{address}: Connecting timed out after {timeout:.3f} s. Try another upstream."
         raise UpstreamFailed(message, sent=False, timed_out=True) from late
     except (OSError, ValueError) as error:
-        message = f"{address}: No connection: {error}. Try another upstream."
+        message = f"{address}: Connecting failed: {error}. Try another upstream."
         raise UpstreamFailed(message, sent=False) from error
     finally:
         if not opened:
--- a/sequoiabridge/upstreams/probes.py
+++ b/sequoiabridge/upstreams/probes.py
@@ -1,4 +1,4 @@
-"""Probes: a small request that asks an upstream for its health and load."""
+"""Probes: small requests that ask an upstream for its health and load."""
 
 import curio
 
@@ -12,24 +12,24 @@
 
 DEFAULT_PATH = "/health"
 MAX_BODY_BYTES = 4096
-"""Bytes of a probe's answer that are read; the rest is not waited for."""
+"""Size of a probe's body beyond which no more is read."""
 HEADER_LINE_OVERHEAD_BYTES = 4
-"""Bytes of a header line beside its name and value."""
+"""Bytes of a header line besides its name and value."""
 START_LINE_OVERHEAD_BYTES = 17
-"""Bytes of a start line beside method and path, or of a status line."""
+"""Bytes of a request line besides the path; also used for a status line."""
 
 
 class ProbeResult:
-    """What a probe brought.
+    """The result of a probe.
 
     Attributes:
-        healthy: True for an answer below 400; False for another, or none in time.
-        status: The answer's status, 0 without one.
-        load: The load it reported, or None.
-        drain: The upstream's incarnation if it says that it is leaving, or None.
-        incarnation: The upstream's incarnation if it says it, or None.
-        latency: Seconds from the start to the answer's head.
-        size: Bytes spent, both ways, as HTTP counts them.
+        healthy: Whether an answer with a status below 400 was received in time.
+        status: HTTP status of the answer, 0 without an answer.
+        load: The load report of the answer, or None.
+        drain: Incarnation of the upstream if it reports that it is draining, or None.
+        incarnation: Incarnation of the upstream if it reports one, or None.
+        latency: Seconds from the start to the answer's head, or to the failure.
+        size: Size in bytes of the request and the answer at the level of HTTP.
         failure: Why there was no answer, or None.
     """
 
@@ -47,10 +47,10 @@
 
 
 class Prober:
-    """Sends probes, one for each call of `probe`; the budget is its caller's.
+    """Sends probes without a limit on their rate.
 
     Attributes:
-        bad_headers: How many load and drain headers could not be read.
+        invalid_headers: Number of invalid load, drain and incarnation headers.
     """
 
     def __init__(self, connector: Connector, clock: Clock, path: str = DEFAULT_PATH):
@@ -60,7 +60,11 @@
         self.invalid_headers = 0
 
     async def probe(self, address: str, timeout: float) -> ProbeResult:
-        """Ask `address` ("IP:port") and return what it said within `timeout` seconds."""
+        """Probe `address` ("IP:port") and return the result, also after a failure.
+
+        Args:
+            timeout: Maximum seconds until the answer was read.
+        """
         started = self.clock.now()
         headers = [(b"host", address.encode())]
         request = UpstreamRequest(b"GET", self.path, headers)
@@ -107,7 +111,7 @@
 
 
 async def _discard_body(answer: Answer) -> int:
-    """Read at most `MAX_ANSWER` bytes of the body, give up the rest, return how many came."""
+    """Read and discard up to about `MAX_BODY_BYTES`, close the body and return the bytes read."""
     size = 0
     if answer.body is None:
         return size
--- a/sequoiabridge/upstreams/reports.py
+++ b/sequoiabridge/upstreams/reports.py
@@ -1,22 +1,22 @@
-"""What upstreams say of themselves in the headers of their answers."""
+"""Parses the headers in which upstreams report their load and incarnation."""
 
 import re
 
 from ..policy.base import LoadReport
 
 MAX_REPORT_BYTES = 64
-"""Bytes of a header that are looked at; a report is shorter."""
+"""Maximum length of a load report in bytes."""
 MAX_DIGITS = 19
-"""Digits of a number that is read; an incarnation may be a wall time in nanoseconds."""
+"""Maximum number of digits; enough for an incarnation that is a time in nanoseconds."""
 MS_PER_SECOND = 1000.0
 COMMON_FORM = re.compile(rb"in_flight=(\d{1,18});slots=(\d{1,18});age_ms=(\d{1,18})")
-"""The report as it is documented; any other spelling is taken apart."""
+"""The usual form of a load report, parsed quickly; other valid forms are parsed by field."""
 
 
 def parse_load(value: bytes) -> LoadReport | None:
-    """Return the report in `in_flight=N;slots=N;age_ms=N`, or None if it is not valid.
+    """Return the load report in `in_flight=N;slots=N;age_ms=N`, or None if it is invalid.
 
-    The age may be left out, and unknown fields are passed over, so that upstreams may say more.
+    The age is optional, and unknown fields are ignored.
     """
     if len(value) > MAX_REPORT_BYTES:
         return None
@@ -37,7 +37,7 @@
 
 
 def parse_incarnation(value: bytes) -> int | None:
-    """Return the incarnation number that an upstream gives, or None if it is not valid."""
+    """Return the incarnation of an upstream, or None if it is invalid."""
     return _parse_number(value)
 
 
