--- a/sequoiabridge/relay/entry_errors.py
+++ b/sequoiabridge/relay/entry_errors.py
@@ -18,12 +18,12 @@
 
     Attributes:
         count: Number of errors so far, repeated ones included.
-        told: Last error that was logged, by feed and key of the entry.
+        logged: Last error that was logged, by feed and key of the entry.
     """
 
     def __init__(self, decisions: DecisionLog):
         self.decisions = decisions
-        self.told: OrderedDict[tuple[str, str], str] = OrderedDict()
+        self.logged: OrderedDict[tuple[str, str], str] = OrderedDict()
         self.count = 0
 
     def record(self, feed: str, problems: Iterable[BadEntry]) -> None:
@@ -34,10 +34,10 @@
     def _record(self, feed: str, problem: BadEntry) -> None:
         self.count += 1
         key, why = (feed, problem.key), str(problem)
-        if self.told.get(key) == why:
+        if self.logged.get(key) == why:
             return
-        self.told[key] = why
-        self.told.move_to_end(key)
-        if len(self.told) > MAX_REMEMBERED:
-            self.told.popitem(last=False)
+        self.logged[key] = why
+        self.logged.move_to_end(key)
+        if len(self.logged) > MAX_REMEMBERED:
+            self.logged.popitem(last=False)
         self.decisions.event("entry-unusable", feed=feed, key=problem.key, why=why)
