--- a/sequoiabridge/balancing/cost_model.py
+++ b/sequoiabridge/balancing/cost_model.py
@@ -280,7 +280,8 @@
 
     This is the case if one of the following holds:
 
-    - taking the last slot would cost the calls there more than this call gains;
+    - taking the last slot, or queueing, would delay the calls that already run at that upstream at
+      a higher cost than this call gains;
     - the call would take the last slot or queue, and the load report is too old for that;
     - a free slot is left, but the call is late already and other calls need the slot more;
     - the queue is full;
