--- a/sequoiabridge/tests/experiment/test_gains.py
+++ b/sequoiabridge/tests/experiment/test_gains.py
@@ -1,7 +1,7 @@
 """Each mechanism must improve the score of a simulated load that it is meant for.
 
-The tests guard against a mechanism that is disabled or inverted. The required margins are at most
-half of those measured.
+The tests guard against a mechanism that has no effect or makes the score worse, and against runs
+that differ although their seed is the same.
 """
 
 import pytest
