--- a/sequoiabridge/tests/assembly/test_platform_tasks.py
+++ b/sequoiabridge/tests/assembly/test_platform_tasks.py
@@ -33,7 +33,7 @@
 def run_fleet(seconds, count):
     """Run the tasks of `count` VMs for some seconds; return the counts of their calls."""
     clock, platform_calls, random = ManualClock(), CallCounter(), Random(1)
-    fleet = SimpleNamespace(live_count=lambda: count, hint=lambda addresses: None)
+    fleet = SimpleNamespace(live_count=lambda: count, set_listed_addresses=lambda addresses: None)
     daemon = SimpleNamespace(
         clock=clock, fleet=fleet, vm_list=platform_calls, versions=platform_calls
     )
