--- a/sequoiabridge/upstreams/connections.py
+++ b/sequoiabridge/upstreams/connections.py
@@ -77,7 +77,7 @@
         self.reused_count = 0
 
     def set_share(self, address: str, count: int) -> None:
-        """Open at most `count` connections to `address`; connections in excess stay open."""
+        """Limit the connections to `address` to `count`; this call closes none."""
         self.shares[address] = count
         if address in self.pools:
             self.pools[address].share = count
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -149,7 +149,7 @@
         event = link.early_response
         while True:
             while event is None:
-                event = link.response(self.connector.limits.max_head)
+                event = link.read_response_head(self.connector.limits.max_head)
                 if event is None:
                     await link.receive()
             head = MessageHead(event, DROPPED_ANSWER_FIELDS)
@@ -202,7 +202,7 @@
     def _check_early_answer(self) -> None:
         link = self.link
         if link.early_response is None and link.try_receive():
-            link.early_response = link.response(self.connector.limits.max_head)
+            link.early_response = link.read_response_head(self.connector.limits.max_head)
 
 
 class AnswerBody(Body):
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -130,7 +130,7 @@
         self.received.feed(data)
         return True
 
-    def response(self, max_head: int) -> h11.Response | None:
+    def read_response_head(self, max_head: int) -> h11.Response | None:
         """Return the answer's head, or None if it is incomplete; interim answers are skipped."""
         while True:
             try:
@@ -199,13 +199,19 @@
 
     def prepare_for_reuse(self) -> bool:
         """Reset the state for another request; return False if the link cannot be reused."""
-        whole = (
+        is_complete = (
             self.request_ended
             and self.answer_ended
             and self.keeps_alive
             and not self.is_out_of_sync
         )
-        if not whole or self.closed or self.early_response or self.received or self.received.closed:
+        if (
+            not is_complete
+            or self.closed
+            or self.early_response
+            or self.received
+            or self.received.closed
+        ):
             return False
         self._reset_request_state()
         return True
