--- a/sequoiabridge/callers/body.py
+++ b/sequoiabridge/callers/body.py
@@ -22,12 +22,22 @@
         ended: True after the clean end.
     """
 
-    __slots__ = ("transport", "length", "max_body", "waits", "reader", "received", "ended")
-
-    def __init__(self, transport: CallerTransport, length: int | None, max_body: int, waits: bool):
+    __slots__ = (
+        "transport",
+        "length",
+        "max_body",
+        "expects_continue",
+        "reader",
+        "received",
+        "ended",
+    )
+
+    def __init__(
+        self, transport: CallerTransport, length: int | None, max_body: int, expects_continue: bool
+    ):
         self.transport = transport
         self.length = length
-        self.waits = waits
+        self.expects_continue = expects_continue
         self.reader = body_reader(length)
         self.max_body = max_body
         self.received = 0
@@ -48,17 +58,17 @@
             return b""
         if self.length is not None and self.length > self.max_body:
             raise body_too_large(self.max_body, self._outcome())
-        if self.waits:
-            self.waits = False
+        if self.expects_continue:
+            self.expects_continue = False
             await self.transport.send(CONTINUE)
         while (event := self._next_event()) is None:
             await self._receive()
         if type(event) is h11.Data:
-            return self._piece(event)
+            return self._take_piece(event)
         self.ended = True
         return b""
 
-    def skip_buffered(self) -> bool:
+    def discard_buffered(self) -> bool:
         """Drop what has been received; return True if that was all of the body."""
         while not self.ended:
             event = self._next_event()
@@ -67,7 +77,7 @@
             self.ended = type(event) is h11.EndOfMessage
         return True
 
-    def _piece(self, event: h11.Data) -> bytes:
+    def _take_piece(self, event: h11.Data) -> bytes:
         size = len(event.data)
         if self.received + size > self.max_body:
             raise body_too_large(self.max_body, self._outcome())
--- a/sequoiabridge/callers/connection.py
+++ b/sequoiabridge/callers/connection.py
@@ -24,7 +24,7 @@
 from ..logs import get_log
 from ..pipeline.exchange import Answer, Body, BytesBody, Request
 from .body import CallerBody
-from .framing import checked_head
+from .framing import validate_head
 from .refusals import bad_request, caller_too_slow, internal_error, upstream_failed
 from .transport import CallerTransport, Phase
 
@@ -33,13 +33,13 @@
 
 log = get_log("callers")
 
-NOT_TO_CALLERS = PER_CONNECTION_FIELDS | {LOAD, DRAIN, NOT_RUN}
+REMOVED_FIELDS = PER_CONNECTION_FIELDS | {LOAD, DRAIN, NOT_RUN}
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 CLOSE = (CONNECTION, b"close")
 CHUNKED = (TRANSFER_ENCODING, b"chunked")
 
 
-def standalone(answer: Answer) -> bytes:
+def encode_unread_answer(answer: Answer) -> bytes:
     """Return the bytes of an answer to a caller whose request is not read; it says close."""
     fields = ValidatedHeaders([*answer.headers, (CONTENT_LENGTH, b"%d" % answer.length), CLOSE])
     response = h11.Response(status_code=answer.status, headers=fields)
@@ -81,7 +81,7 @@
             event, raw = await self._read_head()
             if event is None:
                 return False
-            head = checked_head(event, raw)
+            head = validate_head(event, raw)
         except h11.LocalProtocolError as error:
             message = f"This is not a valid HTTP request: {error}. Correct it."
             return await self._refuse_head(bad_request(message, error.error_status_hint))
@@ -115,20 +115,20 @@
 
     async def _exchange(self, event: h11.Request, head: MessageHead) -> bool:
         """Have the handler answer a request; return True if another may follow."""
-        request = self._request(event, head)
+        request = self._build_request(event, head)
         body = request.body  # The handler may put another in its place.
         self.keeps_alive = head.keeps_alive
         self.version = event.http_version
-        self.transport.probeable = self.version == HTTP_11
+        self.transport.may_send_interim = self.version == HTTP_11
         handler = self.server.handler
-        self.transport.handling()
+        self.transport.enter_handler_phase()
         try:
             answer = await handler.answer(request)
         except CallerGone:
             raise
         except Exception as error:
-            await self._send(self._refused(error), request.method, body)
-            return await self._next_cycle(body)
+            await self._send(self._answer_to_error(error), request.method, body)
+            return await self._prepare_next(body)
         clean = False
         try:
             await self._send(answer, request.method, body)
@@ -137,14 +137,14 @@
             raise
         except SequoiaError as error:
             log.warning("An answer was cut off. %s", error)
-            self._cut_off(answer)
+            self._mark_truncated(answer)
         finally:
             if answer.body is not None:
                 await answer.body.close()
             await handler.finished(request, answer, clean)
-        return clean and await self._next_cycle(body)
+        return clean and await self._prepare_next(body)
 
-    def _request(self, event: h11.Request, head: MessageHead) -> Request:
+    def _build_request(self, event: h11.Request, head: MessageHead) -> Request:
         length = None if head.chunked else head.length or 0
         body = None
         if length != 0:
@@ -152,7 +152,7 @@
             body = CallerBody(self.transport, length, limit, head.expects_continue)
         return Request(event.method, event.target, head.pairs, length, body, self.peer)
 
-    def _refused(self, error: Exception) -> Answer:
+    def _answer_to_error(self, error: Exception) -> Answer:
         """Return the answer that stands for an error of the handler."""
         refusal = error
         if isinstance(error, UpstreamFailed):
@@ -160,14 +160,16 @@
         elif not isinstance(error, Refusal):
             log.error("The handler failed.", exc_info=error)
             refusal = internal_error()
-        return self.server.refuse(refusal, refusal.request_id or self.server.ids())
+        return self.server.write_refusal(
+            refusal, refusal.request_id or self.server.new_request_id()
+        )
 
     async def _refuse_head(self, refusal: Refusal) -> bool:
         """Answer a request that could not be read, and end the connection."""
-        answer = self.server.refuse(refusal, self.server.ids())
+        answer = self.server.write_refusal(refusal, self.server.new_request_id())
         self.keeps_alive = False
         await self._send(answer, b"", None)
-        return await self._next_cycle()
+        return await self._prepare_next()
 
     async def _send(self, answer: Answer, method: bytes, body: CallerBody | None) -> None:
         """Send an answer, in one piece if its body is in memory.
@@ -182,12 +184,12 @@
             if answer.length not in (size, None):
                 raise UpstreamFailed("The answer's body is not as long as it says.", sent=True)
             answer.length = size
-        unread = body is not None and not body.ended and not body.skip_buffered()
+        unread = body is not None and not body.ended and not body.discard_buffered()
         if unread or self.server.stopping:
             self.keeps_alive = False
-        transport.probeable = False
+        transport.may_send_interim = False
         bodiless = method == b"HEAD" or status in BODILESS_STATUSES
-        fields = self._fields(answer, bodiless)
+        fields = self._header_fields(answer, bodiless)
         reason = REASON_PHRASES.get(status, b"")
         head = encode_response_head(h11.Response(status_code=status, headers=fields, reason=reason))
         if bodiless or source is None:
@@ -209,8 +211,8 @@
             message = f"The answer's body is not as long as it says: {error}."
             raise UpstreamFailed(message, sent=True) from error
 
-    def _fields(self, answer: Answer, bodiless: bool) -> ValidatedHeaders:
-        pairs = [pair for pair in answer.headers if pair[0] not in NOT_TO_CALLERS]
+    def _header_fields(self, answer: Answer, bodiless: bool) -> ValidatedHeaders:
+        pairs = [pair for pair in answer.headers if pair[0] not in REMOVED_FIELDS]
         length = answer.length
         if answer.body is None and not bodiless:
             length = 0
@@ -222,7 +224,7 @@
             pairs.append(CLOSE)
         return ValidatedHeaders(pairs)
 
-    def _cut_off(self, answer: Answer) -> None:
+    def _mark_truncated(self, answer: Answer) -> None:
         """Let the caller see that the answer is not whole.
 
         A missing last chunk or missing bytes show it; a body that ends with the connection
@@ -231,7 +233,7 @@
         if answer.length is None and self.version != HTTP_11:
             self.transport.abort_on_close()
 
-    async def _next_cycle(self, body: CallerBody | None = None) -> bool:
+    async def _prepare_next(self, body: CallerBody | None = None) -> bool:
         """Get ready for the next request; False if there can be none."""
         if self.keeps_alive and (body is None or body.ended):
             return True
--- a/sequoiabridge/callers/framing.py
+++ b/sequoiabridge/callers/framing.py
@@ -13,11 +13,11 @@
 from ..headers import RESERVED
 from .refusals import bad_request
 
-DROPPED = PER_CONNECTION_FIELDS | RESERVED
-LENGTHS = re.compile(rb"\ncontent-length:([^\n]*)", re.IGNORECASE)
+REMOVED_FIELDS = PER_CONNECTION_FIELDS | RESERVED
+CONTENT_LENGTH_LINES = re.compile(rb"\ncontent-length:([^\n]*)", re.IGNORECASE)
 
 
-def checked_head(event: h11.Request, raw: bytes) -> MessageHead:
+def validate_head(event: h11.Request, raw: bytes) -> MessageHead:
     """Return the head of a request that h11 parsed from the bytes `raw`.
 
     Raises:
@@ -25,9 +25,9 @@
     """
     if b"\n " in raw or b"\n\t" in raw:
         raise bad_request("A header is folded over two lines. Write it on one.")
-    head = MessageHead(event, DROPPED)
+    head = MessageHead(event, REMOVED_FIELDS)
     if head.length is not None:
-        _check_length(head, raw)
+        _validate_length(head, raw)
     if head.chunked and event.http_version != HTTP_11:
         raise bad_request("HTTP/1.0 knows no Transfer-Encoding. Send a Content-Length.")
     if event.method == b"CONNECT":
@@ -35,9 +35,9 @@
     return head
 
 
-def _check_length(head: MessageHead, raw: bytes) -> None:
+def _validate_length(head: MessageHead, raw: bytes) -> None:
     if head.chunked:
         raise bad_request("Content-Length and Transfer-Encoding are both given. Send one.")
-    lengths = LENGTHS.findall(raw)
+    lengths = CONTENT_LENGTH_LINES.findall(raw)
     if len(lengths) != 1 or b"," in lengths[0]:
         raise bad_request("Content-Length is given more than once. Send one.")
--- a/sequoiabridge/callers/refusals.py
+++ b/sequoiabridge/callers/refusals.py
@@ -11,7 +11,7 @@
 RefusalWriter = Callable[[Refusal, str], Answer]
 """Makes the answer that tells a caller of a refusal, given the request's id."""
 
-LEAST_RETRY_AFTER = 1
+MIN_RETRY_AFTER_SECONDS = 1
 """Seconds; Retry-After knows whole seconds only."""
 
 
@@ -25,7 +25,7 @@
         (REQUEST_ID, request_id.encode("ascii", "replace")),
     ]
     if refusal.retry_after is not None:
-        seconds = max(LEAST_RETRY_AFTER, ceil(refusal.retry_after))
+        seconds = max(MIN_RETRY_AFTER_SECONDS, ceil(refusal.retry_after))
         headers.append((b"retry-after", b"%d" % seconds))
     return Answer(refusal.status, headers, len(body), BytesBody(body))
 
@@ -51,7 +51,7 @@
 def too_many_connections() -> Refusal:
     """Return the refusal of a connection beyond the limit."""
     message = "The daemon has all the connections that it takes. Try again in a second."
-    return Refusal(503, Outcome.NOT_RUN, Reason.NO_CONNECTION, message, LEAST_RETRY_AFTER)
+    return Refusal(503, Outcome.NOT_RUN, Reason.NO_CONNECTION, message, MIN_RETRY_AFTER_SECONDS)
 
 
 def upstream_failed(message: str) -> Refusal:
--- a/sequoiabridge/callers/server.py
+++ b/sequoiabridge/callers/server.py
@@ -14,7 +14,7 @@
 from ..logs import get_log
 from ..pipeline.exchange import Answer, Request
 from ..timers import Clock
-from .connection import CallerConnection, standalone
+from .connection import CallerConnection, encode_unread_answer
 from .limits import CallerLimits
 from .refusals import RefusalWriter, refusal_answer, too_many_connections
 from .transport import Phase
@@ -25,14 +25,14 @@
 """Connections that may wait to be accepted."""
 SWEEP_INTERVAL = 0.1
 """Seconds between two looks at all connections."""
-IDLE_GRACE = 0.5
+IDLE_GRACE_SECONDS = 0.5
 """Seconds that an idle connection stays open after a stop began, for a request on its way."""
-REFUSED_KEPT = 64
+MAX_REJECTED_SOCKETS = 64
 """Connections beyond the limit that are kept for a sweep, so that their callers see why."""
-ACCEPT_PAUSE = 0.05
+ACCEPT_RETRY_SECONDS = 0.05
 """Seconds before accepting again when the VM is out of file descriptors."""
-GONE = select.POLLERR | select.POLLHUP
-HALF_CLOSED = select.POLLRDHUP
+DISCONNECTED_EVENTS = select.POLLERR | select.POLLHUP
+HALF_CLOSED_EVENT = select.POLLRDHUP
 
 
 class Handler(ABC):
@@ -81,27 +81,27 @@
         handler: Handler,
         limits: CallerLimits,
         clock: Clock,
-        ids: Callable[[], str],
-        refuse: RefusalWriter = refusal_answer,
+        new_request_id: Callable[[], str],
+        write_refusal: RefusalWriter = refusal_answer,
         cancel_on_half_close: bool = False,
         sweep_interval: float = SWEEP_INTERVAL,
     ):
         self.handler = handler
         self.limits = limits
         self.clock = clock
-        self.ids = ids
-        self.refuse = refuse
+        self.new_request_id = new_request_id
+        self.write_refusal = write_refusal
         self.cancel_on_half_close = cancel_on_half_close
         self.sweep_interval = sweep_interval
         self.address = ""
         self.listener: socket.socket | None = None
         self.open_connections: set[CallerConnection] = set()
-        self.refused: deque[socket.socket] = deque()
+        self.rejected_sockets: deque[socket.socket] = deque()
         self.in_flight = 0
-        self.accepted = 0
-        self.turned_away = 0
+        self.accepted_count = 0
+        self.rejected_count = 0
         self.stopping = False
-        self.closed = False
+        self.listener_closed = False
         self.acceptor: curio.Task | None = None
 
     @property
@@ -155,14 +155,14 @@
         Callers that are in the queue of the listening socket are still served. Answers from now
         on carry `Connection: close`.
         """
-        if self.closed:
+        if self.listener_closed:
             return
-        self.closed = self.stopping = True
+        self.listener_closed = self.stopping = True
         await self.acceptor.cancel()
         while await self._accept_one():
             pass
         self.listener.close()
-        end = self.clock.now() + IDLE_GRACE
+        end = self.clock.now() + IDLE_GRACE_SECONDS
         for connection in self.open_connections:
             if connection.transport.phase is Phase.IDLE:
                 connection.transport.deadline = min(connection.transport.deadline, end)
@@ -176,16 +176,16 @@
     async def sweep(self) -> None:
         """End waits that are over and cancel handlers whose caller has gone."""
         now = self.clock.now()
-        handling: dict[int, CallerConnection] = {}
+        by_fileno: dict[int, CallerConnection] = {}
         for connection in list(self.open_connections):
             if connection.transport.phase is Phase.HANDLER:
-                handling[connection.transport.sock.fileno()] = connection
+                by_fileno[connection.transport.sock.fileno()] = connection
             else:
-                connection.transport.check(now)
-        while self.refused:
-            self.refused.popleft().close()
-        if handling:
-            await self._look_for_gone(handling)
+                connection.transport.expire_wait(now)
+        while self.rejected_sockets:
+            self.rejected_sockets.popleft().close()
+        if by_fileno:
+            await self._check_disconnects(by_fileno)
 
     def dump(self) -> dict:
         """Describe the server for the state dump."""
@@ -195,25 +195,25 @@
             "stopping": self.stopping,
             "connections": self.connections,
             "in_flight": self.in_flight,
-            "accepted": self.accepted,
-            "turned_away": self.turned_away,
+            "accepted": self.accepted_count,
+            "turned_away": self.rejected_count,
             "phases": dict(phases),
             "limits": {name: getattr(self.limits, name) for name in self.limits.__slots__},
         }
 
-    async def _look_for_gone(self, handling: dict[int, CallerConnection]) -> None:
+    async def _check_disconnects(self, by_fileno: dict[int, CallerConnection]) -> None:
         poll = select.poll()
-        for fileno in handling:
-            poll.register(fileno, HALF_CLOSED)
+        for fileno in by_fileno:
+            poll.register(fileno, HALF_CLOSED_EVENT)
         for fileno, events in poll.poll(0):
-            connection = handling[fileno]
-            if events & GONE:
+            connection = by_fileno[fileno]
+            if events & DISCONNECTED_EVENTS:
                 log.debug("A caller left; its request is cancelled.")
                 await connection.transport.task.cancel(blocking=False)
-            elif events & HALF_CLOSED and self.cancel_on_half_close:
+            elif events & HALF_CLOSED_EVENT and self.cancel_on_half_close:
                 await connection.transport.task.cancel(blocking=False)
-            elif events & HALF_CLOSED:
-                connection.transport.probe()
+            elif events & HALF_CLOSED_EVENT:
+                connection.transport.send_interim_answer()
 
     async def _accept(self) -> None:
         try:
@@ -232,13 +232,13 @@
             return False
         except OSError as error:
             log.warning("Cannot accept: %s. Raise the limit of open files.", error)
-            await curio.sleep(ACCEPT_PAUSE)
+            await curio.sleep(ACCEPT_RETRY_SECONDS)
             return False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.accepted += 1
+        self.accepted_count += 1
         if self.connections >= self.limits.max_connections:
-            self._turn_away(sock)
+            self._reject_connection(sock)
             return True
         connection = CallerConnection(self, sock, f"{peer[0]}:{peer[1]}")
         self.open_connections.add(connection)
@@ -251,15 +251,15 @@
         finally:
             self.open_connections.discard(connection)
 
-    def _turn_away(self, sock: socket.socket) -> None:
+    def _reject_connection(self, sock: socket.socket) -> None:
         """Tell a caller beyond the limit so; the socket is closed by the next sweep."""
-        self.turned_away += 1
-        answer = self.refuse(too_many_connections(), self.ids())
+        self.rejected_count += 1
+        answer = self.write_refusal(too_many_connections(), self.new_request_id())
         try:
-            sock.send(standalone(answer))
+            sock.send(encode_unread_answer(answer))
             sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             log.debug("A caller could not be told: %s.", error)
-        self.refused.append(sock)
-        if len(self.refused) > REFUSED_KEPT:
-            self.refused.popleft().close()
+        self.rejected_sockets.append(sock)
+        if len(self.rejected_sockets) > MAX_REJECTED_SOCKETS:
+            self.rejected_sockets.popleft().close()
--- a/sequoiabridge/callers/transport.py
+++ b/sequoiabridge/callers/transport.py
@@ -20,11 +20,11 @@
 log = get_log("callers")
 
 NEVER = float("inf")
-DRAIN_SIZE = 256 * 1024
+MAX_DRAIN_BYTES = 256 * 1024
 """Bytes of an unwanted rest that are read and dropped, so that the caller sees its answer."""
-DRAIN_TIME = 2.0
+DRAIN_TIMEOUT = 2.0
 """Seconds that this may take."""
-ABORT = b"\x01\x00\x00\x00\x00\x00\x00\x00"
+LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
 """SO_LINGER on with 0 seconds: closing resets the connection."""
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -65,7 +65,7 @@
         "phase",
         "deadline",
         "expired",
-        "probeable",
+        "may_send_interim",
     )
 
     def __init__(self, sock: socket.socket, limits: CallerLimits, clock: Clock):
@@ -78,7 +78,7 @@
         self.phase = Phase.IDLE
         self.deadline = clock.now() + limits.idle_timeout
         self.expired = False
-        self.probeable = False
+        self.may_send_interim = False
 
     async def receive(self, phase: Phase, timeout: float) -> bool:
         """Take what the caller sends next; False at its end or when the wait was over.
@@ -96,11 +96,11 @@
                 continue
             except OSError as error:
                 raise CallerGone(f"Its connection broke: {error}.") from error
-            self.handling()
+            self.enter_handler_phase()
             self.received.feed(data)
             return bool(data)
 
-    def handling(self) -> None:
+    def enter_handler_phase(self) -> None:
         """Nothing is expected from the caller now; the handler is at work."""
         self.phase = Phase.HANDLER
         self.deadline = NEVER
@@ -126,9 +126,9 @@
             self.sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             raise CallerGone(f"Its connection broke: {error}.") from error
-        end = self.clock.now() + DRAIN_TIME
+        end = self.clock.now() + DRAIN_TIMEOUT
         size = 0
-        while size < DRAIN_SIZE and not self.expired:
+        while size < MAX_DRAIN_BYTES and not self.expired:
             if not await self.receive(Phase.CLOSING, end - self.clock.now()):
                 return
             size += len(self.received)
@@ -136,14 +136,14 @@
 
     def abort_on_close(self) -> None:
         """Make the close a reset, for an answer whose end is shown by nothing but the close."""
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     async def close(self) -> None:
         """Close the socket; only the task that serves the connection may do so."""
         await _io_release(self.descriptor)
         self.sock.close()
 
-    def check(self, now: float) -> None:
+    def expire_wait(self, now: float) -> None:
         """End a wait that is over; called by the sweep."""
         if now < self.deadline:
             return
@@ -155,15 +155,15 @@
         except OSError as error:
             log.debug("A connection was closed already: %s.", error)
 
-    def probe(self) -> None:
+    def send_interim_answer(self) -> None:
         """Find out whether a caller that has ended its sending side still waits for its answer.
 
         The end of its stream proves nothing: it may have closed that side only. If it has gone,
         its system answers an interim answer with a reset, which the next sweep sees.
         """
-        if not self.probeable:
+        if not self.may_send_interim:
             return
-        self.probeable = False
+        self.may_send_interim = False
         try:
             self.sock.send(PROCESSING)
         except OSError as error:
@@ -180,4 +180,4 @@
                 continue
             except OSError as error:
                 raise CallerGone(f"Its connection broke: {error}.") from error
-        self.handling()
+        self.enter_handler_phase()
--- a/sequoiabridge/tests/callers/served.py
+++ b/sequoiabridge/tests/callers/server_fixture.py
@@ -18,17 +18,17 @@
     return Answer(200, [], len(body), BytesBody(body))
 
 
-class Scripted(Handler):
+class ScriptedHandler(Handler):
     """Runs a coroutine function as its answer and keeps what `finished` was told."""
 
     def __init__(self, script):
         self.script = script
-        self.ended = []
+        self.clean_ends = []
         self.cancelled = 0
-        self.seen = []
+        self.requests = []
 
     async def answer(self, request):
-        self.seen.append(request)
+        self.requests.append(request)
         try:
             return await self.script(request)
         except curio.CancelledError:
@@ -36,14 +36,14 @@
             raise
 
     async def finished(self, request, answer, clean):
-        self.ended.append(clean)
+        self.clean_ends.append(clean)
 
 
 def serve(script, test, **limits):
     """Run `test(server, handler, connect)` against a server; fail it if it hangs."""
 
     async def main():
-        handler = Scripted(script)
+        handler = ScriptedHandler(script)
         ids = count()
         clock = ManualClock()
         server = CallerServer(handler, CallerLimits(**limits), clock, lambda: f"id-{next(ids)}")
@@ -82,7 +82,7 @@
     return data
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     """Wait for `condition()` to hold."""
     while not condition():
         await curio.sleep(0.002)
--- a/sequoiabridge/tests/callers/test_server.py
+++ b/sequoiabridge/tests/callers/test_server.py
@@ -6,7 +6,7 @@
 from ...exceptions import Refusal, UpstreamFailed
 from ...outcome import Outcome, Reason
 from ...pipeline.exchange import Answer, Body
-from .served import GET, ok, read_all, read_until, serve, until
+from .server_fixture import GET, ok, read_all, read_until, serve, wait_until
 
 POST = b"POST / HTTP/1.1\r\nHost: a\r\n"
 
@@ -18,7 +18,7 @@
     return ok(request.method + request.target + data)
 
 
-class Broken(Body):
+class TruncatedBody(Body):
     """A body that is cut short after one piece."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
         assert data.count(b"HTTP/1.1 200 OK") == 3
         assert data.index(b"GET/") < data.index(b"POST/abcde") < data.index(b"content-length: 5")
         assert data.endswith(b"\r\n\r\n"), "a HEAD answer has no body"
-        assert handler.ended == [True, True, True]
+        assert handler.clean_ends == [True, True, True]
 
     serve(echo, test)
 
@@ -63,16 +63,16 @@
         assert data.startswith((b"HTTP/1.1 4", b"HTTP/1.1 501"))
         assert b"sequoia-outcome: not-run\r\n" in data and b"connection: close" in data
         assert b"sequoia-request-id: id-0" in data
-        assert handler.seen == []
+        assert handler.requests == []
 
     serve(echo, test, max_head=4096)
 
 
-def test_connection_named_and_own_headers_are_stripped():
+def test_connection_specific_and_reserved_headers_are_removed():
     async def test(server, handler, connect):
         extra = b"Connection: X-Hop\r\nX-Hop: 1\r\nSequoia-Outcome: not-run\r\nX-Keep: 2\r\n\r\n"
         await read_until(await connect(GET[:-2] + extra), b"GET/")
-        assert handler.seen[0].headers == [(b"host", b"a"), (b"x-keep", b"2")]
+        assert handler.requests[0].headers == [(b"host", b"a"), (b"x-keep", b"2")]
 
     serve(echo, test)
 
@@ -112,9 +112,9 @@
 
 @pytest.mark.parametrize("length", [None, 10])
 @pytest.mark.parametrize("version", [b"1.1", b"1.0"])
-def test_answer_cut_short_upstream_is_cut_short_visibly(length, version):
+def test_truncated_answer_is_detectable_by_the_caller(length, version):
     async def broken(request):
-        return Answer(200, [], length, Broken())
+        return Answer(200, [], length, TruncatedBody())
 
     async def test(server, handler, connect):
         sock = await connect(GET.replace(b"1.1", version))
@@ -126,7 +126,7 @@
             reset = True
         assert not data.endswith(b"\r\n0\r\n\r\n")
         assert reset or length or version == b"1.1", "a clean end to a body without a length"
-        await until(lambda: handler.ended == [False])
+        await wait_until(lambda: handler.clean_ends == [False])
 
     serve(broken, test)
 
@@ -135,34 +135,34 @@
     async def test(server, handler, connect):
         idle, head = await connect(), await connect(GET[:10])
         body = await connect(POST + b"Content-Length: 3\r\n\r\na")
-        await until(lambda: server.dump()["phases"] == {"idle": 1, "head": 1, "body": 1})
+        await wait_until(lambda: server.dump()["phases"] == {"idle": 1, "head": 1, "body": 1})
         server.clock.advance(100)
         assert await read_all(idle) == b""
         assert (await read_all(head)).startswith(b"HTTP/1.1 408")
         data = await read_all(body)
         assert data.startswith(b"HTTP/1.1 408") and b"sequoia-outcome: unknown" in data
-        await until(lambda: server.connections == 0)
+        await wait_until(lambda: server.connections == 0)
 
     serve(echo, test)
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_handler_is_cancelled_when_its_caller_has_gone(reset):
+def test_handler_is_cancelled_when_its_caller_disconnects(reset):
     async def stuck(request):
         await curio.sleep(1000)
 
     async def test(server, handler, connect):
         sock = await connect(GET)
-        await until(lambda: handler.seen)
+        await wait_until(lambda: handler.requests)
         if reset:
             sock.setsockopt(1, 13, b"\x01\0\0\0\0\0\0\0")
         await sock.close()
-        await until(lambda: handler.cancelled == 1 and server.connections == 0)
+        await wait_until(lambda: handler.cancelled == 1 and server.connections == 0)
 
     serve(stuck, test)
 
 
-def test_connections_beyond_the_limit_are_told_so():
+def test_connections_beyond_the_limit_get_503():
     async def test(server, handler, connect):
         first = await connect(GET)
         await read_until(first, b"GET/")
@@ -177,7 +177,7 @@
         idle = await connect(GET)
         await read_until(idle, b"GET/")
         upload = await connect(POST + b"Content-Length: 6\r\n\r\nabc")
-        await until(lambda: server.in_flight == 1)
+        await wait_until(lambda: server.in_flight == 1)
         await server.stop_accepting()
         server.clock.advance(1)
         assert await read_all(idle) == b""
@@ -192,7 +192,7 @@
     serve(echo, test)
 
 
-def test_fault_of_the_handler_is_answered_as_unknown_and_counts_no_answer():
+def test_handler_error_gets_500_with_unknown_outcome_and_no_finished_call():
     async def faulty(request):
         raise KeyError("x")
 
@@ -201,6 +201,6 @@
         await sock.shutdown(1)
         data = await read_all(sock)
         assert data.count(b"HTTP/1.1 500") == 2 and data.count(b"sequoia-outcome: unknown") == 2
-        assert handler.ended == []
+        assert handler.clean_ends == []
 
     serve(faulty, test)
