--- a/sequoiabridge/callers/__init__.py
+++ b/sequoiabridge/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server side, towards callers."""
+"""The HTTP/1.1 server that accepts callers' connections and requests."""
--- a/sequoiabridge/callers/body.py
+++ b/sequoiabridge/callers/body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request, read from its connection piece by piece."""
+"""The body of a caller's request, streamed from its connection."""
 
 import h11
 
@@ -11,15 +11,15 @@
 
 
 class CallerBody(Body):
-    """Reads a request's body with back pressure: no piece is received before it is asked for.
+    """Reads a request's body with back pressure: data is received only on a call of `read`.
 
-    The first read tells a caller that waits for it to go on (Expect: 100-continue).
+    The first `read` sends 100 Continue if the request carries Expect: 100-continue.
 
     Attributes:
-        max_body: Most bytes to take, set by the pipeline; `Refusal` 413 beyond it.
-        waits: True while the caller waits to be told to go on.
-        received: Bytes handed out so far.
-        ended: True after the clean end.
+        max_body: Maximum size in bytes; a larger body raises `Refusal` 413.
+        expects_continue: True while the caller waits for 100 Continue.
+        received: Number of bytes returned so far.
+        ended: True once the whole body has been read.
     """
 
     __slots__ = (
@@ -47,12 +47,12 @@
         self.max_body = size
 
     async def read(self) -> bytes:
-        """Return the next piece, b"" at the clean end.
+        """Return the next piece, or b"" at the end of the body.
 
         Raises:
-            CallerGone: The caller left before the end.
+            CallerGone: The caller disconnected before the end of the body.
             Refusal: The body is too large, too slow or malformed. Its outcome is `NOT_RUN` only
-                if no piece has been handed out.
+                if no piece has been returned yet.
         """
         if self.ended:
             return b""
@@ -69,7 +69,7 @@
         return b""
 
     def discard_buffered(self) -> bool:
-        """Drop what has been received; return True if that was all of the body."""
+        """Discard the buffered data; return True if it completes the body."""
         while not self.ended:
             event = self._next_event()
             if event is None:
@@ -99,7 +99,7 @@
             return
         if transport.expired:
             raise caller_too_slow("body", self._outcome())
-        raise CallerGone("It closed its connection within the request's body.")
+        raise CallerGone("The caller closed the connection before the end of the request's body.")
 
     def _outcome(self) -> Outcome:
         return Outcome.UNKNOWN if self.received else Outcome.NOT_RUN
--- a/sequoiabridge/callers/connection.py
+++ b/sequoiabridge/callers/connection.py
@@ -1,4 +1,4 @@
-"""One caller's requests, one after the other, and their answers."""
+"""Serves the requests of one caller's connection, one after the other."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
 
 
 def encode_unread_answer(answer: Answer) -> bytes:
-    """Return the bytes of an answer to a caller whose request is not read; it says close."""
+    """Return an answer's bytes, with Connection: close, for a caller whose input is not read."""
     fields = ValidatedHeaders([*answer.headers, (CONTENT_LENGTH, b"%d" % answer.length), CLOSE])
     response = h11.Response(status_code=answer.status, headers=fields)
     return encode_response_head(response) + answer.body.data
 
 
 class CallerConnection:
-    """Serves one caller; `run` is its task.
+    """Serves one caller's connection; `run` is the body of its task.
 
     Attributes:
-        keeps_alive: False once the answer under way is the last on the connection.
-        version: The caller's version of HTTP.
+        keeps_alive: False if the connection is closed after the current answer.
+        version: HTTP version of the current request, for example b"1.1".
     """
 
     __slots__ = ("server", "transport", "peer", "keeps_alive", "version")
@@ -64,14 +64,14 @@
         self.version = HTTP_11
 
     async def run(self) -> None:
-        """Serve requests until either side has had enough, then close."""
+        """Serve requests until either side ends the connection, then close the socket."""
         try:
             while await self._serve_one():
                 pass
         except CallerGone as gone:
-            log.debug("A caller left. %s", gone)
+            log.debug("Caller disconnected. %s", gone)
         except SequoiaError as error:
-            log.warning("A connection was given up. %s", error)
+            log.warning("Closing a caller's connection after an error. %s", error)
         finally:
             await self.transport.close()
 
@@ -94,7 +94,7 @@
             self.server.in_flight -= 1
 
     async def _read_head(self) -> tuple[h11.Request | None, bytes]:
-        """Return the next request and the bytes it was parsed from; None at the caller's end."""
+        """Return the next request and its raw head; None if the caller closed or idled."""
         transport, limits, now = self.transport, self.server.limits, self.server.clock.now
         timeout, head_end = limits.idle_timeout, None
         while True:
@@ -114,9 +114,9 @@
                 return None, b""
 
     async def _exchange(self, event: h11.Request, head: MessageHead) -> bool:
-        """Have the handler answer a request; return True if another may follow."""
+        """Answer a request through the handler; return True if another may follow."""
         request = self._build_request(event, head)
-        body = request.body  # The handler may put another in its place.
+        body = request.body  # The handler may replace request.body.
         self.keeps_alive = head.keeps_alive
         self.version = event.http_version
         self.transport.may_send_interim = self.version == HTTP_11
@@ -136,7 +136,7 @@
         except CallerGone:
             raise
         except SequoiaError as error:
-            log.warning("An answer was cut off. %s", error)
+            log.warning("An answer was truncated. %s", error)
             self._mark_truncated(answer)
         finally:
             if answer.body is not None:
@@ -153,36 +153,36 @@
         return Request(event.method, event.target, head.pairs, length, body, self.peer)
 
     def _answer_to_error(self, error: Exception) -> Answer:
-        """Return the answer that stands for an error of the handler."""
+        """Return the answer for an exception that the handler raised."""
         refusal = error
         if isinstance(error, UpstreamFailed):
             refusal = upstream_failed(str(error))
         elif not isinstance(error, Refusal):
-            log.error("The handler failed.", exc_info=error)
+            log.error("The handler raised an unexpected exception.", exc_info=error)
             refusal = internal_error()
         return self.server.write_refusal(
             refusal, refusal.request_id or self.server.new_request_id()
         )
 
     async def _refuse_head(self, refusal: Refusal) -> bool:
-        """Answer a request that could not be read, and end the connection."""
+        """Refuse a request with an invalid or incomplete head, and end the connection."""
         answer = self.server.write_refusal(refusal, self.server.new_request_id())
         self.keeps_alive = False
         await self._send(answer, b"", None)
         return await self._prepare_next()
 
     async def _send(self, answer: Answer, method: bytes, body: CallerBody | None) -> None:
-        """Send an answer, in one piece if its body is in memory.
+        """Send an answer, in a single write if its body is in memory.
 
         Raises:
-            CallerGone: The caller left.
-            SequoiaError: The answer could not be completed.
+            CallerGone: The caller disconnected.
+            SequoiaError: The answer's body failed or does not match its length.
         """
         transport, source, status = self.transport, answer.body, answer.status
         if isinstance(source, BytesBody):
             size = len(source.data)
             if answer.length not in (size, None):
-                raise UpstreamFailed("The answer's body is not as long as it says.", sent=True)
+                raise UpstreamFailed("The answer's body does not match its length.", sent=True)
             answer.length = size
         unread = body is not None and not body.ended and not body.discard_buffered()
         if unread or self.server.stopping:
@@ -208,7 +208,7 @@
             if end := encode_body_event(writer, END_OF_MESSAGE):
                 await self.transport.send(end)
         except h11.LocalProtocolError as error:
-            message = f"The answer's body is not as long as it says: {error}."
+            message = f"The answer's body does not match its length: {error}."
             raise UpstreamFailed(message, sent=True) from error
 
     def _header_fields(self, answer: Answer, bodiless: bool) -> ValidatedHeaders:
@@ -225,16 +225,16 @@
         return ValidatedHeaders(pairs)
 
     def _mark_truncated(self, answer: Answer) -> None:
-        """Let the caller see that the answer is not whole.
+        """Make a truncated answer detectable by the caller.
 
-        A missing last chunk or missing bytes show it; a body that ends with the connection
-        (HTTP/1.0) shows it only by a reset.
+        A missing last chunk or a short body shows the truncation. A body delimited by the end of
+        the connection (HTTP/1.0) needs a reset.
         """
         if answer.length is None and self.version != HTTP_11:
             self.transport.abort_on_close()
 
     async def _prepare_next(self, body: CallerBody | None = None) -> bool:
-        """Get ready for the next request; False if there can be none."""
+        """Return True if the connection can be reused; otherwise drain it and return False."""
         if self.keeps_alive and (body is None or body.ended):
             return True
         await self.transport.drain()
--- a/sequoiabridge/callers/framing.py
+++ b/sequoiabridge/callers/framing.py
@@ -1,8 +1,8 @@
-"""Checks of a request's head that h11 does not make: anything that two parsers read differently.
+"""Checks of a request's framing that h11 does not make, against request smuggling.
 
-h11 joins folded lines, merges equal Content-Length fields and lets Transfer-Encoding win over
-Content-Length. An intermediary must refuse these (RFC 9112, 5.2 and 6.3), so they are looked for in
-the bytes as they came.
+h11 joins folded lines, merges equal Content-Length fields and prefers Transfer-Encoding to
+Content-Length. An intermediary must refuse these (RFC 9112, 5.2 and 6.3), so the raw bytes of the
+head are checked.
 """
 
 import re
@@ -18,10 +18,10 @@
 
 
 def validate_head(event: h11.Request, raw: bytes) -> MessageHead:
-    """Return the head of a request that h11 parsed from the bytes `raw`.
+    """Return the validated head of a request that h11 parsed from the bytes `raw`.
 
     Raises:
-        Refusal: Its framing is ambiguous.
+        Refusal: The framing is ambiguous or the method is not supported.
     """
     if b"\n " in raw or b"\n\t" in raw:
         raise bad_request("A header is folded over two lines. Write it on one.")
--- a/sequoiabridge/callers/limits.py
+++ b/sequoiabridge/callers/limits.py
@@ -1,19 +1,19 @@
-"""What the daemon takes from callers at most."""
+"""Limits on callers' connections and requests."""
 
 KIB = 1024
 MIB = 1024 * KIB
 
 
 class CallerLimits:
-    """Limits on callers; sizes in bytes, times in seconds.
+    """Limits on callers. Sizes are in bytes, timeouts in seconds.
 
     Args:
-        max_head: Size of a request's head.
-        max_body: Size of a request's body, unless the pipeline sets another for the request.
-        max_connections: Connections open at once.
-        idle_timeout: Wait for the next request on an open connection.
-        head_timeout: From a request's first byte to the end of its head.
-        body_timeout: Longest pause within a request's body, or of a caller that takes no answer.
+        max_head: Maximum size of a request's head.
+        max_body: Maximum size of a request's body, unless the pipeline sets another.
+        max_connections: Maximum number of open connections.
+        idle_timeout: Maximum wait for the next request on an open connection.
+        head_timeout: Maximum time from the first byte of a request to the end of its head.
+        body_timeout: Maximum time without progress while a body is received or an answer is sent.
     """
 
     __slots__ = (
--- a/sequoiabridge/callers/refusals.py
+++ b/sequoiabridge/callers/refusals.py
@@ -1,4 +1,4 @@
-"""The answers that the daemon makes itself, from the refusals that stand for them."""
+"""Refusals of callers' requests and the HTTP answers made from them."""
 
 from collections.abc import Callable
 from math import ceil
@@ -9,14 +9,14 @@
 from ..pipeline.exchange import Answer, BytesBody
 
 RefusalWriter = Callable[[Refusal, str], Answer]
-"""Makes the answer that tells a caller of a refusal, given the request's id."""
+"""Makes the answer for a refusal and a request id."""
 
 MIN_RETRY_AFTER_SECONDS = 1
-"""Seconds; Retry-After knows whole seconds only."""
+"""Minimum value of Retry-After, which has a resolution of one second."""
 
 
 def refusal_answer(refusal: Refusal, request_id: str) -> Answer:
-    """Return the answer that tells a caller of `refusal`."""
+    """Return the plain-text answer for `refusal`, with its outcome, reason and request id."""
     body = str(refusal).encode("utf-8", "replace") + b"\n"
     headers = [
         (b"content-type", b"text/plain; charset=utf-8"),
@@ -31,13 +31,13 @@
 
 
 def bad_request(message: str, status: int = 400) -> Refusal:
-    """Return the refusal of a request that HTTP does not allow or that could be read two ways."""
+    """Return the refusal of a malformed or ambiguous request."""
     reason = Reason.HEAD_TOO_LARGE if status == 431 else Reason.BAD_REQUEST
     return Refusal(status, Outcome.NOT_RUN, reason, message)
 
 
 def caller_too_slow(what: str, outcome: Outcome = Outcome.NOT_RUN) -> Refusal:
-    """Return the refusal of a caller that did not send `what` in time."""
+    """Return the refusal of a caller that sent `what` ("head" or "body") too slowly."""
     message = f"The request's {what} did not come in time. Send it again over a faster line."
     return Refusal(408, outcome, Reason.CALLER_TOO_SLOW, message)
 
@@ -49,17 +49,17 @@
 
 
 def too_many_connections() -> Refusal:
-    """Return the refusal of a connection beyond the limit."""
+    """Return the refusal of a connection beyond `max_connections`."""
     message = "The daemon has all the connections that it takes. Try again in a second."
     return Refusal(503, Outcome.NOT_RUN, Reason.NO_CONNECTION, message, MIN_RETRY_AFTER_SECONDS)
 
 
 def upstream_failed(message: str) -> Refusal:
-    """Return the refusal that stands for an upstream's failure the pipeline did not settle."""
+    """Return the refusal for an upstream failure that the pipeline did not handle."""
     return Refusal(502, Outcome.UNKNOWN, Reason.UPSTREAM_FAILED, message)
 
 
 def internal_error() -> Refusal:
-    """Return the refusal that stands for a fault of the daemon's own."""
+    """Return the refusal for an unexpected exception in the daemon."""
     message = "The daemon failed at this request. Tell its operator the request's id."
     return Refusal(500, Outcome.UNKNOWN, Reason.INTERNAL, message)
--- a/sequoiabridge/callers/server.py
+++ b/sequoiabridge/callers/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers: accepts connections, keeps their limits, stops without a cut-off."""
+"""The HTTP server for callers: accepts connections, enforces limits and stops gracefully."""
 
 import select
 import socket
@@ -22,35 +22,37 @@
 log = get_log("callers")
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Backlog of the listening socket, in connections."""
 SWEEP_INTERVAL = 0.1
-"""Seconds between two looks at all connections."""
+"""Seconds between two checks of all connections."""
 IDLE_GRACE_SECONDS = 0.5
-"""Seconds that an idle connection stays open after a stop began, for a request on its way."""
+"""Seconds for which an idle connection stays open after `stop_accepting`, for a late request."""
 MAX_REJECTED_SOCKETS = 64
-"""Connections beyond the limit that are kept for a sweep, so that their callers see why."""
+"""Maximum number of rejected sockets kept open until the next sweep, so that callers can read the
+answer."""
 ACCEPT_RETRY_SECONDS = 0.05
-"""Seconds before accepting again when the VM is out of file descriptors."""
+"""Seconds before the next attempt after accepting a connection failed."""
 DISCONNECTED_EVENTS = select.POLLERR | select.POLLHUP
 HALF_CLOSED_EVENT = select.POLLRDHUP
 
 
 class Handler(ABC):
-    """What makes the answers."""
+    """Answers callers' requests."""
 
     @abstractmethod
     async def answer(self, request: Request) -> Answer:
         """Return the answer to `request`, or raise `Refusal`.
 
-        It is cancelled when the caller goes away. The request's body is not read after it ends.
+        It is cancelled when the caller disconnects. The request's body is not read after it
+        returns.
         """
 
     @abstractmethod
     async def finished(self, request: Request, answer: Answer, clean: bool) -> None:
-        """Called once for each answer that `answer` returned, when no more of it will be sent.
+        """Called once for each answer returned by `answer`, after it was sent or sending failed.
 
-        `clean` is true if all of it was sent. The answer's body has been closed by then. It is
-        not called for a `Refusal`.
+        `clean` is true if the whole answer was sent. The answer's body has been closed by then.
+        Not called if `answer` raised an exception.
         """
 
 
@@ -59,19 +61,19 @@
 
     Args:
         handler: Makes the answers; see `Handler`.
-        limits: What is taken from callers.
+        limits: Limits on callers.
         clock: Source of time.
-        ids: Returns a new request id, for answers that no handler made.
-        refuse: Writes the answers that no handler made.
-        cancel_on_half_close: A caller that ends its sending side has left; else it is sent an
-            interim answer, to find out. For callers that never half-close and know no interim
-            answers.
-        sweep_interval: Seconds between two looks at all connections.
+        new_request_id: Returns a new request id, for refusals without one.
+        write_refusal: Makes the answers for refusals.
+        cancel_on_half_close: Treat a caller that closes its sending side as disconnected, for
+            callers that never half-close and do not support interim answers. Otherwise an interim
+            answer is sent to check the connection.
+        sweep_interval: Seconds between two checks of all connections.
 
     Attributes:
         address: The bound "IP:port", after `bind`.
-        in_flight: Requests whose answer is not complete.
-        stopping: True once a planned stop has begun: answers say that the connection ends.
+        in_flight: Number of requests whose answer is not complete.
+        stopping: True once a planned stop has begun; answers then carry Connection: close.
     """
 
     name = "callers"
@@ -106,14 +108,14 @@
 
     @property
     def connections(self) -> int:
-        """Return how many callers' connections are open."""
+        """Return the number of open connections."""
         return len(self.open_connections)
 
     def bind(self, address: str) -> None:
         """Listen on `address` ("IP:port"; port 0 picks a free one).
 
         Raises:
-            ConfigurationError: The address cannot be listened on.
+            ConfigurationError: Binding to the address failed.
         """
         host, _, port = address.rpartition(":")
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -133,7 +135,7 @@
         self.address = f"{host}:{listener.getsockname()[1]}"
 
     async def serve(self) -> None:
-        """Accept and serve callers until cancelled; `bind` comes first."""
+        """Accept and serve callers until cancelled. Call `bind` first."""
         self.acceptor = await curio.spawn(self._accept(), daemon=True)
         log.info("Listening on %s.", self.address)
         try:
@@ -146,14 +148,14 @@
                 await connection.transport.task.cancel()
 
     def announce_stop(self) -> None:
-        """Begin a planned stop: go on serving, but let each answer carry `Connection: close`."""
+        """Begin a planned stop: keep serving, with `Connection: close` in each answer."""
         self.stopping = True
 
     async def stop_accepting(self) -> None:
-        """Take no new connection, close idle ones, finish what is in flight.
+        """Close the listening socket and idle connections; requests in flight go on.
 
-        Callers that are in the queue of the listening socket are still served. Answers from now
-        on carry `Connection: close`.
+        Connections in the backlog of the listening socket are still served. Answers carry
+        `Connection: close` from now on.
         """
         if self.listener_closed:
             return
@@ -166,15 +168,15 @@
         for connection in self.open_connections:
             if connection.transport.phase is Phase.IDLE:
                 connection.transport.deadline = min(connection.transport.deadline, end)
-        log.info("Accepting no more; %d requests are in flight.", self.in_flight)
+        log.info("Stopped accepting connections; %d requests are in flight.", self.in_flight)
 
     async def wait_idle(self) -> None:
-        """Wait until the last connection is closed, however long its request takes."""
+        """Wait without a timeout until all connections are closed."""
         while self.open_connections:
             await curio.sleep(SWEEP_INTERVAL)
 
     async def sweep(self) -> None:
-        """End waits that are over and cancel handlers whose caller has gone."""
+        """Expire overdue waits and cancel handlers whose caller has disconnected."""
         now = self.clock.now()
         by_fileno: dict[int, CallerConnection] = {}
         for connection in list(self.open_connections):
@@ -188,7 +190,7 @@
             await self._check_disconnects(by_fileno)
 
     def dump(self) -> dict:
-        """Describe the server for the state dump."""
+        """Return the server's part of the state dump."""
         phases = Counter(connection.transport.phase.value for connection in self.open_connections)
         return {
             "address": self.address,
@@ -208,7 +210,7 @@
         for fileno, events in poll.poll(0):
             connection = by_fileno[fileno]
             if events & DISCONNECTED_EVENTS:
-                log.debug("A caller left; its request is cancelled.")
+                log.debug("Caller disconnected; its request is cancelled.")
                 await connection.transport.task.cancel(blocking=False)
             elif events & HALF_CLOSED_EVENT and self.cancel_on_half_close:
                 await connection.transport.task.cancel(blocking=False)
@@ -225,13 +227,13 @@
             await _io_release(self.listener)
 
     async def _accept_one(self) -> bool:
-        """Accept one connection; False if none waits."""
+        """Accept one connection; return False if none is pending or accepting failed."""
         try:
             sock, peer = self.listener.accept()
         except BlockingIOError:
             return False
         except OSError as error:
-            log.warning("Cannot accept: %s. Raise the limit of open files.", error)
+            log.warning("Cannot accept a connection: %s. Raise the limit of open files.", error)
             await curio.sleep(ACCEPT_RETRY_SECONDS)
             return False
         sock.setblocking(False)
@@ -252,14 +254,14 @@
             self.open_connections.discard(connection)
 
     def _reject_connection(self, sock: socket.socket) -> None:
-        """Tell a caller beyond the limit so; the socket is closed by the next sweep."""
+        """Send a refusal on a connection beyond the limit; the next sweep closes the socket."""
         self.rejected_count += 1
         answer = self.write_refusal(too_many_connections(), self.new_request_id())
         try:
             sock.send(encode_unread_answer(answer))
             sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            log.debug("A caller could not be told: %s.", error)
+            log.debug("Cannot send a refusal to a caller: %s.", error)
         self.rejected_sockets.append(sock)
         if len(self.rejected_sockets) > MAX_REJECTED_SOCKETS:
             self.rejected_sockets.popleft().close()
--- a/sequoiabridge/callers/transport.py
+++ b/sequoiabridge/callers/transport.py
@@ -1,7 +1,7 @@
-"""One caller's socket and what came from it: what is waited for, until when, is it still there.
+"""A caller's socket with its input buffer, timeouts and disconnect checks.
 
-No timeout object is made and no task is switched to for a call. Each wait sets `deadline` instead,
-and the server's sweep calls `check` now and then; see docs/design/hop-latency.md.
+To keep the overhead per call low, waits use no timers of the event loop: each wait sets `deadline`,
+and the server's periodic sweep calls `expire_wait`; see docs/design/hop-latency.md.
 """
 
 import socket
@@ -21,19 +21,19 @@
 
 NEVER = float("inf")
 MAX_DRAIN_BYTES = 256 * 1024
-"""Bytes of an unwanted rest that are read and dropped, so that the caller sees its answer."""
+"""Maximum number of input bytes discarded before closing, so that the caller gets its answer."""
 DRAIN_TIMEOUT = 2.0
-"""Seconds that this may take."""
+"""Maximum seconds spent on discarding them."""
 LINGER_RESET = b"\x01\x00\x00\x00\x00\x00\x00\x00"
-"""SO_LINGER on with 0 seconds: closing resets the connection."""
+"""SO_LINGER enabled with a timeout of 0: closing the socket resets the connection."""
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 PROCESSING = b"HTTP/1.1 102 Processing\r\n\r\n"
-"""Interim answers; the second is sent only to find out whether a caller is still there."""
+"""Interim answer, sent only to check whether a half-closed caller still expects its answer."""
 
 
 class Phase(Enum):
-    """What a caller's connection waits for."""
+    """What a connection currently waits for."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -44,15 +44,15 @@
 
 
 class CallerTransport:
-    """A caller's connection below the level of requests.
+    """Sends and receives the bytes of a caller's connection, with timeouts.
 
     Attributes:
-        phase: What is waited for.
-        deadline: Time at which that wait is over, in seconds on the daemon's clock.
-        expired: True once a wait was over.
+        phase: What the connection currently waits for.
+        deadline: Time at which that wait expires, in seconds on the daemon's clock.
+        expired: True once a wait has timed out.
         task: The task that serves the connection.
-        received: What came and has not been read yet.
-        probeable: True while an interim answer may be sent to see if the caller is there.
+        received: Buffer of received bytes that are not parsed yet.
+        may_send_interim: True while an interim answer may be sent to check the connection.
     """
 
     __slots__ = (
@@ -81,10 +81,10 @@
         self.may_send_interim = False
 
     async def receive(self, phase: Phase, timeout: float) -> bool:
-        """Take what the caller sends next; False at its end or when the wait was over.
+        """Receive into the buffer; return False at the end of the stream or on a timeout.
 
         Raises:
-            CallerGone: The connection is broken.
+            CallerGone: The connection failed.
         """
         self.phase = phase
         self.deadline = self.clock.now() + timeout
@@ -95,13 +95,13 @@
                 await _read_wait(self.descriptor)
                 continue
             except OSError as error:
-                raise CallerGone(f"Its connection broke: {error}.") from error
+                raise CallerGone(f"The connection failed: {error}.") from error
             self.enter_handler_phase()
             self.received.feed(data)
             return bool(data)
 
     def enter_handler_phase(self) -> None:
-        """Nothing is expected from the caller now; the handler is at work."""
+        """Enter the phase in which the handler runs and no timeout applies to the caller."""
         self.phase = Phase.HANDLER
         self.deadline = NEVER
 
@@ -109,23 +109,23 @@
         """Send all of `data`.
 
         Raises:
-            CallerGone: The connection is broken, or the caller took nothing for too long.
+            CallerGone: The connection failed, or the caller received nothing for `body_timeout`.
         """
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError as error:
-            raise CallerGone(f"Its connection broke: {error}.") from error
+            raise CallerGone(f"The connection failed: {error}.") from error
         if sent < len(data):
             await self._send_rest(memoryview(data)[sent:])
 
     async def drain(self) -> None:
-        """End the sending side, then read and drop a bounded rest of what the caller sends."""
+        """Close the sending side, then discard a bounded amount of further input."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            raise CallerGone(f"Its connection broke: {error}.") from error
+            raise CallerGone(f"The connection failed: {error}.") from error
         end = self.clock.now() + DRAIN_TIMEOUT
         size = 0
         while size < MAX_DRAIN_BYTES and not self.expired:
@@ -135,7 +135,7 @@
             self.received = InputBuffer()
 
     def abort_on_close(self) -> None:
-        """Make the close a reset, for an answer whose end is shown by nothing but the close."""
+        """Make `close` reset the connection, for a truncated answer delimited by the close."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     async def close(self) -> None:
@@ -144,7 +144,7 @@
         self.sock.close()
 
     def expire_wait(self, now: float) -> None:
-        """End a wait that is over; called by the sweep."""
+        """End the current wait if its deadline has passed; called by the sweep."""
         if now < self.deadline:
             return
         self.expired = True
@@ -153,13 +153,13 @@
         try:
             self.sock.shutdown(socket.SHUT_RD if answerable else socket.SHUT_RDWR)
         except OSError as error:
-            log.debug("A connection was closed already: %s.", error)
+            log.debug("Connection was already closed: %s.", error)
 
     def send_interim_answer(self) -> None:
-        """Find out whether a caller that has ended its sending side still waits for its answer.
+        """Check whether a caller that closed its sending side still expects its answer.
 
-        The end of its stream proves nothing: it may have closed that side only. If it has gone,
-        its system answers an interim answer with a reset, which the next sweep sees.
+        The end of its stream may be a half-close. If the caller has closed the whole connection,
+        its system responds to the interim answer with a reset, which the next sweep detects.
         """
         if not self.may_send_interim:
             return
@@ -167,7 +167,7 @@
         try:
             self.sock.send(PROCESSING)
         except OSError as error:
-            log.debug("A caller cannot be reached: %s.", error)
+            log.debug("Cannot send an interim answer to a caller: %s.", error)
 
     async def _send_rest(self, rest: memoryview) -> None:
         while rest:
@@ -179,5 +179,5 @@
             except BlockingIOError:
                 continue
             except OSError as error:
-                raise CallerGone(f"Its connection broke: {error}.") from error
+                raise CallerGone(f"The connection failed: {error}.") from error
         self.enter_handler_phase()
--- a/sequoiabridge/tests/callers/server_fixture.py
+++ b/sequoiabridge/tests/callers/server_fixture.py
@@ -1,4 +1,4 @@
-"""A server with a handler that a test writes, and raw bytes to and from it."""
+"""Runs a caller server with a scripted handler, for tests that exchange raw bytes with it."""
 
 from itertools import count
 
@@ -14,12 +14,12 @@
 
 
 def ok(body: bytes) -> Answer:
-    """Return a plain answer."""
+    """Return an answer with status 200."""
     return Answer(200, [], len(body), BytesBody(body))
 
 
 class ScriptedHandler(Handler):
-    """Runs a coroutine function as its answer and keeps what `finished` was told."""
+    """Answers with a coroutine function; records requests and the `clean` flags of `finished`."""
 
     def __init__(self, script):
         self.script = script
@@ -40,7 +40,7 @@
 
 
 def serve(script, test, **limits):
-    """Run `test(server, handler, connect)` against a server; fail it if it hangs."""
+    """Run `test(server, handler, connect)` against a server, with a timeout."""
 
     async def main():
         handler = ScriptedHandler(script)
@@ -65,7 +65,7 @@
 
 
 async def read_all(sock) -> bytes:
-    """Return all bytes until the other side closes."""
+    """Return all bytes until the peer closes the connection."""
     data = b""
     while piece := await sock.recv(65536):
         data += piece
@@ -73,7 +73,7 @@
 
 
 async def read_until(sock, end: bytes) -> bytes:
-    """Return bytes up to and with `end`."""
+    """Return the bytes up to and including `end`."""
     data = b""
     while not data.endswith(end):
         piece = await sock.recv(1)
@@ -83,6 +83,6 @@
 
 
 async def wait_until(condition) -> None:
-    """Wait for `condition()` to hold."""
+    """Poll until `condition()` is true."""
     while not condition():
         await curio.sleep(0.002)
--- a/sequoiabridge/tests/callers/test_server.py
+++ b/sequoiabridge/tests/callers/test_server.py
@@ -1,4 +1,4 @@
-"""The server for callers: framing, limits, cut-offs, callers that leave, planned stops."""
+"""Tests of the caller server: framing, limits, truncated answers, disconnects and planned stops."""
 
 import curio
 import pytest
@@ -19,7 +19,7 @@
 
 
 class TruncatedBody(Body):
-    """A body that is cut short after one piece."""
+    """A body that fails after one piece."""
 
     def __init__(self):
         self.pieces = [b"half"]
