--- a/sequoiabridge/relay/attempt.py
+++ b/sequoiabridge/relay/attempt.py
@@ -88,7 +88,7 @@
             await self._failed(UpstreamFailed(str(error), sent=self.sent))
         except curio.CancelledError:
             if self.upstream.has_restarted:
-                self._set_ending(Ending.RESTARTED, "upstream restarted")
+                self._set_ending(Ending.RESTARTED, "the upstream has started again")
             else:
                 self._set_ending(Ending.CANCELLED, "cancelled by the daemon")
             raise
@@ -126,7 +126,7 @@
             request.body.rewind()
         time_left = self.call.deadline - self.clock.now()
         if time_left <= 0.0:
-            raise UpstreamFailed("The deadline passed before the request was sent.", sent=False)
+            raise UpstreamFailed("The deadline passed before anything was sent.", sent=False)
         headers = self.dialect.upstream_headers(request, self.upstream.id, time_left)
         return UpstreamRequest(
             request.method, request.target, headers, request.length, request.body, self._is_answer
@@ -139,13 +139,11 @@
         metadata = self.metadata
         if metadata.other_upstream:
             self.wrong_upstream = True
-            self._set_ending(Ending.NOT_RUN, "another upstream answered at this address")
+            self._set_ending(Ending.NOT_RUN, "another upstream has its address")
         elif metadata.not_run:
-            self._set_ending(Ending.NOT_RUN, f"refused with status {answer.status}")
+            self._set_ending(Ending.NOT_RUN, f"refused with {answer.status}")
         elif 200 <= answer.status < 300 and not metadata.genuine:
-            self._set_ending(
-                Ending.BROKEN, "success status, but not a genuine answer of the upstream"
-            )
+            self._set_ending(Ending.BROKEN, "a success that is not the upstream's own")
         else:
             self._accept(answer)
             self._set_ending(Ending.ANSWERED, "")
--- a/sequoiabridge/upstreams/exchange.py
+++ b/sequoiabridge/upstreams/exchange.py
@@ -109,7 +109,7 @@
             else:
                 await self._send_with_body(head, request.body, body_writer(request.length))
         except h11.LocalProtocolError as error:
-            message = f"The request is not valid HTTP: {error}. Correct the request."
+            message = f"The request does not fit HTTP: {error}. Correct the request."
             raise link.make_failure(message) from error
         link.request_ended = not link.refused
 
@@ -172,7 +172,7 @@
         if not head.chunked and self.connector.limits.allow_until_close:
             self.link.keeps_alive = False
             return UntilCloseReader()
-        message = "The answer's length is missing or ambiguous. Send either Content-Length or "
+        message = "The answer's length is not known for sure. Send one of Content-Length or "
         raise self.link.make_failure(message + "Transfer-Encoding: chunked.")
 
     async def _complete(self, answer: Answer) -> Answer:
--- a/sequoiabridge/upstreams/link.py
+++ b/sequoiabridge/upstreams/link.py
@@ -144,11 +144,9 @@
             if event is None:
                 break
             if event.status_code == SWITCHING_PROTOCOLS:
-                raise self.make_failure("It switched protocols without a request to do so.")
+                raise self.make_failure("It changed the protocol, which it was not asked to.")
         if self.received.closed:
-            raise self.make_failure(
-                "It closed the connection before the answer's head was complete."
-            )
+            raise self.make_failure("It closed the connection before its answer was whole.")
         return None
 
     async def read_body_event(self, reader: BodyReader) -> h11.Data | h11.EndOfMessage:
@@ -158,9 +156,7 @@
                 if self.received.closed and type(reader) is UntilCloseReader:
                     return END_OF_MESSAGE
                 if self.received.closed:
-                    raise self.make_failure(
-                        "It closed the connection before the answer's body was complete."
-                    )
+                    raise self.make_failure("It closed the connection within its answer.")
                 await self.receive()
         except h11.LocalProtocolError as error:
             raise self.make_failure(f"The answer's body is malformed: {error}.") from error
@@ -273,10 +269,10 @@
         opened = True
         return Link(address, sock, clock)
     except curio.TaskTimeout as late:
-        message = f"{address}: Connecting timed out after {timeout:.3f} s. Try another upstream."
+        message = f"{address}: No connection within {timeout:.3f} s. Try another upstream."
         raise UpstreamFailed(message, sent=False, timed_out=True) from late
     except (OSError, ValueError) as error:
-        message = f"{address}: Connecting failed: {error}. Try another upstream."
+        message = f"{address}: No connection: {error}. Try another upstream."
         raise UpstreamFailed(message, sent=False) from error
     finally:
         if not opened:
