--- a/sequoiabridge/balancing/refusals.py
+++ b/sequoiabridge/balancing/refusals.py
@@ -35,8 +35,6 @@
     """Return the refusal of a call that cannot be sent again.
 
     Args:
-        call: The call.
-        why: Reason why the last attempt failed.
         call: The call.
         why: Reason why the last attempt failed.
         overload_ratio: Share of recent new calls of the service that found no capacity.
